--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -14,7 +14,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// memoryDisk keeps what was appended; a restart reads it back.
+// memoryDisk is an in-memory storage that survives a restart.
 type memoryDisk struct{ recovered member.Recovered }
 
 func (d *memoryDisk) Append(record *wirepb.WalRecord) error {
@@ -27,8 +27,7 @@
 	return nil
 }
 
-// cluster drives members by hand: time passes and messages travel only when a
-// table says so.
+// cluster runs members with a manual clock and manual message delivery.
 type cluster struct {
 	t         testing.TB
 	now       time.Duration
@@ -37,7 +36,7 @@
 	disks     map[uint64]*memoryDisk
 	members   map[uint64]*member.Member
 	cut       map[uint64]bool
-	mail      []*wirepb.RaftMessage
+	pending   []*wirepb.RaftMessage
 	applied   map[uint64][]string
 }
 
@@ -45,7 +44,7 @@
 	config := raft.Config{
 		ID: id, ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond,
 		LeaseMargin: 100 * time.Millisecond, MaxEntriesPerMessage: 4, MaxInflightMessages: 2,
-		// Lower ids wait less, so tables can foresee who campaigns.
+		// Lower IDs have shorter timeouts, so that the order of campaigns is deterministic.
 		Random: func(int64) int64 { return int64(id) * int64(50*time.Millisecond) },
 	}
 	c.startWith(id, config)
@@ -68,7 +67,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.mail = append(c.mail, output.Messages...)
+	c.pending = append(c.pending, output.Messages...)
 	for _, applied := range output.Applied {
 		if len(applied.Entry.GetData()) > 0 && applied.Entry.GetKind() == wirepb.EntryKind_ENTRY_KIND_COMMAND {
 			c.applied[id] = append(c.applied[id], string(applied.Entry.GetData()))
@@ -85,12 +84,12 @@
 	return ids
 }
 
-// settle delivers messages until none is left; those from or to a node that
-// is cut off are lost.
+// settle delivers messages until none is pending. Messages from or to a partitioned node are
+// dropped.
 func (c *cluster) settle() {
-	for len(c.mail) > 0 {
-		message := c.mail[0]
-		c.mail = c.mail[1:]
+	for len(c.pending) > 0 {
+		message := c.pending[0]
+		c.pending = c.pending[1:]
 		target := c.members[message.GetTo()]
 		if target == nil || c.cut[message.GetTo()] || c.cut[message.GetFrom()] {
 			continue
@@ -100,12 +99,12 @@
 	}
 }
 
-// deliver delivers what waits from one node to another.
+// deliver delivers the pending messages from one node to another.
 func (c *cluster) deliver(from, to uint64) {
 	var rest []*wirepb.RaftMessage
-	mail := c.mail
-	c.mail = nil
-	for _, message := range mail {
+	queued := c.pending
+	c.pending = nil
+	for _, message := range queued {
 		if message.GetFrom() == from && message.GetTo() == to {
 			c.members[to].Raft.Step(c.now, message)
 			c.process(to)
@@ -113,7 +112,7 @@
 		}
 		rest = append(rest, message)
 	}
-	c.mail = append(rest, c.mail...)
+	c.pending = append(rest, c.pending...)
 }
 
 func (c *cluster) pass(span time.Duration) {
@@ -173,7 +172,7 @@
 }
 
 func (c *cluster) run(t *testing.T, d *datadriven.TestData) string {
-	one := func() (id uint64) { d.ScanArgs(t, "node", &id); return id }
+	node := func() (id uint64) { d.ScanArgs(t, "node", &id); return id }
 	switch d.Cmd {
 	case "cluster":
 		d.MaybeScanArgs(t, "compact", &c.compact)
@@ -186,7 +185,7 @@
 		d.ScanArgs(t, "ms", &milliseconds)
 		c.pass(time.Duration(milliseconds) * time.Millisecond)
 	case "propose":
-		id := one()
+		id := node()
 		var failure string
 		for _, command := range strings.Fields(d.Input) {
 			if _, _, err := c.members[id].Raft.Propose(c.now, []byte(command)); err != nil {
@@ -197,7 +196,7 @@
 		c.settle()
 		return failure + c.report()
 	case "membership":
-		id := one()
+		id := node()
 		err := c.members[id].Raft.ProposeMembership(c.now, &wirepb.Membership{Voters: ids(t, d, "voters"), Learners: ids(t, d, "learners")})
 		c.process(id)
 		c.settle()
@@ -205,24 +204,24 @@
 			return err.Error() + "\n"
 		}
 	case "cut":
-		c.cut[one()] = true
+		c.cut[node()] = true
 	case "heal":
-		delete(c.cut, one())
+		delete(c.cut, node())
 	case "kill":
-		delete(c.members, one())
+		delete(c.members, node())
 	case "gone":
 		var gone uint64
 		d.ScanArgs(t, "member", &gone)
-		c.members[one()].Raft.NoteGone(c.now, gone)
+		c.members[node()].Raft.NoteGone(c.now, gone)
 	case "lose-disk":
-		delete(c.disks, one())
+		delete(c.disks, node())
 	case "start":
-		c.applied[one()] = nil
-		c.start(one())
+		c.applied[node()] = nil
+		c.start(node())
 		c.settle()
 	case "expire":
-		// The elections of these nodes are due; their messages wait. With none, time passes and
-		// nobody looks at the clock yet.
+		// Advances the clock past the election timeout. Only the listed nodes tick, and their
+		// messages stay pending.
 		c.now += 2 * time.Second
 		if !d.HasArg("nodes") {
 			break
@@ -237,7 +236,7 @@
 		d.ScanArgs(t, "to", &to)
 		c.deliver(from, to)
 	case "restart":
-		id := one()
+		id := node()
 		if d.HasArg("forget-vote") {
 			for _, record := range c.disks[id].recovered.Records {
 				record.HardState.Vote = raft.None
@@ -245,8 +244,8 @@
 		}
 		c.start(id)
 	case "join":
-		// An empty disk that was initialised to join.
-		id := one()
+		// A new node with an empty disk, initialized to join.
+		id := node()
 		bootstrap := c.bootstrap
 		c.bootstrap = &wirepb.Membership{}
 		delete(c.disks, id)
@@ -255,8 +254,8 @@
 		c.bootstrap = bootstrap
 		c.settle()
 	case "transfer":
-		c.members[one()].Raft.TransferLeadership()
-		c.process(one())
+		c.members[node()].Raft.TransferLeadership()
+		c.process(node())
 		c.settle()
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -6,25 +6,26 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// forcedElection in a vote request's round tells that the leader itself gave
-// up its lease and asked for the election.
+// forcedElection in the round of a vote request marks an election that the leader requested by a
+// leadership transfer, which overrides promises.
 const forcedElection uint64 = 1
 
-// checkTerm compares the terms and reports whether to handle the message.
+// checkTerm compares the message's term with the current one and reports whether to handle the
+// message.
 func (n *Node) checkTerm(message *wirepb.RaftMessage) bool {
 	switch {
 	case message.GetTerm() > n.term:
-		return n.meetHigherTerm(message)
+		return n.handleHigherTerm(message)
 	case message.GetTerm() < n.term:
-		n.meetLowerTerm(message)
+		n.handleLowerTerm(message)
 		return false
 	}
-	// The term may have become known by another message, before this request came: the promise
-	// binds all the same.
+	// The term may already be known from another message; the promise still applies to the vote
+	// request.
 	return message.GetType() != wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_VOTE || n.mayVoteFor(message)
 }
 
-func (n *Node) meetHigherTerm(message *wirepb.RaftMessage) bool {
+func (n *Node) handleHigherTerm(message *wirepb.RaftMessage) bool {
 	switch message.GetType() {
 	case wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_PRE_VOTE:
 		return true
@@ -45,22 +46,22 @@
 	return true
 }
 
-// mayVoteFor reports whether no promise stands against a vote. Voting while the promise to a
-// leader lasts would let two leaders hold a lease at once.
+// mayVoteFor reports whether no promise forbids the requested vote. A vote during a promise could
+// let two leaders hold a lease at once.
 func (n *Node) mayVoteFor(request *wirepb.RaftMessage) bool {
 	return request.GetRound() == forcedElection || !n.promisedToLeader(request.GetAllIdle())
 }
 
-func (n *Node) meetLowerTerm(message *wirepb.RaftMessage) {
+func (n *Node) handleLowerTerm(message *wirepb.RaftMessage) {
 	switch {
 	case isFromLeader(message.GetType()):
-		// The reply's higher term makes the old leader step down.
+		// The higher term in the reply makes the stale leader step down.
 		n.send(&wirepb.RaftMessage{
 			Type: wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_APPEND_REPLY, To: message.GetFrom(), Reject: true,
 		})
 	case message.GetType() == wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_PRE_VOTE:
 		n.send(&wirepb.RaftMessage{
-			Type: wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_PRE_VOTE_REPLY, To: message.GetFrom(), Reject: true, Idle: n.ownIdle(),
+			Type: wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_PRE_VOTE_REPLY, To: message.GetFrom(), Reject: true, Idle: n.ownIdleTerm(),
 		})
 	}
 }
@@ -75,22 +76,21 @@
 	return false
 }
 
-// promisedToLeader reports whether this node must not help to elect another
-// leader yet. A leader holds itself to the promise while its lease may last. Who
-// asks may know that all voters are idle up to a term.
+// promisedToLeader reports whether a promise forbids voting for a new leader. A candidate may know
+// that all voters are idle up to allIdle, which frees this node of promises made in those terms.
 func (n *Node) promisedToLeader(allIdle uint64) bool {
 	if n.role == Leader {
 		return true
 	}
-	free := n.isReleased() || allIdle != None && n.term <= allIdle
-	return !free && n.now < n.promisedUntil
+	released := n.isTermReleased() || allIdle != None && n.term <= allIdle
+	return !released && n.now < n.promisedUntil
 }
 
 func (n *Node) becomeFollower(term, leader uint64) {
 	if term > n.term {
 		n.term = term
 		n.vote = None
-		n.gaveWay = false
+		n.campaignDeferred = false
 	}
 	n.role = Follower
 	n.leader = leader
@@ -100,38 +100,37 @@
 }
 
 func (n *Node) resetElectionDeadline() {
-	if n.isReleased() && n.leader == None {
-		n.electionDeadline = n.now + n.releasedWait()
+	if n.isTermReleased() && n.leader == None {
+		n.electionDeadline = n.now + n.releasedElectionDelay()
 		return
 	}
-	// Where messages take longer, so does it until a candidate is known.
+	// With a longer timeout, the spread grows as well: candidates take longer to learn of each other.
 	spread := n.config.Random(int64(n.config.ElectionSpread + n.promise - n.config.ElectionTimeout))
 	n.electionDeadline = n.now + n.promise + time.Duration(spread)
 }
 
-// campaign asks whether an election could be won, without raising the term:
-// a node that was cut off must not depose a working leader when it returns.
+// campaign starts a pre-vote, which does not raise the term: a node that rejoins after a partition
+// must not depose a working leader.
 func (n *Node) campaign() {
 	if n.hasUnappliedMembership() {
 		n.resetElectionDeadline()
 		return
 	}
 	n.resetElectionDeadline()
-	n.askForPreVotes()
+	n.requestPreVotes()
 }
 
-// giveWay puts off this node's own election for another's, whose pre-vote it grants. Over long links
-// several stand before they hear of each other; the votes split, and an election timeout is lost.
-// Of two that ask for pre-votes at a time the one with the lower id goes on: each hears of the
-// other before its own pre-votes are back. It gives way once only, until there is an
-// election, a newer term or a leader: one that nobody else hears must not hold up the rest.
-func (n *Node) giveWay(other uint64) {
-	stands := n.role == PreCandidate
-	if n.gaveWay || n.isReleased() || n.role != Follower && !stands || stands && other > n.config.ID {
+// deferCampaign postpones this node's election after it has granted another node's pre-vote. Over
+// long links several nodes campaign before they learn of each other and would split the votes. Of
+// two pre-candidates, the one with the lower ID continues. A node defers only once per term and
+// leader, so that a candidate without connectivity can't block the others.
+func (n *Node) deferCampaign(other uint64) {
+	preCandidate := n.role == PreCandidate
+	if n.campaignDeferred || n.isTermReleased() || n.role != Follower && !preCandidate || preCandidate && other > n.config.ID {
 		return
 	}
-	n.gaveWay = true
-	if stands {
+	n.campaignDeferred = true
+	if preCandidate {
 		n.role = Follower
 	}
 	n.resetElectionDeadline()
@@ -147,9 +146,9 @@
 }
 
 func (n *Node) startElection(round uint64) {
-	allIdle := n.allIdle()
+	allIdle := n.allIdleTerm()
 	n.role = Candidate
-	n.gaveWay = false
+	n.campaignDeferred = false
 	n.term++
 	n.vote = n.config.ID
 	n.leader = None
@@ -159,10 +158,10 @@
 	n.countVotes()
 }
 
-// askForPreVotes counts the node's own vote, unless it may be bound by a promise
-// to a leader, and asks for the others'.
-func (n *Node) askForPreVotes() {
-	allIdle := n.allIdle()
+// requestPreVotes requests pre-votes from the other voters. The node counts its own unless a
+// promise forbids it.
+func (n *Node) requestPreVotes() {
+	allIdle := n.allIdleTerm()
 	n.role = PreCandidate
 	n.leader = None
 	n.votes = map[uint64]bool{n.config.ID: !n.promisedToLeader(allIdle)}
@@ -176,7 +175,7 @@
 			continue
 		}
 		n.send(&wirepb.RaftMessage{
-			Type: kind, To: peer, Term: term, Round: round, Released: n.released, AllIdle: allIdle,
+			Type: kind, To: peer, Term: term, Round: round, Released: n.releasedTerm, AllIdle: allIdle,
 			Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(),
 		})
 	}
@@ -184,8 +183,8 @@
 
 func (n *Node) handleVoteRequest(message *wirepb.RaftMessage) {
 	reply := &wirepb.RaftMessage{To: message.GetFrom(), Term: message.GetTerm()}
-	// A node that knows no members has joined with an empty disk: whatever
-	// it promised before is forgotten, so it promises nothing.
+	// A node without a membership has joined with an empty disk. Its earlier votes and promises are
+	// lost, so it must not vote.
 	mayVote := len(n.membership.GetVoters()) > 0
 	upToDate := mayVote && n.log.isUpToDate(message.GetIndex(), message.GetLogTerm())
 	if message.GetType() == wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_PRE_VOTE {
@@ -194,19 +193,19 @@
 		if reply.Reject {
 			reply.Term = n.term
 		}
-		reply.Idle = n.ownIdle()
+		reply.Idle = n.ownIdleTerm()
 		if upToDate {
 			n.scheduleProbe()
 		}
 		if !reply.Reject {
-			n.giveWay(message.GetFrom())
+			n.deferCampaign(message.GetFrom())
 		}
 		n.send(reply)
 		return
 	}
 	reply.Type = wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_VOTE_REPLY
-	free := n.vote == None || n.vote == message.GetFrom()
-	reply.Reject = !upToDate || !free || n.role == Leader
+	unvoted := n.vote == None || n.vote == message.GetFrom()
+	reply.Reject = !upToDate || !unvoted || n.role == Leader
 	if !reply.Reject {
 		n.vote = message.GetFrom()
 		n.resetElectionDeadline()
@@ -222,15 +221,14 @@
 	if message.GetType() != expected || (n.role != PreCandidate && n.role != Candidate) {
 		return
 	}
-	// A granted pre-vote carries the term asked about, so a late one from an
-	// earlier campaign does not count.
+	// A granted pre-vote carries the requested term; one of an earlier campaign is ignored.
 	if n.role == PreCandidate && !message.GetReject() && message.GetTerm() != n.term+1 {
 		return
 	}
 	n.votes[message.GetFrom()] = !message.GetReject()
-	if n.role == PreCandidate && !n.votes[n.config.ID] && !n.promisedToLeader(n.allIdle()) && n.mayGoFirst() {
-		// All are known to be idle by now, which makes them free to vote.
-		n.askForPreVotes()
+	if n.role == PreCandidate && !n.votes[n.config.ID] && !n.promisedToLeader(n.allIdleTerm()) && n.mayCampaignEarly() {
+		// All voters are now known to be idle, which frees them to vote.
+		n.requestPreVotes()
 		return
 	}
 	n.countVotes()
@@ -247,7 +245,7 @@
 		return
 	}
 	if n.role == PreCandidate {
-		// The others' votes are enough, but to stand is to vote for oneself.
+		// A candidate votes for itself, which a promise may forbid even if the others suffice.
 		if n.votes[n.config.ID] {
 			n.startElection(0)
 		}
@@ -259,14 +257,14 @@
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.config.ID
-	n.led = n.term
-	n.asked = n.config.ElectionTimeout
+	n.lastLedTerm = n.term
+	n.requestedTimeout = n.config.ElectionTimeout
 	n.lease = newLease()
 	n.progress = map[uint64]*progress{}
 	n.syncProgress()
 	n.pendingMembership = n.log.lastIndex()
-	// An entry of the new term commits everything before it; entries of older
-	// terms are never committed by counting replicas.
+	// Entries of earlier terms are not committed by counting replicas; committing an entry of the
+	// new term commits them.
 	n.appendAsLeader(&wirepb.Entry{Kind: wirepb.EntryKind_ENTRY_KIND_COMMAND})
 	n.broadcastHeartbeat()
 }
@@ -277,27 +275,27 @@
 	}
 }
 
-// TransferLeadership asks the most advanced voter to take over, for a planned
-// stop. The lease is given up at once.
+// TransferLeadership asks an up-to-date voter to take over and gives up the lease. It reports
+// whether there was one.
 func (n *Node) TransferLeadership() bool {
 	if n.role != Leader {
 		return false
 	}
-	best := None
+	target := None
 	for _, peer := range n.membership.GetVoters() {
 		state := n.progress[peer]
 		if peer == n.config.ID || state == nil {
 			continue
 		}
-		if state.match == n.log.lastIndex() && n.now-state.lastActive < n.patience() {
-			best = peer
+		if state.match == n.log.lastIndex() && n.now-state.lastActive < n.activeElectionTimeout() {
+			target = peer
 		}
 	}
-	if best == None {
+	if target == None {
 		return false
 	}
-	n.transferTo = best
+	n.transferTo = target
 	n.lease = newLease()
-	n.send(&wirepb.RaftMessage{Type: wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_TIMEOUT_NOW, To: best})
+	n.send(&wirepb.RaftMessage{Type: wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_TIMEOUT_NOW, To: target})
 	return true
 }
--- a/internal/raft/election_bench_test.go
+++ b/internal/raft/election_bench_test.go
@@ -11,9 +11,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// electionTime returns how long, in virtual time, three members are without a
-// lease after their leader is lost. Messages take no time, so that the network's
-// round trips come on top.
+// electionTime returns the virtual time that three members are without a lease after the leader is
+// lost. Message delivery takes no time.
 func electionTime(tb testing.TB, seed uint64) time.Duration {
 	random := rand.New(rand.NewPCG(seed, 0))
 	c := &cluster{
@@ -45,8 +44,8 @@
 	}
 }
 
-// BenchmarkElection reports how long a lost leader is missed, in virtual time,
-// with the default election timeout of a second.
+// BenchmarkElection reports the time without a lease after the leader is lost, in virtual time,
+// with an election timeout of one second.
 func BenchmarkElection(b *testing.B) {
 	var times []time.Duration
 	for b.Loop() {
--- a/internal/raft/patience_test.go
+++ b/internal/raft/electiontimeout_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// TestPatience tables how long followers are asked to wait.
-func TestPatience(t *testing.T) {
+func TestElectionTimeoutFor(t *testing.T) {
 	const ms = time.Millisecond
 	config := &Config{ElectionTimeout: 400 * ms, HeartbeatInterval: 80 * ms}
 	for _, test := range []struct {
@@ -20,15 +19,15 @@
 		{roundTrip: 60 * ms, asked: 600 * ms, wanted: 500 * ms},
 		{roundTrip: time.Second, asked: 400 * ms, wanted: 800 * ms},
 	} {
-		if got := config.patienceFor(test.roundTrip, test.asked); got != test.wanted {
-			t.Errorf("round trip %s, asked for %s before: %s, not %s", test.roundTrip, test.asked, got, test.wanted)
+		if got := config.electionTimeoutFor(test.roundTrip, test.asked); got != test.wanted {
+			t.Errorf("round trip %s, current timeout %s: got %s, want %s", test.roundTrip, test.asked, got, test.wanted)
 		}
 	}
 }
 
-// TestPromiseOutlivesARestart: what was promised for longer than the settings say binds a node
-// that has started anew.
-func TestPromiseOutlivesARestart(t *testing.T) {
+// TestPromiseOutlivesRestart checks that a promise longer than the configured timeout binds a
+// restarted node.
+func TestPromiseOutlivesRestart(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	config := Config{
 		ID: 1, ElectionTimeout: timeout, HeartbeatInterval: timeout / 5, LeaseMargin: timeout / 5,
@@ -39,10 +38,10 @@
 		t.Fatal(err)
 	}
 	before := node.HardState()
-	node.hearAsked(timeout + timeout/2)
-	node.hearAsked(timeout)
-	if stored := node.HardState(); samePromises(before, stored) {
-		t.Error("a longer promise need not be stored")
+	node.acceptTimeout(timeout + timeout/2)
+	node.acceptTimeout(timeout)
+	if stored := node.HardState(); sameExceptCommit(before, stored) {
+		t.Error("a longer promise does not change the state to store")
 	}
 	restarted, err := New(config, Stored{HardState: node.HardState()}, 0, nil)
 	if err != nil {
@@ -50,10 +49,10 @@
 	}
 	restarted.advanceClock(timeout + timeout/4)
 	if !restarted.promisedToLeader(None) {
-		t.Error("a restart has shortened a promise")
+		t.Error("the restarted node is free to vote before its promise ends")
 	}
 	restarted.advanceClock(timeout + timeout/2)
 	if restarted.promisedToLeader(None) {
-		t.Error("a promise does not end")
+		t.Error("the promise does not end")
 	}
 }
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-const maxRoundsKept = 64
+const maxTrackedRounds = 64
 
-// lease remembers when heartbeat rounds were sent, which of them each voter has answered, and
-// until when each has promised to elect no other leader.
+// lease tracks the heartbeat rounds sent, the latest round that each voter has answered, and the
+// end of each voter's promise.
 type lease struct {
-	round    uint64
-	sentAt   map[uint64]time.Duration
-	answered map[uint64]uint64
-	promised map[uint64]time.Duration
-	// until is the time up to which a quorum has promised.
+	round          uint64
+	sentAt         map[uint64]time.Duration
+	answeredRounds map[uint64]uint64
+	promisedUntil  map[uint64]time.Duration
+	// until is the end of the promises of a quorum; held is set once there is one.
 	until time.Duration
 	held  bool
 }
 
 func newLease() lease {
-	return lease{sentAt: map[uint64]time.Duration{}, answered: map[uint64]uint64{}, promised: map[uint64]time.Duration{}}
+	return lease{sentAt: map[uint64]time.Duration{}, answeredRounds: map[uint64]uint64{}, promisedUntil: map[uint64]time.Duration{}}
 }
 
 func (l *lease) nextRound(now time.Duration) uint64 {
 	l.round++
 	l.sentAt[l.round] = now
-	delete(l.sentAt, l.round-maxRoundsKept)
+	delete(l.sentAt, l.round-maxTrackedRounds)
 	return l.round
 }
 
-// answer records a voter's reply and what it promised with it. The promise counts from when the
-// round was sent, because the voter's began no earlier than that. The leader itself elects no
-// other while it leads.
-func (l *lease) answer(voter, round uint64, promise time.Duration, voters []uint64, self uint64, quorum int) {
-	if l.answered == nil || round <= l.answered[voter] {
+// recordReply records a voter's reply and the promise in it. The promise is counted from when the
+// round was sent, because the voter's own period started no earlier. The leader itself votes for no
+// other node while it leads.
+func (l *lease) recordReply(voter, round uint64, promise time.Duration, voters []uint64, self uint64, quorum int) {
+	if l.answeredRounds == nil || round <= l.answeredRounds[voter] {
 		return
 	}
-	l.answered[voter] = round
-	sent, known := l.sentAt[round]
+	l.answeredRounds[voter] = round
+	sentAt, known := l.sentAt[round]
 	if !known {
 		return
 	}
-	l.promised[voter] = max(l.promised[voter], sent+promise)
-	until := make([]time.Duration, 0, len(voters))
+	l.promisedUntil[voter] = max(l.promisedUntil[voter], sentAt+promise)
+	ends := make([]time.Duration, 0, len(voters))
 	for _, peer := range voters {
 		if peer == self {
-			until = append(until, math.MaxInt64)
+			ends = append(ends, math.MaxInt64)
 		} else {
-			until = append(until, l.promised[peer])
+			ends = append(ends, l.promisedUntil[peer])
 		}
 	}
-	slices.Sort(until)
-	agreed := until[len(until)-quorum]
-	if agreed == math.MaxInt64 {
-		return // The only voter: nobody's promise holds once there are others.
+	slices.Sort(ends)
+	quorumUntil := ends[len(ends)-quorum]
+	if quorumUntil == math.MaxInt64 {
+		return // The only voter: no promise of another node backs the lease.
 	}
-	if agreed > l.until {
-		l.until, l.held = agreed, true
+	if quorumUntil > l.until {
+		l.until, l.held = quorumUntil, true
 	}
 }
 
@@ -75,7 +75,7 @@
 	return n.lease.until - n.config.LeaseMargin
 }
 
-// LeaseValid advances the clock and reports whether the lease is held then.
+// LeaseValid advances the clock to now and reports whether the lease is held.
 func (n *Node) LeaseValid(now time.Duration) bool {
 	n.advanceClock(now)
 	return n.Status().LeaseHeld(n.now)
--- a/internal/raft/links_test.go
+++ b/internal/raft/links_test.go
@@ -11,23 +11,23 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// links are connections between members that take time. As over TCP, nothing is lost and what one
-// member sends to another arrives in order: a packet that the network loses comes after a
-// retransmission, and holds up what follows.
+// links simulates TCP connections with latency: messages between two members arrive in order, and a
+// lost packet delays the messages behind it by a retransmission.
 type links struct {
 	*cluster
 	random *rand.Rand
-	// delay is one way, jitter what it varies by; loss is the share of packets lost.
+	// delay is the one-way latency, jitter the maximum random addition; loss is the fraction of
+	// packets lost.
 	delay, jitter time.Duration
 	loss          float64
-	// retransmit is what the loss of a packet takes beside a round trip.
+	// retransmit is the delay of a lost packet beyond a round trip.
 	retransmit time.Duration
-	// arrives is when the newest message of a pair arrives.
+	// arrives holds the arrival time of the latest message of each pair.
 	arrives map[[2]uint64]time.Duration
 	queue   []delayed
-	// step is how finely time passes.
+	// step is the resolution of the simulated clock.
 	step time.Duration
-	// stopped are members that are suspended.
+	// stopped holds the suspended members.
 	stopped map[uint64]bool
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// config is that of a deployment whose links take a millisecond.
+// config returns the configuration of a deployment with links of about a millisecond.
 func (l *links) config(id uint64, timeout time.Duration) raft.Config {
 	return raft.Config{
 		ID: id, ElectionTimeout: timeout, ElectionSpread: timeout / 2, HeartbeatInterval: 80 * time.Millisecond,
@@ -55,9 +55,9 @@
 	}
 }
 
-// post puts what was sent on its way.
-func (l *links) post() {
-	for _, message := range l.mail {
+// enqueue schedules the delivery of sent messages.
+func (l *links) enqueue() {
+	for _, message := range l.pending {
 		pair := [2]uint64{message.GetFrom(), message.GetTo()}
 		took := l.delay
 		if l.jitter > 0 {
@@ -69,12 +69,12 @@
 		l.arrives[pair] = max(l.arrives[pair], l.now+took)
 		l.queue = append(l.queue, delayed{at: l.arrives[pair], message: message})
 	}
-	l.mail = nil
+	l.pending = nil
 }
 
-// run lets time pass and calls look at each step.
-func (l *links) run(span time.Duration, look func()) {
-	l.post()
+// run advances the clock and calls observe after each step.
+func (l *links) run(span time.Duration, observe func()) {
+	l.enqueue()
 	for end := l.now + span; l.now < end; {
 		l.now += l.step
 		queue := l.queue
@@ -95,54 +95,55 @@
 				l.process(id)
 			}
 		}
-		l.post()
-		look()
+		l.enqueue()
+		observe()
 	}
 }
 
-// leased returns the members that hold the lease.
-func (l *links) leased() []uint64 {
-	var leased []uint64
+// leaseHolders returns the members that hold the lease.
+func (l *links) leaseHolders() []uint64 {
+	var holders []uint64
 	for _, id := range l.ids() {
 		if l.members[id].Raft.LeaseValid(l.now) {
-			leased = append(leased, id)
+			holders = append(holders, id)
 		}
 	}
-	return leased
+	return holders
 }
 
-// course is what a time in which nobody failed was like.
-type course struct {
-	// without is for how long nobody held the lease; terms is how many leaders there were.
+// leaseStats summarizes a run without failures.
+type leaseStats struct {
+	// withoutLease is the total time in which no member held the lease; terms is the number of
+	// terms that began.
 	without time.Duration
 	terms   uint64
 }
 
-func (l *links) quietCourse(span time.Duration) course {
+func (l *links) runUndisturbed(span time.Duration) leaseStats {
 	l.run(5*time.Second, func() {})
-	var found course
-	before := l.members[1].Raft.Status().Term
+	var stats leaseStats
+	firstTerm := l.members[1].Raft.Status().Term
 	l.run(span, func() {
-		if len(l.leased()) == 0 {
-			found.without += l.step
+		if len(l.leaseHolders()) == 0 {
+			stats.without += l.step
 		}
 	})
-	found.terms = l.members[1].Raft.Status().Term - before
-	return found
+	stats.terms = l.members[1].Raft.Status().Term - firstTerm
+	return stats
 }
 
-// TestLeaseHoldsOverLongLinks: with timeouts made for links of a millisecond, a packet lost between
-// regions would cost the leader its lease, and the followers their leader.
+// TestLeaseHoldsOverLongLinks checks that latency and packet loss between regions do not cost the
+// leader its lease with timeouts set for short links.
 func TestLeaseHoldsOverLongLinks(t *testing.T) {
 	const span = 60 * time.Second
 	for _, test := range []struct {
 		name          string
 		delay, jitter time.Duration
 		loss          float64
-		// without is for how long at most nobody may hold the lease, in each of the courses.
+		// without bounds the time without a lease per run.
 		without time.Duration
 		courses int
-		// elections are those that may come about in all courses.
+		// elections bounds the elections over all runs.
 		elections uint64
 	}{
 		{name: "30 ms", delay: 30 * time.Millisecond, courses: 5},
@@ -153,25 +154,26 @@
 		{name: "100 ms with jitter and loss", delay: 100 * time.Millisecond, jitter: 50 * time.Millisecond, loss: 0.03, without: 250 * time.Millisecond, courses: 20, elections: 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var total course
+			var total leaseStats
 			for seed := range uint64(test.courses) {
 				l := newLinks(t, seed, test.delay, test.jitter, test.loss)
 				for id := range uint64(5) {
 					l.startWith(id+1, l.config(id+1, 400*time.Millisecond))
 				}
-				found := l.quietCourse(span)
-				total.without += found.without
-				total.terms += found.terms
+				stats := l.runUndisturbed(span)
+				total.without += stats.without
+				total.terms += stats.terms
 			}
 			if total.without > time.Duration(test.courses)*test.without || total.terms > test.elections {
-				t.Errorf("in %d courses of %s: %s without a lease, %d elections", test.courses, span, total.without, total.terms)
+				t.Errorf("in %d runs of %s: %s without a lease, %d elections", test.courses, span, total.without, total.terms)
 			}
 		})
 	}
 }
 
-// TestShortLinksKeepTheSettings: whoever loses a leader misses it for as long as the timeout.
-func TestShortLinksKeepTheSettings(t *testing.T) {
+// TestElectionTimeoutFollowsRoundTrip checks that the election timeout stays as configured over
+// short links, and grows within bounds over long ones.
+func TestElectionTimeoutFollowsRoundTrip(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	for _, test := range []struct {
 		delay, least, most time.Duration
@@ -186,31 +188,29 @@
 			l.startWith(id+1, l.config(id+1, timeout))
 		}
 		l.run(10*time.Second, func() {})
-		longest := time.Duration(0)
+		timeoutInForce := time.Duration(0)
 		for _, id := range l.ids() {
-			longest = max(longest, l.members[id].Raft.Status().ElectionTimeout)
+			timeoutInForce = max(timeoutInForce, l.members[id].Raft.Status().ElectionTimeout)
 		}
-		if longest < test.least || longest > test.most {
-			t.Errorf("links of %s: the election timeout is %s", test.delay, longest)
+		if timeoutInForce < test.least || timeoutInForce > test.most {
+			t.Errorf("links of %s: election timeout %s", test.delay, timeoutInForce)
 		}
 	}
 }
 
-// TestLostLeadersAreFollowedSoon: patience is paid for with the time in which nobody leads after
-// a leader is lost.
-func TestLostLeadersAreFollowedSoon(t *testing.T) {
+// TestLostLeaderIsReplacedSoon bounds the median time without a lease after the leader is lost.
+func TestLostLeaderIsReplacedSoon(t *testing.T) {
 	for _, test := range []struct {
-		delay time.Duration
-		loss  float64
-		// half of the courses take no longer than this.
-		half time.Duration
+		delay  time.Duration
+		loss   float64
+		median time.Duration
 	}{
-		{delay: time.Millisecond, half: 450 * time.Millisecond},
-		{delay: time.Millisecond, loss: 0.03, half: 500 * time.Millisecond},
-		{delay: 30 * time.Millisecond, half: 850 * time.Millisecond},
-		{delay: 30 * time.Millisecond, loss: 0.03, half: 950 * time.Millisecond},
+		{delay: time.Millisecond, median: 450 * time.Millisecond},
+		{delay: time.Millisecond, loss: 0.03, median: 500 * time.Millisecond},
+		{delay: 30 * time.Millisecond, median: 850 * time.Millisecond},
+		{delay: 30 * time.Millisecond, loss: 0.03, median: 950 * time.Millisecond},
 	} {
-		var took []time.Duration
+		var recoveries []time.Duration
 		for seed := range uint64(31) {
 			l := newLinks(t, seed, test.delay, test.delay/2, test.loss)
 			l.step = 2 * time.Millisecond
@@ -218,31 +218,31 @@
 				l.startWith(id+1, l.config(id+1, 400*time.Millisecond))
 			}
 			l.run(6*time.Second, func() {})
-			leased := l.leased()
-			if len(leased) != 1 {
-				t.Fatalf("links of %s, seed %d: %v hold the lease", test.delay, seed, leased)
+			holders := l.leaseHolders()
+			if len(holders) != 1 {
+				t.Fatalf("links of %s, seed %d: lease held by %v, want one member", test.delay, seed, holders)
 			}
-			delete(l.members, leased[0])
-			lost, followed := l.now, 5*time.Second
-			l.run(followed, func() {
-				if len(l.leased()) > 0 {
-					followed = min(followed, l.now-lost)
+			delete(l.members, holders[0])
+			lostAt, recovery := l.now, 5*time.Second
+			l.run(recovery, func() {
+				if len(l.leaseHolders()) > 0 {
+					recovery = min(recovery, l.now-lostAt)
 				}
 			})
-			took = append(took, followed)
+			recoveries = append(recoveries, recovery)
 		}
-		slices.Sort(took)
-		if half := took[len(took)/2]; half > test.half {
-			t.Errorf("links of %s, loss %.2f: half of the leaders are followed after %s only", test.delay, test.loss, half)
+		slices.Sort(recoveries)
+		if median := recoveries[len(recoveries)/2]; median > test.median {
+			t.Errorf("links of %s, loss %.2f: median time without a lease is %s", test.delay, test.loss, median)
 		}
 	}
 }
 
-// TestFirstElectionOverLongLinks: all members start at a time, and stood before they heard of each
-// other: most first elections split the votes.
+// TestFirstElectionOverLongLinks checks that members started together seldom split the votes of the
+// first election.
 func TestFirstElectionOverLongLinks(t *testing.T) {
 	const courses, most = 40, 800 * time.Millisecond
-	late := 0
+	lateElections := 0
 	for seed := range uint64(courses) {
 		l := newLinks(t, seed, 30*time.Millisecond, 15*time.Millisecond, 0)
 		l.step = 2 * time.Millisecond
@@ -250,19 +250,19 @@
 			l.startWith(id+1, l.config(id+1, 400*time.Millisecond))
 		}
 		led := false
-		l.run(most, func() { led = led || len(l.leased()) > 0 })
+		l.run(most, func() { led = led || len(l.leaseHolders()) > 0 })
 		if !led {
-			late++
+			lateElections++
 		}
 	}
-	if late > courses/10 {
-		t.Errorf("%d first elections of %d took longer than %s", late, courses, most)
+	if lateElections > courses/10 {
+		t.Errorf("%d of %d first elections took longer than %s", lateElections, courses, most)
 	}
 }
 
-// TestTwoLeadersNeverHoldTheLease: members with different settings, over links of changing
-// length, are cut off, suspended, and killed with all that is not stored.
-func TestTwoLeadersNeverHoldTheLease(t *testing.T) {
+// TestAtMostOneLeaseHolder runs members with different settings over links of changing latency, and
+// partitions, suspends and crashes them at random.
+func TestAtMostOneLeaseHolder(t *testing.T) {
 	for seed := range uint64(60) {
 		l := newLinks(t, seed, time.Millisecond, 0, 0.02)
 		configs := map[uint64]raft.Config{}
@@ -271,29 +271,29 @@
 			configs[id] = l.config(id, timeout)
 			l.startWith(id, configs[id])
 		}
-		led := time.Duration(0)
+		heldFor := time.Duration(0)
 		for range 60 {
 			l.run(400*time.Millisecond, func() {
-				leased := l.leased()
-				if len(leased) > 1 {
-					t.Fatalf("seed %d, at %s: %v hold the lease", seed, l.now, leased)
+				holders := l.leaseHolders()
+				if len(holders) > 1 {
+					t.Fatalf("seed %d, at %s: lease held by %v", seed, l.now, holders)
 				}
-				led += time.Duration(len(leased)) * l.step
+				heldFor += time.Duration(len(holders)) * l.step
 			})
 			l.disturb(configs)
 		}
-		if led < 5*time.Second {
-			t.Errorf("seed %d: somebody held the lease for %s only", seed, led)
+		if heldFor < 5*time.Second {
+			t.Errorf("seed %d: lease held for only %s", seed, heldFor)
 		}
 	}
 }
 
-// disturb changes one thing by chance, most often at the member that leads. What was disturbed
-// before is well again, so that a quorum is left.
+// disturb injects one random fault, most often at the leader, and heals the previous one so that a
+// quorum remains.
 func (l *links) disturb(configs map[uint64]raft.Config) {
 	victim := 1 + l.random.Uint64N(5)
-	if leased := l.leased(); len(leased) > 0 && l.random.IntN(2) == 0 {
-		victim = leased[0]
+	if holders := l.leaseHolders(); len(holders) > 0 && l.random.IntN(2) == 0 {
+		victim = holders[0]
 	}
 	clear(l.cut)
 	clear(l.stopped)
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -2,10 +2,10 @@
 
 import "github.com/weldline/weldline/internal/wire/wirepb"
 
-// entryLog holds the entries after the newest snapshot.
+// entryLog holds the log entries after the latest snapshot.
 //
-// Invariant: entries[i] has index offset+1+i; applied <= committed <= last;
-// entries up to stable are durable.
+// Invariant: entries[i] has index offset+1+i; applied <= committed <= lastIndex; entries up to
+// stable are durable.
 type entryLog struct {
 	offset     uint64
 	offsetTerm uint64
@@ -31,7 +31,7 @@
 	return l.term(l.lastIndex())
 }
 
-// term returns the term at index, or 0 where it is not known.
+// term returns the term of the entry at index, or 0 if it is not known.
 func (l *entryLog) term(index uint64) uint64 {
 	switch {
 	case index == l.offset:
@@ -42,10 +42,10 @@
 	return l.entries[index-l.offset-1].GetTerm()
 }
 
-// matches reports whether the log holds an entry of that index and term.
+// matches reports whether the log contains an entry with the index and term.
 func (l *entryLog) matches(index, term uint64) bool {
 	if index < l.offset {
-		return true // Covered by the snapshot, hence committed and equal.
+		return true // Covered by the snapshot, hence committed.
 	}
 	return index <= l.lastIndex() && l.term(index) == term
 }
@@ -54,21 +54,20 @@
 	return term > l.lastTerm() || (term == l.lastTerm() && index >= l.lastIndex())
 }
 
-// slice returns up to limit entries from index on.
+// slice returns up to limit entries starting at from.
 func (l *entryLog) slice(from uint64, limit int) []*wirepb.Entry {
 	if from <= l.offset || from > l.lastIndex() {
 		return nil
 	}
-	held := l.entries[from-l.offset-1:]
-	if len(held) > limit {
-		held = held[:limit]
+	available := l.entries[from-l.offset-1:]
+	if len(available) > limit {
+		available = available[:limit]
 	}
-	return held
+	return available
 }
 
-// merge appends entries from a leader. Entries that are already held are
-// skipped; at the first that differs, the rest of the log is replaced.
-// Committed entries never differ, by the election rule.
+// merge adds entries from a leader. It skips entries that are already present and replaces the log
+// from the first that conflicts. Committed entries never conflict.
 func (l *entryLog) merge(entries []*wirepb.Entry) {
 	for position, entry := range entries {
 		index := entry.GetIndex()
@@ -76,8 +75,8 @@
 			continue
 		}
 		kept := l.entries[:index-l.offset-1]
-		// The full slice expression forces a copy: the old tail may still be
-		// in a Ready that the driver is writing.
+		// The full slice expression forces a copy: the old tail may be in a Ready that the driver
+		// is writing.
 		l.entries = append(kept[:len(kept):len(kept)], entries[position:]...)
 		if l.stable >= index {
 			l.stable = index - 1
@@ -97,15 +96,14 @@
 	return l.entries[l.stable-l.offset:]
 }
 
-// stableTo records durable entries, unless they have been replaced since.
+// stableTo marks entries up to index as durable unless they have been replaced since.
 func (l *entryLog) stableTo(index, term uint64) {
 	if index > l.stable && l.term(index) == term {
 		l.stable = index
 	}
 }
 
-// unapplied returns committed entries that are durable here: an entry is
-// applied only once this node can't forget it.
+// unapplied returns the committed entries that have not been applied.
 func (l *entryLog) unapplied() []*wirepb.Entry {
 	upTo := min(l.committed, l.lastIndex())
 	if upTo <= l.applied {
@@ -125,7 +123,7 @@
 		return
 	}
 	term := l.term(index)
-	// Copied, so that the forgotten entries can be collected.
+	// Copied so that the discarded entries can be garbage-collected.
 	l.entries = append([]*wirepb.Entry(nil), l.entries[index-l.offset:]...)
 	l.offset = index
 	l.offsetTerm = term
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -18,22 +18,20 @@
 	return slices.Contains(n.membership.GetVoters(), id)
 }
 
-// peers returns all other members, voters first.
 func (n *Node) peers() []uint64 {
 	all := slices.Concat(n.membership.GetVoters(), n.membership.GetLearners())
 	return slices.DeleteFunc(all, func(id uint64) bool { return id == n.config.ID })
 }
 
-// ProposeMembership proposes the next membership as leader. It may add or
-// remove at most one voter, because quorums of sets that differ by one always
-// meet; and an earlier change must have been applied.
+// ProposeMembership proposes a new membership as leader. It may add or remove at most one voter, so
+// that quorums before and after overlap, and the previous change must have been applied.
 func (n *Node) ProposeMembership(now time.Duration, next *wirepb.Membership) error {
 	n.advanceClock(now)
 	if n.role != Leader || n.transferTo != None {
 		return fault.Unavailable.New("not the leader")
 	}
 	if n.pendingMembership > n.log.applied {
-		return fault.Conflict.New("an earlier membership change is not applied yet")
+		return fault.Conflict.New("the previous membership change is not applied yet")
 	}
 	if len(next.GetVoters()) == 0 {
 		return fault.InvalidField("voters", "a membership needs at least one voter")
@@ -68,7 +66,7 @@
 func (n *Node) applyMembership(entry *wirepb.Entry) {
 	next := &wirepb.Membership{}
 	if err := proto.Unmarshal(entry.GetData(), next); err != nil {
-		return // Proposed only by ProposeMembership, which encoded it.
+		return // Not reached: ProposeMembership encoded it.
 	}
 	n.membership = next
 	if n.role != Leader {
@@ -82,7 +80,7 @@
 	n.maybeCommit()
 }
 
-// syncProgress makes the leader's records match the membership.
+// syncProgress adds and removes progress records to match the membership.
 func (n *Node) syncProgress() {
 	members := slices.Concat(n.membership.GetVoters(), n.membership.GetLearners())
 	for id := range n.progress {
@@ -100,7 +98,7 @@
 	}
 }
 
-// PeerState is a leader's view of one member.
+// PeerState is the leader's view of a peer.
 type PeerState struct {
 	Match  uint64
 	Silent time.Duration
--- a/internal/raft/promise_test.go
+++ b/internal/raft/promise_test.go
@@ -7,9 +7,9 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestPromiseOutlivesAShorterSetting: a leader counts on what was promised under the settings of
-// then; a follower that starts anew with a shorter election timeout is bound by that.
-func TestPromiseOutlivesAShorterSetting(t *testing.T) {
+// TestPromiseOutlivesShorterSetting checks that a promise made under a longer election timeout
+// binds a node restarted with a shorter one.
+func TestPromiseOutlivesShorterSetting(t *testing.T) {
 	const long, short = 800 * time.Millisecond, 400 * time.Millisecond
 	config := Config{
 		ID: 1, ElectionTimeout: long, HeartbeatInterval: short / 5, LeaseMargin: short / 5,
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	node.hearAsked(long)
+	node.acceptTimeout(long)
 	config.ElectionTimeout = short
 	restarted, err := New(config, Stored{HardState: node.HardState()}, 0, nil)
 	if err != nil {
@@ -27,17 +27,17 @@
 	}
 	restarted.advanceClock(long - 1)
 	if !restarted.promisedToLeader(None) {
-		t.Error("a shorter setting has shortened a promise")
+		t.Error("the node is free to vote before its promise ends")
 	}
 	restarted.advanceClock(long)
 	if restarted.promisedToLeader(None) {
-		t.Error("a promise does not end")
+		t.Error("the promise does not end")
 	}
 }
 
-// TestPromiseOutlivesANewerTerm: a node that learns of a newer term by the way, and not from who
-// asks for its vote, is bound by its promise all the same; else two leaders hold the lease.
-func TestPromiseOutlivesANewerTerm(t *testing.T) {
+// TestPromiseOutlivesNewerTerm checks that a promise binds a node that learns of a newer term from
+// a message other than the vote request; otherwise two leaders could hold the lease.
+func TestPromiseOutlivesNewerTerm(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	config := Config{
 		ID: 2, ElectionTimeout: timeout, HeartbeatInterval: timeout / 5, LeaseMargin: timeout / 5,
@@ -62,24 +62,24 @@
 	granted(2*timeout, wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_HEARTBEAT, 1, 5, 1)
 	granted(2*timeout, wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_PRE_VOTE_REPLY, 3, 6, 0)
 	if term := node.Status().Term; term != 6 {
-		t.Fatalf("the term is %d", term)
+		t.Fatalf("term %d, want 6", term)
 	}
 	if granted(3*timeout-1, vote, 3, 6, 0) {
-		t.Error("a vote was given while a promise to another leader lasts")
+		t.Error("vote granted during a promise to another leader")
 	}
 	if !granted(3*timeout, vote, 3, 6, 0) {
-		t.Error("no vote was given once the promise is over")
+		t.Error("no vote granted after the promise ended")
 	}
 	granted(3*timeout, wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_HEARTBEAT, 3, 6, 1)
 	granted(3*timeout, wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_PRE_VOTE_REPLY, 1, 7, 0)
 	if !granted(3*timeout, vote, 1, 7, forcedElection) {
-		t.Error("no vote was given to whom the leader asked to stand")
+		t.Error("no vote granted in an election requested by the leader")
 	}
 }
 
-// TestPromiseOutlivesAShorterOne: a leader that asks for less patience than before still counts on
-// what was promised to it last.
-func TestPromiseOutlivesAShorterOne(t *testing.T) {
+// TestPromiseOutlivesShorterPromise checks that a later, shorter promise does not shorten an
+// earlier one.
+func TestPromiseOutlivesShorterPromise(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	config := Config{
 		ID: 2, ElectionTimeout: timeout, HeartbeatInterval: timeout / 5, LeaseMargin: timeout / 5,
@@ -96,10 +96,10 @@
 	}
 	node.advanceClock(3*timeout - 1)
 	if !node.promisedToLeader(None) {
-		t.Error("a shorter promise has shortened the one before")
+		t.Error("a shorter promise shortened an earlier one")
 	}
 	node.advanceClock(3 * timeout)
 	if node.promisedToLeader(None) {
-		t.Error("a promise does not end")
+		t.Error("the promise does not end")
 	}
 }
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -7,13 +7,12 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// None is the id of no node.
+// None is the ID of no node.
 const None uint64 = 0
 
-// Role is the part that a node plays in its term.
+// Role is a node's role in its current term.
 type Role int
 
-// The roles of a node.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -26,55 +25,50 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Config is fixed for the life of a node.
+// Config holds the parameters of a node.
 type Config struct {
-	// ID is the node's id, not None.
 	ID uint64
-	// ElectionTimeout is how long a follower waits for a leader, and promises not to help another,
-	// where links are short; see patience.go for long ones.
+	// ElectionTimeout is the minimum time without leader contact after which a follower starts an
+	// election. Over long links the leader requests a longer one.
 	ElectionTimeout time.Duration
-	// ElectionSpread is by how much more, at random, it waits, so that two
-	// seldom stand at once; 0 stands for ElectionTimeout.
-	ElectionSpread time.Duration
-	// HeartbeatInterval is how often a leader sends heartbeats.
+	// ElectionSpread is the maximum random addition to the election timeout; 0 means
+	// ElectionTimeout.
+	ElectionSpread    time.Duration
 	HeartbeatInterval time.Duration
-	// LeaseMargin is by how much the leader's lease ends before the
-	// followers' promise does.
-	LeaseMargin time.Duration
-	// MaxEntriesPerMessage bounds an append message.
+	// LeaseMargin is how much earlier the leader's lease ends than the followers' promises.
+	LeaseMargin          time.Duration
 	MaxEntriesPerMessage int
-	// MaxInflightMessages bounds unanswered append messages to one peer.
+	// MaxInflightMessages bounds the unacknowledged append messages to a peer.
 	MaxInflightMessages int
 	// Random returns a number in [0, n).
 	Random func(n int64) int64
 }
 
-// Stored is what a node finds in its storage when it starts.
+// Stored is the durable state that a node starts from.
 type Stored struct {
 	HardState *wirepb.HardState
-	// Snapshot is the position that the stored snapshot covers; nil if none.
+	// Snapshot describes the stored snapshot; nil if there is none.
 	Snapshot *wirepb.SnapshotMeta
-	// Entries follow the snapshot without a gap.
+	// Entries follow the snapshot without gaps.
 	Entries []*wirepb.Entry
-	// Membership is used where there is no snapshot.
+	// Membership is used if there is no snapshot.
 	Membership *wirepb.Membership
 }
 
-// Ready is what the driver must do; see the package documentation for the
-// order.
+// Ready is the outstanding work for the driver; the package documentation states the order.
 type Ready struct {
 	// HardState is nil if unchanged.
 	HardState *wirepb.HardState
-	// TermChanged is set where the term, the vote, the term led or the longest promise
-	// changed: these must be durable, while a lost commit index is learned again.
+	// TermChanged is set if any field of the hard state other than the commit index changed. Such a
+	// change must be durable before messages are sent; a lost commit index is learned again.
 	TermChanged bool
-	// Entries must be appended; they replace stored ones of the same index
-	// and all that follow those.
+	// Entries must be appended to the log. They replace stored entries of the same index and all
+	// that follow.
 	Entries []*wirepb.Entry
 	// Snapshot replaces the state machine and the stored log.
 	Snapshot *wirepb.Snapshot
 	Messages []*wirepb.RaftMessage
-	// Committed entries are to be applied in order.
+	// Committed entries must be applied in order.
 	Committed []*wirepb.Entry
 }
 
@@ -84,8 +78,7 @@
 		len(r.Messages) == 0 && len(r.Committed) == 0
 }
 
-// Node is one member of the replicated log. It is not safe for concurrent
-// use.
+// Node is a member of the replicated log. It is not safe for concurrent use.
 type Node struct {
 	config     Config
 	role       Role
@@ -96,54 +89,55 @@
 	membership *wirepb.Membership
 
 	now time.Duration
-	// lastContact is when this node last heard from a leader, or started.
+	// lastContact is the time of the last message from a leader, initially the start time.
 	lastContact time.Duration
-	// promise is for how long this node promises its leader not to help another, from each
-	// contact; promisedUntil is until when it is bound by any promise.
+	// promise is the length of the promise renewed by each leader contact; promisedUntil is the
+	// latest end of all promises made.
 	promise, promisedUntil time.Duration
-	// longestPromise is the longest ever made to a leader, 0 if none was; a restart has to
-	// assume it.
+	// longestPromise is the longest promise ever made, 0 if none; it binds the node after a
+	// restart.
 	longestPromise time.Duration
-	// asked is the length of the promise that this node, as leader, asks its followers for.
-	asked            time.Duration
-	electionDeadline time.Duration
-	heartbeatDue     time.Duration
-	// led is the newest term in which this node was leader.
-	led uint64
-	// released is the newest term up to which no leader holds a lease.
-	released uint64
-	// idle is the term up to which each other node leads nothing, as far as is
-	// known.
-	idle map[uint64]uint64
-	// probeDue is when a node without a leader asks for votes again.
-	probeDue time.Duration
-	// idleSince is since when all voters are known to be idle up to the term.
-	idleSince time.Duration
-
-	// gaveWay is set while this node has put off its election for another's.
-	gaveWay bool
-	// contact is what this node knows of whether the leader hears it.
-	contact  contact
-	votes    map[uint64]bool
-	progress map[uint64]*progress
-	lease    lease
-	// pendingMembership is the index of the newest membership entry that may
-	// not be applied yet; a second change must wait for it.
+	// requestedTimeout is the election timeout that this node, as leader, requests of its
+	// followers.
+	requestedTimeout  time.Duration
+	electionDeadline  time.Duration
+	heartbeatDeadline time.Duration
+	lastLedTerm       uint64
+	// releasedTerm is the latest term known to have no leader lease, nor any term before it.
+	releasedTerm uint64
+	// idleTerms holds, for each other node, the latest term that it is known not to lead, nor any
+	// term before it.
+	idleTerms map[uint64]uint64
+	// probeDeadline is when a node without a leader requests pre-votes again.
+	probeDeadline time.Duration
+	// allIdleSince is when all voters became known to be idle up to the current term.
+	allIdleSince time.Duration
+
+	// campaignDeferred is set once this node has deferred its election in favor of another
+	// candidate.
+	campaignDeferred bool
+	replyTracker     replyTracker
+	votes            map[uint64]bool
+	progress         map[uint64]*progress
+	lease            lease
+	// pendingMembership is the index of the latest membership entry, which must be applied before
+	// the next change.
 	pendingMembership uint64
 	transferTo        uint64
 
-	messages  []*wirepb.RaftMessage
-	persisted *wirepb.HardState
-	snapshot  *wirepb.Snapshot
-	// provider returns the newest snapshot for peers that are too far behind.
-	provider func() *wirepb.Snapshot
+	messages           []*wirepb.RaftMessage
+	persistedHardState *wirepb.HardState
+	snapshot           *wirepb.Snapshot
+	// snapshotProvider returns the latest durable snapshot, for peers whose next entry is
+	// compacted.
+	snapshotProvider func() *wirepb.Snapshot
 }
 
-// New returns a node in the follower role. The provider returns the newest
-// durable snapshot.
+// New returns a node in the follower role. The provider returns the latest durable snapshot, or
+// nil.
 func New(config Config, stored Stored, now time.Duration, provider func() *wirepb.Snapshot) (*Node, error) {
 	if config.ID == None {
-		return nil, fault.InvalidField("id", "a node's id must not be 0")
+		return nil, fault.InvalidField("id", "node ID must not be 0")
 	}
 	if config.LeaseMargin >= config.ElectionTimeout {
 		return nil, fault.InvalidField("leaseMargin", "must be shorter than the election timeout")
@@ -151,7 +145,7 @@
 	if config.ElectionSpread <= 0 {
 		config.ElectionSpread = config.ElectionTimeout
 	}
-	node := &Node{config: config, now: now, provider: provider, membership: stored.Membership, idle: map[uint64]uint64{}, idleSince: never}
+	node := &Node{config: config, now: now, snapshotProvider: provider, membership: stored.Membership, idleTerms: map[uint64]uint64{}, allIdleSince: unset}
 	if stored.Snapshot != nil {
 		node.membership = stored.Snapshot.GetMembership()
 	}
@@ -161,7 +155,7 @@
 	node.log = newEntryLog(stored.Snapshot, stored.Entries)
 	node.term = stored.HardState.GetTerm()
 	node.vote = stored.HardState.GetVote()
-	node.led = stored.HardState.GetLed()
+	node.lastLedTerm = stored.HardState.GetLed()
 	if commit := stored.HardState.GetCommit(); commit > node.log.committed {
 		if commit > node.log.lastIndex() {
 			return nil, fault.Corrupt.New("commit index %d is past the last stored entry %d", commit, node.log.lastIndex())
@@ -169,9 +163,9 @@
 		node.log.committed = commit
 	}
 	node.longestPromise = milliseconds(stored.HardState.GetPromiseMs())
-	node.persisted = node.hardState()
+	node.persistedHardState = node.hardState()
 	node.lastContact = now
-	node.asked, node.promise = config.ElectionTimeout, config.ElectionTimeout
+	node.requestedTimeout, node.promise = config.ElectionTimeout, config.ElectionTimeout
 	node.promisedUntil = now + max(config.ElectionTimeout, node.longestPromise)
 	node.releaseOwnLease()
 	node.becomeFollower(node.term, None)
@@ -180,10 +174,10 @@
 }
 
 func (n *Node) hardState() *wirepb.HardState {
-	return &wirepb.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed, Led: n.led, PromiseMs: n.storedPromise()}
+	return &wirepb.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed, Led: n.lastLedTerm, PromiseMs: n.storedPromise()}
 }
 
-// Tick advances time: it starts elections and sends heartbeats that are due.
+// Tick advances the clock, starts elections that are due and sends heartbeats that are due.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == Leader {
@@ -191,19 +185,19 @@
 		return
 	}
 	if !n.isVoter(n.config.ID) {
-		n.forgetSilentLeader()
+		n.clearSilentLeader()
 		return
 	}
 	if n.now >= n.electionDeadline {
 		n.campaign()
-	} else if n.now >= n.probeDue {
-		n.probe()
+	} else if n.now >= n.probeDeadline {
+		n.probeVoters()
 	}
 }
 
-// forgetSilentLeader is for a standby. A voter learns by standing for election that its leader is gone; a
-// standby would go on taking calls and machines' reports for one that nobody hears, and lose them.
-func (n *Node) forgetSilentLeader() {
+// clearSilentLeader clears the leader of a learner after the election timeout. A voter detects a
+// lost leader by starting an election; a learner would keep forwarding calls to it.
+func (n *Node) clearSilentLeader() {
 	if n.now >= n.electionDeadline {
 		n.leader = None
 	}
@@ -218,8 +212,8 @@
 // Step handles a message from another node.
 func (n *Node) Step(now time.Duration, message *wirepb.RaftMessage) {
 	n.advanceClock(now)
-	n.learnReleased(message.GetReleased())
-	n.learnIdle(message)
+	n.observeReleasedTerm(message.GetReleased())
+	n.observeIdleTerm(message)
 	if !n.checkTerm(message) {
 		return
 	}
@@ -243,17 +237,17 @@
 	}
 }
 
-// Ready returns the outstanding work. Until Advance is called, the same work
-// is returned again, with what has come since.
+// Ready returns the outstanding work. Until Advance is called, it returns the same work together
+// with any that has been added.
 func (n *Node) Ready() Ready {
 	ready := Ready{
 		Entries:  n.log.unstable(),
 		Snapshot: n.snapshot,
 		Messages: n.messages,
 	}
-	if current := n.hardState(); !sameHardState(current, n.persisted) {
+	if current := n.hardState(); !sameHardState(current, n.persistedHardState) {
 		ready.HardState = current
-		ready.TermChanged = !samePromises(current, n.persisted)
+		ready.TermChanged = !sameExceptCommit(current, n.persistedHardState)
 	}
 	if n.snapshot == nil {
 		ready.Committed = n.log.unapplied()
@@ -262,18 +256,18 @@
 }
 
 func sameHardState(left, right *wirepb.HardState) bool {
-	return samePromises(left, right) && left.GetCommit() == right.GetCommit()
+	return sameExceptCommit(left, right) && left.GetCommit() == right.GetCommit()
 }
 
-func samePromises(left, right *wirepb.HardState) bool {
+func sameExceptCommit(left, right *wirepb.HardState) bool {
 	return left.GetTerm() == right.GetTerm() && left.GetVote() == right.GetVote() && left.GetLed() == right.GetLed() &&
 		left.GetPromiseMs() == right.GetPromiseMs()
 }
 
-// Advance tells the node that a Ready has been carried out.
+// Advance confirms that the work in a Ready has been done.
 func (n *Node) Advance(ready Ready) {
 	if ready.HardState != nil {
-		n.persisted = ready.HardState
+		n.persistedHardState = ready.HardState
 	}
 	n.messages = n.messages[len(ready.Messages):]
 	if ready.Snapshot != nil && ready.Snapshot == n.snapshot {
@@ -284,72 +278,71 @@
 		n.log.stableTo(last.GetIndex(), last.GetTerm())
 	}
 	for _, entry := range ready.Committed {
-		n.applied(entry)
+		n.markApplied(entry)
 	}
 	if n.role == Leader && len(ready.Entries) > 0 {
 		n.acknowledgeOwnEntries()
 	}
 }
 
-func (n *Node) applied(entry *wirepb.Entry) {
+func (n *Node) markApplied(entry *wirepb.Entry) {
 	n.log.applied = entry.GetIndex()
 	if entry.GetKind() == wirepb.EntryKind_ENTRY_KIND_MEMBERSHIP {
 		n.applyMembership(entry)
 	}
 }
 
-// Compact forgets entries up to index, which a durable snapshot covers.
+// Compact discards the entries up to index, which must be covered by a durable snapshot.
 func (n *Node) Compact(index uint64) {
 	n.log.compact(index)
 }
 
-// EntriesAfterSnapshot returns the entries still held, for a fresh log file.
+// EntriesAfterSnapshot returns the entries that have not been compacted.
 func (n *Node) EntriesAfterSnapshot() []*wirepb.Entry {
 	return n.log.entries
 }
 
-// HardState returns the term, vote and commit index to store.
+// HardState returns the state that must be durable.
 func (n *Node) HardState() *wirepb.HardState {
 	return n.hardState()
 }
 
-// MetaAt describes a snapshot of everything up to index.
+// SnapshotMetaAt returns the metadata of a snapshot up to index.
 func (n *Node) MetaAt(index uint64) *wirepb.SnapshotMeta {
 	return &wirepb.SnapshotMeta{Index: index, Term: n.log.term(index), Membership: n.membership}
 }
 
-// Membership returns the members as applied; it must not be changed.
+// Membership returns the applied membership, which the caller must not modify.
 func (n *Node) Membership() *wirepb.Membership {
 	return n.membership
 }
 
-// Status is a view of a node for its driver, tests and operators.
+// Status is a point-in-time view of a node.
 type Status struct {
 	ID, Term, Leader         uint64
 	Role                     Role
 	Committed, Applied, Last uint64
 	Voters, Learners         []uint64
-	// LeaseUntil is when the leader's lease ends, 0 if it holds none.
+	// LeaseUntil is when the leader lease ends; 0 if the node holds none.
 	LeaseUntil time.Duration
-	// CommittedOwnTerm is set once a leader has committed an entry of its
-	// term, and so knows everything committed before.
+	// CommittedOwnTerm is set if the last committed entry is of the current term. A leader then
+	// knows every entry committed before its term.
 	CommittedOwnTerm bool
-	// FirstHeld is the index of the oldest entry still held.
+	// FirstIndex is the index of the first entry that is not compacted.
 	FirstHeld uint64
-	// LastContact is when the node last heard from a leader, or started.
+	// LastContact is the time of the last message from a leader, initially the start time.
 	LastContact time.Duration
-	// HeardUntil is until when a follower may take its leader to hear it; see contact.
+	// ReachableUntil is until when a follower may assume that its replies reach the leader.
 	HeardUntil time.Duration
-	// ElectionTimeout is for how long a leader asks its followers to elect no other, or a
-	// follower promises that.
+	// ElectionTimeout is the timeout in force: as leader the requested one, otherwise the promised
+	// one.
 	ElectionTimeout time.Duration
-	// LeaderHearsQuorum is whether a follower's leader heard a quorum lately, by its newest
-	// heartbeat.
+	// LeaderHasQuorum is whether the leader's latest heartbeat reported contact with a quorum.
 	LeaderHearsQuorum bool
 }
 
-// Heard reports whether the leader, this node or another, hears this node at now: what the node
-// says and acknowledges arrives. It is false where no leader is known.
+// ReachesLeader reports whether messages from this node reach the leader. It is false if no leader
+// is known and true on the leader itself.
 func (s Status) Heard(now time.Duration) bool {
 	switch s.Leader {
 	case None:
@@ -360,37 +353,35 @@
 	return now < s.HeardUntil
 }
 
-// Unheard reports whether a leader is known that hears others and not this node: the node gets
-// heartbeats and soft state, and the log does not reach it. A leader that hears nobody is at
-// fault itself, and no follower is better than another.
+// IsolatedFromLeader reports whether the leader has a quorum but does not receive this node's
+// replies. If the leader has no quorum, the fault is on its side, and switching to another follower
+// does not help.
 func (s Status) Unheard(now time.Duration) bool {
 	return s.Leader != None && s.LeaderHearsQuorum && !s.Heard(now)
 }
 
-// LeaseHeld reports whether the node may decide and answer reads at now: it
-// leads, has committed an entry of its term, and no other node can have been
-// elected yet.
+// LeaseHeld reports whether the node may make decisions and serve reads at now: it is leader, has
+// committed an entry of its term, and no other node can have been elected yet.
 func (s Status) LeaseHeld(now time.Duration) bool {
 	return s.Role == Leader && s.CommittedOwnTerm && now < s.LeaseUntil
 }
 
-// LeadsIn reports whether the node leads in a term, with or without the lease. A leader that is
-// frozen, or short of processor, may lose its lease for a moment and get it again. It decides
-// nothing meanwhile, but no other can have led in its term: what it has learned in it, and the
-// numbers that it has given out, go on.
+// LeadsIn reports whether the node is leader in a term, with or without the lease. A leader that
+// loses its lease briefly and regains it in the same term can keep its in-memory state, since no
+// other node can have been leader in between.
 func (s Status) LeadsIn(term uint64) bool {
 	return s.Role == Leader && s.Term == term
 }
 
-// Status returns the node's present state.
+// Status returns the node's current status.
 func (n *Node) Status() Status {
 	return Status{
 		ID: n.config.ID, Term: n.term, Leader: n.leader, Role: n.role,
 		Committed: n.log.committed, Applied: n.log.applied, Last: n.log.lastIndex(),
 		Voters: n.membership.GetVoters(), Learners: n.membership.GetLearners(),
 		LeaseUntil: n.leaseUntil(), CommittedOwnTerm: n.log.term(n.log.committed) == n.term, FirstHeld: n.log.offset + 1,
-		LastContact: n.lastContact, HeardUntil: n.heardUntil(), LeaderHearsQuorum: n.contact.quorumHeard,
-		ElectionTimeout: n.patience(),
+		LastContact: n.lastContact, HeardUntil: n.reachableUntil(), LeaderHearsQuorum: n.replyTracker.leaderHasQuorum,
+		ElectionTimeout: n.activeElectionTimeout(),
 	}
 }
 
--- a/internal/raft/release.go
+++ b/internal/raft/release.go
@@ -7,160 +7,152 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// A node that was leader of its term and has started anew holds no lease, and
-// nobody else can hold one of that term or of an earlier one: it was elected by
-// a quorum, each of whom had kept its promise to the leader before. Once it says
-// so, the promises that voters made to leaders up to that term bind nobody, and
-// another election need not wait for them.
+// A restarted node that was leader of its current term holds no lease, and no other node can hold
+// one of that term or an earlier one. It announces the term as released, which frees voters from
+// promises made in terms up to it, so that the next election need not wait for them.
 
 const (
-	// releasedWaitShare is the part of the election timeout that a node waits
-	// before it stands for election where no lease is left: long enough for the
-	// votes of the one before, short beside the promise that need not be kept.
-	releasedWaitShare = 8
-	// successorWaits is how many such parts a node waits longer that was not the
-	// leader: the one that was has every committed entry, and stands first.
-	successorWaits = 2
+	// releasedDelayDivisor is the election timeout divided by the election delay in a released
+	// term.
+	releasedDelayDivisor = 8
+	// nonLeaderDelayFactor is the additional delay, in multiples, of nodes other than the last
+	// leader, which has every committed entry and campaigns first.
+	nonLeaderDelayFactor = 2
 )
 
-// releaseOwnLease notes, as a node starts, that it was leader of its present
-// term.
+// releaseOwnLease marks the current term as released if this node was its leader before the
+// restart.
 func (n *Node) releaseOwnLease() {
-	if n.led != None && n.led == n.term {
-		n.released = n.term
+	if n.lastLedTerm != None && n.lastLedTerm == n.term {
+		n.releasedTerm = n.term
 	}
 }
 
-// learnReleased takes note of a term up to which no lease is held. It holds for
-// good, so it does not matter how old the message is.
-func (n *Node) learnReleased(term uint64) {
-	if term <= n.released {
+// observeReleasedTerm records a term without a leader lease. This never changes, so late messages
+// are valid.
+func (n *Node) observeReleasedTerm(term uint64) {
+	if term <= n.releasedTerm {
 		return
 	}
-	n.released = term
-	if n.role == Follower && n.isReleased() {
+	n.releasedTerm = term
+	if n.role == Follower && n.isTermReleased() {
 		n.leader = None
 		n.resetElectionDeadline()
 	}
 }
 
-// isReleased reports whether no lease of a leader that this node may have made
-// a promise to is left: such a leader's term was not above this node's own.
-func (n *Node) isReleased() bool {
-	return n.released != None && n.term <= n.released
+// isTermReleased reports whether no lease remains of any leader to which this node may have made a
+// promise.
+func (n *Node) isTermReleased() bool {
+	return n.releasedTerm != None && n.term <= n.releasedTerm
 }
 
-// releasedWait is how long to wait for an election where no lease is left.
-func (n *Node) releasedWait() time.Duration {
-	wait := n.config.ElectionTimeout / releasedWaitShare
-	if n.led != n.term {
-		wait *= 1 + successorWaits
+// releasedElectionDelay returns the delay before an election in a released term.
+func (n *Node) releasedElectionDelay() time.Duration {
+	wait := n.config.ElectionTimeout / releasedDelayDivisor
+	if n.lastLedTerm != n.term {
+		wait *= 1 + nonLeaderDelayFactor
 	}
 	return wait + time.Duration(n.config.Random(int64(wait)))
 }
 
-// Where the leader itself does not come back (its disk may be lost), the others
-// can still find out that no lease is left. A node that is follower in a term will
-// never lead that term or an earlier one; this stays true, whenever it was said.
-// Once every other voter has said so, or is gone for good, no voter holds a lease
-// of the terms that all of them spoke of. The lease of a leader that is not among
-// these voters can't matter: it is a voter of a newer membership, which a quorum
-// holds, and that quorum refuses whoever lacks it. For that reason the knowledge
-// counts only for the votes of the node that has it, and others don't keep it.
+// If the leader does not return, the other voters can still establish that no lease remains. A node
+// that is a follower in a term never becomes leader of that term or an earlier one. Once every
+// other voter has reported this or has terminated, no voter holds a lease of those terms. A leader
+// outside the known voters belongs to a newer membership held by a quorum, which refuses to vote
+// for a node that lacks it. The knowledge therefore counts only for votes for the node that has it
+// and is not passed on.
 
-// probeShare is the part of the election timeout after which a node without a
-// leader asks the others whether they lead.
-const probeShare = 8
+// probeDelayDivisor is the election timeout divided by the delay after which a node without a
+// leader requests pre-votes.
+const probeDelayDivisor = 8
 
 const (
-	// rankShare is the part of the election timeout that the voters keep between
-	// them where no lease is left.
-	rankShare = 4
-	// gone is the term up to which a node leads nothing that has ended for good.
-	gone uint64 = math.MaxUint64
-	// never is a time that has not come.
-	never time.Duration = -1
+	// rankDelayDivisor is the election timeout divided by the delay between successive voters'
+	// campaigns where no lease remains.
+	rankDelayDivisor = 4
+	// terminated is the idle term of a node whose process has ended permanently.
+	terminated uint64 = math.MaxUint64
+	// unset stands for a time that has not been recorded.
+	unset time.Duration = -1
 )
 
 func (n *Node) scheduleProbe() {
-	wait := n.config.ElectionTimeout / probeShare
-	n.probeDue = n.now + wait + time.Duration(n.config.Random(int64(wait)))
+	wait := n.config.ElectionTimeout / probeDelayDivisor
+	n.probeDeadline = n.now + wait + time.Duration(n.config.Random(int64(wait)))
 }
 
-// probe asks for votes before the election is due. Nobody who may be bound by a
-// promise grants one, but all say whether they lead.
-func (n *Node) probe() {
+// probeVoters requests pre-votes before the election timeout. Voters bound by a promise refuse, but
+// every reply reports the voter's idle term.
+func (n *Node) probeVoters() {
 	n.scheduleProbe()
-	if n.leader != None || n.role == Candidate || n.hasUnappliedMembership() || !n.mayGoFirst() {
+	if n.leader != None || n.role == Candidate || n.hasUnappliedMembership() || !n.mayCampaignEarly() {
 		return
 	}
-	n.askForPreVotes()
+	n.requestPreVotes()
 }
 
-// mayGoFirst reports whether this node may stand before an election is due. Where
-// no lease is left, all voters find out at about the same time; two that stood at
-// once would split the votes and lose an election timeout. So one goes first: the
-// leader that released its lease, or else the voter with the lowest id of those
-// that are there; the others follow at intervals.
-func (n *Node) mayGoFirst() bool {
-	if n.isReleased() {
-		return n.led == n.term
+// mayCampaignEarly reports whether this node may campaign before the election timeout. Voters learn
+// at about the same time that no lease remains; to avoid split votes, the leader that released its
+// lease campaigns first, otherwise the live voters in the order of their IDs, at intervals.
+func (n *Node) mayCampaignEarly() bool {
+	if n.isTermReleased() {
+		return n.lastLedTerm == n.term
 	}
-	if n.allIdle() < n.term || n.term == None {
-		n.idleSince = never
-		return true // It may still ask, but nobody is free to vote for it.
+	if n.allIdleTerm() < n.term || n.term == None {
+		n.allIdleSince = unset
+		return true // Only probes: the voters are still bound by promises.
 	}
-	if n.idleSince == never {
-		n.idleSince = n.now
+	if n.allIdleSince == unset {
+		n.allIdleSince = n.now
 	}
 	rank := 0
 	for _, voter := range n.membership.GetVoters() {
-		if voter < n.config.ID && n.idle[voter] != gone {
+		if voter < n.config.ID && n.idleTerms[voter] != terminated {
 			rank++
 		}
 	}
-	return n.now >= n.idleSince+time.Duration(rank)*n.config.ElectionTimeout/rankShare
+	return n.now >= n.allIdleSince+time.Duration(rank)*n.config.ElectionTimeout/rankDelayDivisor
 }
 
-// ownIdle is the term up to which this node leads nothing and never will.
-func (n *Node) ownIdle() uint64 {
+// ownIdleTerm returns the term up to which this node is not leader and will never be.
+func (n *Node) ownIdleTerm() uint64 {
 	if n.role == Leader || n.role == Candidate {
 		return None
 	}
 	return n.term
 }
 
-// learnIdle notes what a request or reply tells of its sender. Who asks for a
-// pre-vote for a term is not in it yet; who asks for a vote may win that term.
-func (n *Node) learnIdle(message *wirepb.RaftMessage) {
+// observeIdleTerm records the sender's idle term. A node that requests a pre-vote has not entered
+// the requested term yet; one that requests a vote may still win it.
+func (n *Node) observeIdleTerm(message *wirepb.RaftMessage) {
 	idle := message.GetIdle()
 	switch message.GetType() {
 	case wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_PRE_VOTE, wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_VOTE:
 		idle = message.GetTerm() - 1
 	}
-	if idle > n.idle[message.GetFrom()] {
-		n.idle[message.GetFrom()] = idle
+	if idle > n.idleTerms[message.GetFrom()] {
+		n.idleTerms[message.GetFrom()] = idle
 	}
 }
 
-// NoteGone tells that a member's process has ended for good: another identity
+// MarkTerminated records that a member's process has ended permanently, because another identity
 // runs at its address.
 func (n *Node) NoteGone(now time.Duration, id uint64) {
 	n.advanceClock(now)
-	n.idle[id] = gone
+	n.idleTerms[id] = terminated
 	if n.leader == id {
 		n.leader = None
 	}
 }
 
-// allIdle returns the term up to which no voter leads anything, 0 if that is
-// not known of all of them.
-func (n *Node) allIdle() uint64 {
-	least := n.ownIdle()
+// allIdleTerm returns the term up to which no voter is leader, 0 if a voter's idle term is unknown.
+func (n *Node) allIdleTerm() uint64 {
+	lowest := n.ownIdleTerm()
 	for _, voter := range n.membership.GetVoters() {
 		if voter != n.config.ID {
-			least = min(least, n.idle[voter])
+			lowest = min(lowest, n.idleTerms[voter])
 		}
 	}
-	return least
+	return lowest
 }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -11,36 +11,36 @@
 const (
 	heartbeatType   = wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_HEARTBEAT
 	appendReplyType = wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_APPEND_REPLY
-	// snapshotResend is how many election timeouts pass before a snapshot
-	// that was not acknowledged is sent again.
-	snapshotResend = 4
+	// snapshotResendTimeouts is the number of election timeouts after which an unacknowledged
+	// snapshot is sent again.
+	snapshotResendTimeouts = 4
 )
 
 type progressState int
 
 const (
-	// probing sends one message and waits for its answer.
+	// probing sends one append message at a time.
 	probing progressState = iota
-	// replicating sends ahead of the answers.
+	// replicating pipelines append messages.
 	replicating
-	// snapshotting waits for a snapshot to be taken.
+	// snapshotting waits for the acknowledgement of a snapshot.
 	snapshotting
 )
 
-// progress is what a leader knows of one peer.
+// progress is the leader's replication state for a peer.
 type progress struct {
 	match, next uint64
 	state       progressState
 	inflight    int
-	// paused is set while a probe is unanswered.
+	// paused is set while a probe is unacknowledged.
 	paused     bool
 	lastActive time.Duration
-	// roundTrip is what heartbeats to the peer and back take; 0 while that is not known.
+	// roundTrip is the smoothed heartbeat round trip time; 0 if unknown.
 	roundTrip      time.Duration
 	snapshotSentAt time.Duration
 }
 
-// Propose appends commands as leader and returns the index of the first.
+// Propose appends commands as leader and returns the index of the first and the term.
 func (n *Node) Propose(now time.Duration, commands ...[]byte) (uint64, uint64, error) {
 	n.advanceClock(now)
 	if n.role != Leader || n.transferTo != None {
@@ -65,7 +65,7 @@
 	n.broadcastAppend()
 }
 
-// acknowledgeOwnEntries counts the leader's own durable entries.
+// acknowledgeOwnEntries advances the leader's own match index to its durable entries.
 func (n *Node) acknowledgeOwnEntries() {
 	if own := n.progress[n.config.ID]; own != nil {
 		own.match = n.log.stable
@@ -79,13 +79,13 @@
 		n.becomeFollower(n.term, None)
 		return
 	}
-	if n.now >= n.heartbeatDue {
+	if n.now >= n.heartbeatDeadline {
 		n.broadcastHeartbeat()
 	}
 }
 
-// quorumActive reports whether a quorum has been heard of lately. A leader
-// without one steps down, so that its clients look elsewhere.
+// quorumActive reports whether a quorum has replied within the election timeout. A leader without
+// one steps down, so that clients look for another.
 func (n *Node) quorumActive() bool {
 	active := 0
 	for _, peer := range n.membership.GetVoters() {
@@ -93,7 +93,7 @@
 			active++
 			continue
 		}
-		if state := n.progress[peer]; state != nil && n.now-state.lastActive < n.asked {
+		if state := n.progress[peer]; state != nil && n.now-state.lastActive < n.requestedTimeout {
 			active++
 		}
 	}
@@ -101,14 +101,14 @@
 }
 
 func (n *Node) broadcastHeartbeat() {
-	n.heartbeatDue = n.now + n.config.HeartbeatInterval
+	n.heartbeatDeadline = n.now + n.config.HeartbeatInterval
 	round := n.lease.nextRound(n.now)
 	quorumHeard := n.now < n.leaseUntil()
 	for _, peer := range n.peers() {
 		n.send(&wirepb.RaftMessage{
 			Type: heartbeatType, To: peer, Round: round,
-			Commit: min(n.log.committed, n.progress[peer].match), HeardRound: n.lease.answered[peer], QuorumHeard: quorumHeard,
-			PromiseMs: uint32(n.asked.Milliseconds()),
+			Commit: min(n.log.committed, n.progress[peer].match), HeardRound: n.lease.answeredRounds[peer], QuorumHeard: quorumHeard,
+			PromiseMs: uint32(n.requestedTimeout.Milliseconds()),
 		})
 	}
 }
@@ -119,9 +119,9 @@
 	}
 }
 
-// sendAppend sends what the peer lacks. With evenEmpty it sends a message in
-// any case, to carry the commit index or to find a gap.
-func (n *Node) sendAppend(peer uint64, evenEmpty bool) {
+// sendAppend sends the entries that the peer lacks. With sendEmpty it also sends a message without
+// entries, to carry the commit index or to detect a gap.
+func (n *Node) sendAppend(peer uint64, sendEmpty bool) {
 	state := n.progress[peer]
 	if state.paused || state.state == snapshotting {
 		return
@@ -133,7 +133,7 @@
 			return
 		}
 		entries := n.log.slice(state.next, n.config.MaxEntriesPerMessage)
-		if len(entries) == 0 && !evenEmpty {
+		if len(entries) == 0 && !sendEmpty {
 			return
 		}
 		n.send(&wirepb.RaftMessage{
@@ -149,12 +149,12 @@
 		}
 		state.next += uint64(len(entries))
 		state.inflight++
-		evenEmpty = false
+		sendEmpty = false
 	}
 }
 
 func (n *Node) sendSnapshot(peer uint64, state *progress) {
-	snapshot := n.provider()
+	snapshot := n.snapshotProvider()
 	if snapshot == nil || snapshot.GetMeta().GetIndex() < n.log.offset {
 		return
 	}
@@ -166,22 +166,22 @@
 	})
 }
 
-func (n *Node) hearLeader(message *wirepb.RaftMessage) {
+func (n *Node) recordLeaderContact(message *wirepb.RaftMessage) {
 	if n.role != Follower {
 		n.becomeFollower(message.GetTerm(), message.GetFrom())
 	}
 	n.leader = message.GetFrom()
-	n.gaveWay = false
+	n.campaignDeferred = false
 	n.lastContact = n.now
-	n.keepPromise()
+	n.renewPromise()
 	n.resetElectionDeadline()
 }
 
 func (n *Node) handleAppend(message *wirepb.RaftMessage) {
-	n.hearLeader(message)
+	n.recordLeaderContact(message)
 	reply := &wirepb.RaftMessage{Type: appendReplyType, To: message.GetFrom()}
 	if message.GetIndex() < n.log.committed {
-		// Everything up to the commit index is known to be the leader's.
+		// Committed entries are identical to the leader's.
 		reply.Index = n.log.committed
 		n.send(reply)
 		return
@@ -199,8 +199,8 @@
 	n.send(reply)
 }
 
-// rejectHint skips back over entries whose term is later than the leader's
-// at that place: none of them can match.
+// rejectHint skips back over entries whose term is greater than the leader's at the rejected index:
+// none of them can match.
 func (n *Node) rejectHint(message *wirepb.RaftMessage) uint64 {
 	hint := min(message.GetIndex()-1, n.log.lastIndex())
 	for hint > n.log.committed && n.log.term(hint) > message.GetLogTerm() {
@@ -210,13 +210,13 @@
 }
 
 func (n *Node) handleHeartbeat(message *wirepb.RaftMessage) {
-	n.hearAsked(milliseconds(message.GetPromiseMs()))
-	n.hearLeader(message)
-	// The leader caps the commit index at what it knows to match here.
+	n.acceptTimeout(milliseconds(message.GetPromiseMs()))
+	n.recordLeaderContact(message)
+	// The leader bounds the commit index by this node's match index.
 	n.log.commitTo(message.GetCommit())
-	n.contact.confirm(message.GetTerm(), message.GetHeardRound())
-	n.contact.reply(n.now, message.GetTerm(), message.GetRound())
-	n.contact.quorumHeard = message.GetQuorumHeard()
+	n.replyTracker.confirmRound(message.GetTerm(), message.GetHeardRound())
+	n.replyTracker.recordReply(n.now, message.GetTerm(), message.GetRound())
+	n.replyTracker.leaderHasQuorum = message.GetQuorumHeard()
 	n.send(&wirepb.RaftMessage{
 		Type: wirepb.RaftMessageType_RAFT_MESSAGE_TYPE_HEARTBEAT_REPLY, To: message.GetFrom(), Round: message.GetRound(),
 		PromiseMs: uint32(n.promise.Milliseconds()),
@@ -224,15 +224,15 @@
 }
 
 func (n *Node) handleSnapshot(message *wirepb.RaftMessage) {
-	n.hearLeader(message)
+	n.recordLeaderContact(message)
 	meta := message.GetSnapshot().GetMeta()
 	reply := &wirepb.RaftMessage{Type: appendReplyType, To: message.GetFrom()}
 	switch {
 	case meta.GetIndex() <= n.log.committed:
-		// Older than what this node has.
+		// Older than the committed log.
 	case n.log.matches(meta.GetIndex(), meta.GetTerm()):
-		// The log has all that the snapshot covers, and the entries behind it may
-		// have been acknowledged: the leader counts on them.
+		// The log contains everything that the snapshot covers, and later entries may have been
+		// acknowledged to the leader: keep them.
 		n.log.commitTo(meta.GetIndex())
 	default:
 		n.snapshot = message.GetSnapshot()
@@ -248,21 +248,21 @@
 	if state == nil {
 		return
 	}
-	if message.GetRound() > n.lease.answered[message.GetFrom()] {
-		n.measure(state, message.GetRound())
+	if message.GetRound() > n.lease.answeredRounds[message.GetFrom()] {
+		n.recordRoundTrip(state, message.GetRound())
 	}
 	promise := milliseconds(message.GetPromiseMs())
 	if promise == 0 {
-		promise = n.config.ElectionTimeout // Of a process that promises what the settings say.
+		promise = n.config.ElectionTimeout // An earlier release promises the configured timeout and does not report it.
 	}
-	n.lease.answer(message.GetFrom(), message.GetRound(), promise, n.membership.GetVoters(), n.config.ID, n.quorum())
+	n.lease.recordReply(message.GetFrom(), message.GetRound(), promise, n.membership.GetVoters(), n.config.ID, n.quorum())
 	state.paused = false
-	if state.state == snapshotting && n.now-state.snapshotSentAt > snapshotResend*n.config.ElectionTimeout {
+	if state.state == snapshotting && n.now-state.snapshotSentAt > snapshotResendTimeouts*n.config.ElectionTimeout {
 		state.state = probing
 		state.next = state.match + 1
 	}
 	if state.match < n.log.lastIndex() {
-		// A lost message leaves a gap that only another message reveals.
+		// A peer detects the gap left by a lost message only by another message.
 		state.inflight = 0
 		n.sendAppend(message.GetFrom(), true)
 	}
@@ -286,7 +286,7 @@
 	}
 	state.paused = false
 	if message.GetReject() {
-		n.stepBack(message, state)
+		n.handleAppendReject(message, state)
 		return
 	}
 	if state.inflight > 0 {
@@ -307,9 +307,9 @@
 	}
 }
 
-func (n *Node) stepBack(message *wirepb.RaftMessage, state *progress) {
+func (n *Node) handleAppendReject(message *wirepb.RaftMessage, state *progress) {
 	if message.GetIndex() <= state.match || state.state == snapshotting {
-		return // A late rejection of what has matched since.
+		return // A late rejection; the entry has matched since.
 	}
 	state.state = probing
 	state.inflight = 0
@@ -317,8 +317,8 @@
 	n.sendAppend(message.GetFrom(), true)
 }
 
-// maybeCommit advances the commit index to what a quorum holds, if that entry
-// is of this term, and tells the followers at once.
+// maybeCommit advances the commit index to the latest entry on a quorum, if it is of the current
+// term, and notifies the followers. It reports whether the index advanced.
 func (n *Node) maybeCommit() bool {
 	matches := make([]uint64, 0, len(n.membership.GetVoters()))
 	for _, peer := range n.membership.GetVoters() {
@@ -330,11 +330,11 @@
 		return false
 	}
 	slices.Sort(matches)
-	agreed := matches[len(matches)-n.quorum()]
-	if agreed <= n.log.committed || n.log.term(agreed) != n.term {
+	quorumIndex := matches[len(matches)-n.quorum()]
+	if quorumIndex <= n.log.committed || n.log.term(quorumIndex) != n.term {
 		return false
 	}
-	n.log.commitTo(agreed)
+	n.log.commitTo(quorumIndex)
 	for _, peer := range n.peers() {
 		n.sendAppend(peer, true)
 	}
--- a/internal/raft/snapshot_test.go
+++ b/internal/raft/snapshot_test.go
@@ -13,8 +13,7 @@
 	leaderID   = 2
 )
 
-// newFollower returns a follower whose log holds entries 1 to last of term 1, all of
-// them acknowledged to the leader and committed up to commit.
+// newFollower returns a follower with entries 1 to last of term 1, committed up to commit.
 func newFollower(t *testing.T, last, commit uint64) *raft.Node {
 	t.Helper()
 	membership := &wirepb.Membership{Voters: []uint64{followerID, leaderID, 3}}
@@ -33,14 +32,14 @@
 		message.Entries = append(message.Entries, &wirepb.Entry{Index: index, Term: 1, Kind: wirepb.EntryKind_ENTRY_KIND_COMMAND})
 	}
 	follower.Step(0, message)
-	if reply := carryOut(follower); reply.GetReject() || reply.GetIndex() != last {
-		t.Fatalf("the entries were answered by %v", reply)
+	if reply := drainReady(follower); reply.GetReject() || reply.GetIndex() != last {
+		t.Fatalf("append reply %v", reply)
 	}
 	return follower
 }
 
-// carryOut does the outstanding work of a node and returns the last message.
-func carryOut(node *raft.Node) *wirepb.RaftMessage {
+// drainReady completes the outstanding work of a node and returns the last message sent.
+func drainReady(node *raft.Node) *wirepb.RaftMessage {
 	var last *wirepb.RaftMessage
 	for {
 		ready := node.Ready()
@@ -61,31 +60,30 @@
 			Index: index, Term: term, Membership: &wirepb.Membership{Voters: []uint64{followerID, leaderID, 3}},
 		}},
 	})
-	return carryOut(follower)
+	return drainReady(follower)
 }
 
-// TestLateSnapshotKeepsAcknowledgedEntries: the leader counts on every entry that a
-// follower has acknowledged. A snapshot that arrives after them must not drop those
-// that lie behind it, or a committed entry could be on fewer disks than a quorum.
+// TestLateSnapshotKeepsAcknowledgedEntries checks that a late snapshot does not drop acknowledged
+// entries behind it, which may leave a committed entry on less than a quorum.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	follower := newFollower(t, 5, 1)
 	reply := stepSnapshot(follower, 3, 1)
 	if reply.GetIndex() < 3 {
-		t.Errorf("the snapshot was answered by %v", reply)
+		t.Errorf("snapshot reply %v", reply)
 	}
 	status := follower.Status()
 	if status.Last != 5 || status.Committed != 3 || status.Applied != 3 {
-		t.Errorf("last %d, committed %d, applied %d; wanted 5, 3, 3", status.Last, status.Committed, status.Applied)
+		t.Errorf("last %d, committed %d, applied %d; want 5, 3, 3", status.Last, status.Committed, status.Applied)
 	}
 }
 
-// TestSnapshotReplacesOtherEntries: where the entry at the snapshot's index is of
-// another term, the log is not the leader's, and all of it goes.
-func TestSnapshotReplacesOtherEntries(t *testing.T) {
+// TestSnapshotReplacesConflictingLog checks that the whole log is dropped if the entry at the
+// snapshot's index has another term.
+func TestSnapshotReplacesConflictingLog(t *testing.T) {
 	follower := newFollower(t, 5, 1)
 	stepSnapshot(follower, 3, 2)
 	status := follower.Status()
 	if status.Last != 3 || status.Committed != 3 || status.FirstHeld != 4 {
-		t.Errorf("last %d, committed %d, first held %d; wanted 3, 3, 4", status.Last, status.Committed, status.FirstHeld)
+		t.Errorf("last %d, committed %d, first held %d; want 3, 3, 4", status.Last, status.Committed, status.FirstHeld)
 	}
 }
