--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -14,40 +14,38 @@
 
 const (
 	leaderPollDelay = 20 * time.Millisecond
-	// historyLifetime is how old what is known of past demand may be.
 	historyLifetime = 10 * time.Second
 )
 
-// demandHistory is what the newest leader handed on of demand.
+// demandHistory is the demand history received from the latest leader.
 type demandHistory struct {
-	// taken is when it came.
-	taken    time.Duration
-	versions []placement.VersionHistory
+	receivedAt time.Duration
+	versions   []placement.VersionHistory
 }
 
-// pastDemand returns what is known of how versions were asked for, and its age;
-// nil if that is nothing, or too old.
-func (n *Node) pastDemand() ([]placement.VersionHistory, time.Duration) {
-	held := n.history.Load()
-	if held == nil {
+// recentDemand returns the known demand history of versions and its age; nil if there is none or it
+// is too old.
+func (n *Node) recentDemand() ([]placement.VersionHistory, time.Duration) {
+	history := n.history.Load()
+	if history == nil {
 		return nil, 0
 	}
-	age := n.now() - held.taken
+	age := n.now() - history.receivedAt
 	if age > historyLifetime {
 		return nil, age
 	}
-	return held.versions, age
+	return history.versions, age
 }
 
-// Serves implements feed.Backend. A node that joins with an empty disk holds nothing
-// before it is a member. One that the leader does not hear gets digests and no entries of
-// the log, and passes nothing on. Without a leader no node is better than another.
+// Serves implements feed.Backend. A node does not serve before it is a member, nor while its
+// messages do not reach the leader: it may then lag behind the log and can't forward calls. It does
+// serve without a leader, since every other node is in the same situation.
 func (n *Node) Serves() bool {
-	return len(n.membership.Load().GetVoters()) > 0 && !n.isUnheard()
+	return len(n.membership.Load().GetVoters()) > 0 && !n.isIsolated()
 }
 
-// isUnheard reports whether a leader is known that does not hear this node.
-func (n *Node) isUnheard() bool {
+// isIsolated reports whether a leader is known that this node's messages do not reach.
+func (n *Node) isIsolated() bool {
 	return n.status.Load().Unheard(n.now())
 }
 
@@ -73,16 +71,15 @@
 	return n.digestChanged.Wait()
 }
 
-// Report implements feed.Backend: the leader keeps the reports, a follower
-// passes them on.
+// Report implements feed.Backend. A follower forwards the reports to the leader.
 func (n *Node) Report(reports ...*wirepb.NodeReport) {
-	n.takeReports(reports)
+	n.receiveReports(reports)
 	if status := n.status.Load(); status.Leader != status.ID {
 		n.reportsOut.Add(reports)
 	}
 }
 
-// sendReports passes reports on to the leader; they are lost where there is none, as reports may be.
+// sendReports sends reports to the leader. They are dropped if it is not connected.
 func (n *Node) sendReports(reports []*wirepb.NodeReport) {
 	status := n.status.Load()
 	if link := n.peers.link(status.Leader); link != nil {
@@ -91,8 +88,8 @@
 	}
 }
 
-func (n *Node) takeReports(reports []*wirepb.NodeReport) {
-	n.taken.reports.Add(int64(len(reports)))
+func (n *Node) receiveReports(reports []*wirepb.NodeReport) {
+	n.counters.reports.Add(int64(len(reports)))
 	urgent := false
 	for _, report := range reports {
 		urgent = n.reports.Take(n.now(), report) || urgent
@@ -105,29 +102,28 @@
 
 func (n *Node) wakeLeader() {
 	select {
-	case n.nudge <- struct{}{}:
+	case n.leaderWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// takeDigest keeps the newest digest.
-func (n *Node) takeDigest(digest *wirepb.ClusterDigest) {
+// receiveDigest keeps the digest if it is newer than the current one.
+func (n *Node) receiveDigest(digest *wirepb.ClusterDigest) {
 	if !feed.Newer(digest, n.digest.Load()) {
 		return
 	}
 	if history := controller.HistoryOf(digest); history != nil {
-		n.history.Store(&demandHistory{taken: n.now(), versions: history})
+		n.history.Store(&demandHistory{receivedAt: n.now(), versions: history})
 	}
 	if digest.GetLeader() != n.settings.Node {
 		n.mergeLimits(digest.GetLimits(), "digest")
-		n.limitSnapshot() // Forgets limits that have ended, and machines that are gone.
+		n.limitSnapshot() // Drops ended limits and removed machines.
 	}
 	n.digest.Store(feed.WithoutHistory(digest))
 	n.digestChanged.Notify()
 }
 
-// Propose implements feed.Backend: it carries a command to the leader,
-// wherever it is.
+// Propose implements feed.Backend: it commits a command through the leader.
 func (n *Node) Propose(ctx context.Context, command *wirepb.Command) (*wirepb.CommandResult, error) {
 	for {
 		status := n.status.Load()
@@ -135,7 +131,7 @@
 			return n.proposeLocally(ctx, command)
 		}
 		if link := n.peers.link(status.Leader); link != nil {
-			return n.forwardWhileHeard(ctx, link, command)
+			return n.forwardUnlessIsolated(ctx, link, command)
 		}
 		select {
 		case <-ctx.Done():
@@ -146,37 +142,37 @@
 }
 
 func (n *Node) proposeLocally(ctx context.Context, command *wirepb.Command) (*wirepb.CommandResult, error) {
-	entry := &proposal{command: command, reply: make(chan proposalReply, 1)}
+	pending := &proposal{command: command, reply: make(chan proposalReply, 1)}
 	select {
-	case n.proposals <- entry:
+	case n.proposals <- pending:
 	case <-ctx.Done():
 		return nil, fault.Unavailable.New("the leader is overloaded")
 	}
 	select {
-	case reply := <-entry.reply:
+	case reply := <-pending.reply:
 		return reply.result, reply.err
 	case <-ctx.Done():
-		return nil, fault.Deadline.New("the command was not committed in time; it may be later")
+		return nil, fault.Deadline.New("the command was not committed in time; it may still be committed")
 	}
 }
 
-// forwardWhileHeard forwards a command unless the leader does not hear this node, and waits no
-// longer once that is so: the caller has other nodes to turn to.
-func (n *Node) forwardWhileHeard(ctx context.Context, link *peerLink, command *wirepb.Command) (*wirepb.CommandResult, error) {
-	if n.isUnheard() {
-		return nil, errUnheard()
+// forwardUnlessIsolated forwards a command and gives up as soon as this node's messages do not
+// reach the leader, so that the caller can try another node.
+func (n *Node) forwardUnlessIsolated(ctx context.Context, link *peerLink, command *wirepb.Command) (*wirepb.CommandResult, error) {
+	if n.isIsolated() {
+		return nil, errIsolated()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go n.cancelWhenUnheard(ctx, cancel)
+	go n.cancelWhenIsolated(ctx, cancel)
 	return n.forward(ctx, link, command)
 }
 
-func errUnheard() error {
-	return fault.Unavailable.New("the leader does not hear this node")
+func errIsolated() error {
+	return fault.Unavailable.New("messages of this node do not reach the leader")
 }
 
-func (n *Node) cancelWhenUnheard(ctx context.Context, cancel context.CancelFunc) {
+func (n *Node) cancelWhenIsolated(ctx context.Context, cancel context.CancelFunc) {
 	ticker := time.NewTicker(leaderPollDelay)
 	defer ticker.Stop()
 	for {
@@ -184,7 +180,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if n.isUnheard() {
+			if n.isIsolated() {
 				cancel()
 				return
 			}
@@ -195,19 +191,19 @@
 func (n *Node) forward(ctx context.Context, link *peerLink, command *wirepb.Command) (*wirepb.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	answer, err := link.call(ctx, &wirepb.Envelope{Body: &wirepb.Envelope_Proposal{Proposal: command}})
+	reply, err := link.call(ctx, &wirepb.Envelope{Body: &wirepb.Envelope_Proposal{Proposal: command}})
 	if err != nil {
 		return nil, err
 	}
-	result := answer.GetProposalResult()
+	result := reply.GetProposalResult()
 	if result.GetCode() == wirepb.ResultCode_RESULT_CODE_UNAVAILABLE && result.GetWrite() == nil {
 		return nil, fault.Unavailable.New("%s", result.GetMessage())
 	}
 	return result, nil
 }
 
-// Barrier waits until this node has applied everything that was committed
-// when it was called, so that a read after it is not stale.
+// Barrier waits until this node has applied everything that was committed when it was called, so
+// that a following read is linearizable.
 func (n *Node) Barrier(ctx context.Context) error {
 	status, err := feed.AwaitRevision(ctx, n, leaderPollDelay)
 	if err != nil {
@@ -253,8 +249,8 @@
 	return reply, nil
 }
 
-// localStatus answers as leader. The lease is checked after the revision was
-// read: had another leader been elected before, the check would fail.
+// localStatus replies as leader. It checks the lease after reading the revision: had another leader
+// been elected before the read, the check would fail.
 func (n *Node) localStatus(request *wirepb.StatusRequest) (*wirepb.StatusReply, error) {
 	revision := n.Revision()
 	status := n.status.Load()
@@ -271,14 +267,13 @@
 	return reply, nil
 }
 
-// NewServer returns the server of this node's feed.
 func (n *Node) NewServer() *feed.Server {
 	self := n.self
-	self.Refuse = n.refuseLevel
+	self.Refuse = n.levelRefusal
 	return feed.NewServer(n, self, n.settings.Position().Map, n.logger, n.servePeer)
 }
 
-// Read calls the function with the state, which it must not keep or change.
+// Read calls visit with the state, which visit must not retain or modify.
 func (n *Node) Read(visit func(machine *state.Machine)) {
 	n.stateMutex.RLock()
 	defer n.stateMutex.RUnlock()
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -12,21 +12,21 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// drainTime bounds a whole order: below the second after which operators turn elsewhere.
-const drainTime = 900 * time.Millisecond
+// drainOrderTimeout is less than the second after which operators try another node.
+const drainOrderTimeout = 900 * time.Millisecond
 
-// DrainZone orders that the machines of a zone get no requests, or that they get them again.
-// Without an error the order is committed. The same order may be given again.
+// DrainZone orders that the machines of a zone receive no requests, or that they receive them
+// again. If it returns no error, the order is committed. It is idempotent.
 func (n *Node) DrainZone(ctx context.Context, zone string, drained bool) error {
-	order := &drainOrder{node: n, zone: zone, drained: drained, begun: n.now()}
-	if n.stalls.stalled(order.begun) {
-		return fault.Unavailable.New("this node was stalled: it can't tell how old the order is")
+	order := &drainOrder{node: n, zone: zone, drained: drained, receivedAt: n.now()}
+	if n.stallDetector.stalled(order.receivedAt) {
+		return fault.Unavailable.New("this node was stalled and can't determine the age of the order")
 	}
-	ctx, cancel := context.WithTimeout(ctx, drainTime)
+	ctx, cancel := context.WithTimeout(ctx, drainOrderTimeout)
 	defer cancel()
-	pause(ctx, drains.SettleTime)
+	sleepContext(ctx, drains.SettleTime)
 	for {
-		written, err := order.tryOnce(ctx)
+		written, err := order.attempt(ctx)
 		if err != nil {
 			return err
 		}
@@ -36,33 +36,33 @@
 	}
 }
 
-// drainOrder is one call of an operator; begun is when it arrived, by the clock that counts sleep.
+// drainOrder is one call of an operator. receivedAt is read from a clock that counts suspend.
 type drainOrder struct {
-	node    *Node
-	zone    string
-	drained bool
-	begun   time.Duration
+	node       *Node
+	zone       string
+	drained    bool
+	receivedAt time.Duration
 }
 
-// tryOnce reads the state and writes by it; written is false if another order came in between.
-func (o *drainOrder) tryOnce(ctx context.Context) (written bool, err error) {
+// attempt reads the state and writes the order; written is false if a concurrent order conflicted.
+func (o *drainOrder) attempt(ctx context.Context) (written bool, err error) {
 	if err := o.catchUp(ctx); err != nil {
 		return false, err
 	}
-	held, err := o.look()
+	zone, err := o.readZone()
 	if err != nil {
 		return false, err
 	}
-	return o.write(ctx, held)
+	return o.write(ctx, zone)
 }
 
-// write proposes the order by what was read.
-func (o *drainOrder) write(ctx context.Context, held *wirepb.Object) (written bool, err error) {
-	// Looked at after the reading: a process may be stopped at any point before it.
-	if ctx.Err() != nil || o.node.now()-o.begun > drains.LookTime {
-		return false, fault.Unavailable.New("the order could not be looked at in time")
+// write proposes the order against the revision that was read.
+func (o *drainOrder) write(ctx context.Context, zone *wirepb.Object) (written bool, err error) {
+	// Checked after the read, since the process may have been suspended before it.
+	if ctx.Err() != nil || o.node.now()-o.receivedAt > drains.LookTime {
+		return false, fault.Unavailable.New("the order could not be processed in time")
 	}
-	write, err := drains.Write(o.zone, o.drained, held.GetRevision(), time.Now())
+	write, err := drains.Write(o.zone, o.drained, zone.GetRevision(), time.Now())
 	if err != nil {
 		return false, err
 	}
@@ -73,24 +73,24 @@
 	}
 	switch result.GetCode() {
 	case wirepb.ResultCode_RESULT_CODE_OK:
-		o.logWritten(held, result.GetWrite().GetRevision())
+		o.logWritten(zone, result.GetWrite().GetRevision())
 		return true, nil
 	case wirepb.ResultCode_RESULT_CODE_CONFLICT:
 		return false, nil
 	}
-	return false, fault.Unavailable.New("the order was not written: %s", result.GetMessage())
+	return false, fault.Unavailable.New("the order was not committed: %s", result.GetMessage())
 }
 
-// catchUp waits until this node holds what was committed when the order came, for as long as
-// there is time to look: where there is no leader, the operator turns to another node sooner.
+// catchUp waits until this node has applied everything committed when the order arrived. Its
+// deadline is shorter than the order's, so that without a leader the operator can try another node.
 func (o *drainOrder) catchUp(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, drains.LookTime-(o.node.now()-o.begun))
+	ctx, cancel := context.WithTimeout(ctx, drains.LookTime-(o.node.now()-o.receivedAt))
 	defer cancel()
 	return o.node.Barrier(ctx)
 }
 
-// look returns the zone's object, nil if there is none.
-func (o *drainOrder) look() (*wirepb.Object, error) {
+// readZone returns the zone's object, nil if there is none.
+func (o *drainOrder) readZone() (*wirepb.Object, error) {
 	var held *wirepb.Object
 	knowledge := drains.Unknown
 	o.node.Read(func(machine *state.Machine) {
@@ -101,19 +101,19 @@
 	case held != nil || knowledge == drains.Known:
 		return held, nil
 	case knowledge == drains.NotToldYet:
-		return nil, fault.Unavailable.New("no zone is known yet")
+		return nil, fault.Unavailable.New("no zones are known yet")
 	}
 	return nil, fault.InvalidField("zone", "%q is not a zone of this cluster", o.zone)
 }
 
-// logWritten tells that an order was committed. An earlier one that can't be decoded counts as
-// another order: only the line in the log says less.
+// logWritten logs a committed order. An earlier order that can't be decoded is logged as a
+// different one.
 func (o *drainOrder) logWritten(held *wirepb.Object, revision uint64) {
-	before, err := v1.DecodeSpec(v1.KindZoneDrain, held.GetSpec())
-	previous, known := before.(*v1.ZoneDrainSpec)
+	spec, err := v1.DecodeSpec(v1.KindZoneDrain, held.GetSpec())
+	previous, known := spec.(*v1.ZoneDrainSpec)
 	repeated := held != nil && err == nil && known && previous.Drained == o.drained
 	o.node.metrics.observeDrainOrder(o.drained)
-	fields := []any{"zone", o.zone, "revision", revision, "repeated", repeated, "took_ms", (o.node.now() - o.begun).Milliseconds()}
+	fields := []any{"zone", o.zone, "revision", revision, "repeated", repeated, "took_ms", (o.node.now() - o.receivedAt).Milliseconds()}
 	if o.drained {
 		o.node.logger.Info("zone_drained", fields...)
 	} else {
@@ -121,30 +121,30 @@
 	}
 }
 
-// stallGuard is a StallWatch for concurrent use.
-type stallGuard struct {
+// stallDetector is a drains.StallWatch for concurrent use.
+type stallDetector struct {
 	mutex sync.Mutex
 	watch drains.StallWatch
 }
 
-func (g *stallGuard) run(now time.Duration) {
+func (g *stallDetector) observe(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.watch.Run(now)
 }
 
-func (g *stallGuard) stalled(now time.Duration) bool {
+func (g *stallDetector) stalled(now time.Duration) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.watch.Stalled(now)
 }
 
-// watchStalls runs on a goroutine of its own: the loop of the log waits for its disk.
+// watchStalls has a goroutine of its own, since the raft loop blocks on disk writes.
 func (n *Node) watchStalls(ctx context.Context) {
 	ticker := time.NewTicker(drains.StallLook)
 	defer ticker.Stop()
 	for {
-		n.stalls.run(n.now())
+		n.stallDetector.observe(n.now())
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -18,7 +18,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// drainOf returns whether a node holds a zone as drained, and the revision of that.
+// drainOf returns whether a node has a zone as drained, and the revision of that object.
 func (n *Node) drainOf(zone string) (drained bool, revision uint64) {
 	n.Read(func(machine *state.Machine) {
 		spec, held := machine.Spec(v1.KindZoneDrain, zone).(*v1.ZoneDrainSpec)
@@ -27,16 +27,15 @@
 	return drained, revision
 }
 
-// confirmedDrain is drainOf once the node holds all that is committed: an order that the leader
-// took is acknowledged before a follower has applied it.
-func (c *trio) confirmedDrain(position int, zone string) (drained bool, revision uint64) {
+// confirmedDrain is drainOf after the node has applied everything committed.
+func (c *testCluster) confirmedDrain(position int, zone string) (drained bool, revision uint64) {
 	c.t.Helper()
-	c.eventually("the node is in step", func() bool { return c.nodes[position].Barrier(c.t.Context()) == nil })
+	c.eventually("the node has caught up", func() bool { return c.nodes[position].Barrier(c.t.Context()) == nil })
 	return c.nodes[position].drainOf(zone)
 }
 
-// orderUntilTaken gives an order to one node after the other, as operators do.
-func (c *trio) orderUntilTaken(zone string, drained bool, nodes ...*Node) {
+// drainUntilAcknowledged sends an order to one node after the other until it is acknowledged.
+func (c *testCluster) drainUntilAcknowledged(zone string, drained bool, nodes ...*Node) {
 	c.t.Helper()
 	position := 0
 	c.eventually("the order is acknowledged", func() bool {
@@ -50,16 +49,16 @@
 }
 
 func TestDrainAtAnyNode(t *testing.T) {
-	cluster := startTrio(t)
+	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
 	for _, drained := range []bool{true, true, false, false, true} {
-		cluster.orderUntilTaken("z", drained, cluster.nodes[follower])
-		if held, _ := cluster.nodes[leader].drainOf("z"); held != drained {
-			t.Errorf("drained is %t at the leader after an acknowledged order for %t", held, drained)
+		cluster.drainUntilAcknowledged("z", drained, cluster.nodes[follower])
+		if got, _ := cluster.nodes[leader].drainOf("z"); got != drained {
+			t.Errorf("drained is %t at the leader after an acknowledged order for %t", got, drained)
 		}
-		cluster.eventually("all nodes hold it", func() bool {
+		cluster.eventually("the order is applied on all nodes", func() bool {
 			for _, node := range cluster.nodes {
-				if held, _ := node.drainOf("z"); held != drained {
+				if got, _ := node.drainOf("z"); got != drained {
 					return false
 				}
 			}
@@ -68,48 +67,48 @@
 	}
 }
 
-func TestDrainOfAnUnknownZone(t *testing.T) {
-	cluster := startTrio(t)
+func TestDrainOfUnknownZone(t *testing.T) {
+	cluster := startCluster(t)
 	_, follower := cluster.leaderAndFollower()
-	cluster.eventually("the zone is refused", func() bool {
+	cluster.eventually("the zone is rejected", func() bool {
 		err := cluster.nodes[follower].DrainZone(t.Context(), "elsewhere", true)
 		return fault.Is(err, fault.Invalid) && fault.FieldOf(err) == "zone"
 	})
 }
 
-// TestStalledNodeTakesNoOrder: an order in the buffer of a node that was frozen may be older
-// than one that was acknowledged elsewhere meanwhile.
-func TestStalledNodeTakesNoOrder(t *testing.T) {
-	cluster := startTrio(t)
+// TestStalledNodeRejectsDrainOrder checks that a node rejects orders after a stall, since they may
+// be older than one acknowledged elsewhere in the meantime.
+func TestStalledNodeRejectsDrainOrder(t *testing.T) {
+	cluster := startCluster(t)
 	_, follower := cluster.leaderAndFollower()
 	node := cluster.nodes[follower]
-	cluster.orderUntilTaken("z", true, node)
+	cluster.drainUntilAcknowledged("z", true, node)
 	_, before := cluster.confirmedDrain(follower, "z")
-	// Nothing but the stall speaks against the order.
-	node.stalls.doubt(node)
+	// The stall is the only reason to reject the order.
+	node.stallDetector.assumeStalled(node)
 	if err := node.DrainZone(t.Context(), "z", false); !fault.Is(err, fault.Unavailable) {
-		t.Errorf("a node that was stalled answers %v", err)
+		t.Errorf("drain order after a stall: got %v, want unavailable", err)
 	}
 	if _, after := cluster.confirmedDrain(follower, "z"); after != before {
-		t.Error("a node that was stalled has written")
+		t.Error("a rejected order was written")
 	}
-	node.stalls.trust(node)
-	cluster.orderUntilTaken("z", false, node)
-	cluster.eventually("a sleep is noticed", func() bool {
-		cluster.clocks[follower].sleep(2 * time.Second)
-		return node.stalls.stalled(node.now())
+	node.stallDetector.assumeRunning(node)
+	cluster.drainUntilAcknowledged("z", false, node)
+	cluster.eventually("a suspend is detected", func() bool {
+		cluster.clocks[follower].suspend(2 * time.Second)
+		return node.stallDetector.stalled(node.now())
 	})
 }
 
-// doubt makes the guard believe in a stall for longer than a test runs.
-func (g *stallGuard) doubt(node *Node) {
+// assumeStalled makes the detector report a stall for longer than a test runs.
+func (g *stallDetector) assumeStalled(node *Node) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.watch.Run(node.now() + time.Hour)
 }
 
-// trust makes it believe in none.
-func (g *stallGuard) trust(node *Node) {
+// assumeRunning makes the detector report no stall.
+func (g *stallDetector) assumeRunning(node *Node) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.watch = drains.StallWatch{}
@@ -118,29 +117,30 @@
 	}
 }
 
-// TestOrderOfACallerThatLeftIsNotWritten: the caller turns elsewhere, and may order the opposite.
-func TestOrderOfACallerThatLeftIsNotWritten(t *testing.T) {
-	cluster := startTrio(t)
+// TestCanceledDrainOrderIsNotWritten checks that an order is not written after its caller has left,
+// since the caller may have sent the opposite order to another node.
+func TestCanceledDrainOrderIsNotWritten(t *testing.T) {
+	cluster := startCluster(t)
 	_, follower := cluster.leaderAndFollower()
-	cluster.orderUntilTaken("z", true, cluster.nodes[follower])
+	cluster.drainUntilAcknowledged("z", true, cluster.nodes[follower])
 	_, before := cluster.confirmedDrain(follower, "z")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := cluster.nodes[follower].DrainZone(ctx, "z", false); !fault.Is(err, fault.Unavailable) {
-		t.Errorf("a cancelled order is answered with %v", err)
+		t.Errorf("canceled order: got %v, want unavailable", err)
 	}
 	if drained, after := cluster.confirmedDrain(follower, "z"); !drained || after != before {
-		t.Errorf("after a cancelled order drained is %t at revision %d, not at %d", drained, after, before)
+		t.Errorf("after a canceled order: drained %t at revision %d, want true at %d", drained, after, before)
 	}
 }
 
-// TestOrderReadTooLateIsNotWritten: its caller left, or the process was stopped, between the
-// reading and the write, when nothing else would keep it from being proposed.
-func TestOrderReadTooLateIsNotWritten(t *testing.T) {
-	cluster := startTrio(t)
+// TestLateDrainOrderIsNotWritten checks that an order is not proposed if its caller left, or the
+// process was suspended, between the read and the write.
+func TestLateDrainOrderIsNotWritten(t *testing.T) {
+	cluster := startCluster(t)
 	_, follower := cluster.leaderAndFollower()
 	node := cluster.nodes[follower]
-	cluster.orderUntilTaken("z", true, node)
+	cluster.drainUntilAcknowledged("z", true, node)
 	_, before := cluster.confirmedDrain(follower, "z")
 	left, leave := context.WithCancel(t.Context())
 	leave()
@@ -148,51 +148,52 @@
 		ctx context.Context
 		age time.Duration
 	}{{left, 0}, {t.Context(), drains.LookTime + time.Minute}} {
-		order := &drainOrder{node: node, zone: "z", begun: node.now() - late.age}
-		held, err := order.look()
+		order := &drainOrder{node: node, zone: "z", receivedAt: node.now() - late.age}
+		held, err := order.readZone()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if written, err := order.write(late.ctx, held); written || !fault.Is(err, fault.Unavailable) {
-			t.Errorf("read %s after it came: written is %t, %v", late.age, written, err)
+			t.Errorf("order of age %s: written %t, error %v", late.age, written, err)
 		}
 	}
 	if _, after := cluster.confirmedDrain(follower, "z"); after != before {
-		t.Errorf("the zone is at revision %d, not at %d", after, before)
+		t.Errorf("zone at revision %d, want %d", after, before)
 	}
 }
 
-// TestLeaderDiesBetweenCommitAndAnswer: the same order again is acknowledged and changes nothing.
-func TestLeaderDiesBetweenCommitAndAnswer(t *testing.T) {
-	cluster := startTrio(t)
+// TestDrainOrderIsIdempotent checks that an order repeated after a leader failure between commit
+// and reply is acknowledged.
+func TestDrainOrderIsIdempotent(t *testing.T) {
+	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
 	write, err := drains.Write("z", true, 0, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Nobody waits for the answer.
+	// The reply is ignored.
 	command := &wirepb.Command{Body: &wirepb.Command_Write{Write: &wirepb.WriteCommand{Writes: []*wirepb.ObjectWrite{write}}}}
 	if _, err := cluster.nodes[leader].Propose(t.Context(), command); err != nil {
 		t.Fatal(err)
 	}
 	cluster.cuts[leader].Store(true)
 	others := []*Node{cluster.nodes[follower], cluster.nodes[3-leader-follower]}
-	cluster.orderUntilTaken("z", true, others...)
+	cluster.drainUntilAcknowledged("z", true, others...)
 	for _, node := range others {
-		cluster.eventually("the drain is held", func() bool {
+		cluster.eventually("the drain is applied", func() bool {
 			drained, _ := node.drainOf("z")
 			return drained
 		})
 	}
 }
 
-// TestDrainSurvivesTheKillOfAllNodes: what was acknowledged is on disk.
-func TestDrainSurvivesTheKillOfAllNodes(t *testing.T) {
+// TestDrainSurvivesRestart checks that an acknowledged order is durable.
+func TestDrainSurvivesRestart(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	if err := datadir.Init(folder, datadir.Identity{Cluster: "test", ControlID: 1}); err != nil {
 		t.Fatal(err)
 	}
-	run := func(use func(cluster *trio, node *Node)) {
+	run := func(use func(cluster *testCluster, node *Node)) {
 		dir, _, err := datadir.Open(folder, "test", 1)
 		if err != nil {
 			t.Fatal(err)
@@ -201,7 +202,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cluster := &trio{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
+		cluster := &testCluster{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
 		node := cluster.newNodeRecovered(0, disk, recovered, nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		var workers sync.WaitGroup
@@ -213,13 +214,13 @@
 			t.Fatal(err)
 		}
 	}
-	run(func(cluster *trio, node *Node) {
-		cluster.orderUntilTaken("z", true, node)
-		cluster.orderUntilTaken("z", false, node)
-		cluster.orderUntilTaken("z", true, node)
+	run(func(cluster *testCluster, node *Node) {
+		cluster.drainUntilAcknowledged("z", true, node)
+		cluster.drainUntilAcknowledged("z", false, node)
+		cluster.drainUntilAcknowledged("z", true, node)
 	})
-	run(func(cluster *trio, node *Node) {
-		cluster.eventually("the drain is held", func() bool {
+	run(func(cluster *testCluster, node *Node) {
+		cluster.eventually("the drain is applied", func() bool {
 			drained, _ := node.drainOf("z")
 			return drained
 		})
--- a/internal/control/grant_test.go
+++ b/internal/control/grant_test.go
@@ -14,7 +14,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// gatedStorage holds up writes while its gate is shut.
+// gatedStorage blocks writes while its gate is locked.
 type gatedStorage struct{ gate sync.Mutex }
 
 func (s *gatedStorage) Append(*wirepb.WalRecord) error {
@@ -25,17 +25,17 @@
 
 func (s *gatedStorage) SaveSnapshot(*wirepb.Snapshot, *wirepb.WalRecord) error { return nil }
 
-// dialledEngines tell when a connection for an order stands, and whether the order was then
-// permitted while the log held no grant.
-type dialledEngines struct {
+// dialRecordingEngines signal when an order is connected, and record whether it was permitted
+// before its grant was committed.
+type dialRecordingEngines struct {
 	silentEngines
-	dialled chan struct{}
+	dialed  chan struct{}
 	granted func() bool
 	early   atomic.Bool
 }
 
-func (e *dialledEngines) Order(_ context.Context, _ orders.Order, _ string, _ uint64, permitted func() bool) orders.Outcome {
-	close(e.dialled)
+func (e *dialRecordingEngines) Order(_ context.Context, _ orders.Order, _ string, _ uint64, permitted func() bool) orders.Outcome {
+	close(e.dialed)
 	if !permitted() {
 		return orders.NotSent
 	}
@@ -43,12 +43,11 @@
 	return orders.Accepted
 }
 
-// TestOrderIsDialledBesideItsGrant: the connection to the machine is made while the grant is being
-// committed, so that requests wait for the longer of the two only. Nothing may be written to the
-// machine before the commit.
-func TestOrderIsDialledBesideItsGrant(t *testing.T) {
-	storage, engines := &gatedStorage{}, &dialledEngines{dialled: make(chan struct{})}
-	cluster := &trio{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
+// TestOrderConnectsWhileGrantIsCommitted checks that the connection to a machine is made while the
+// grant is being committed, and that the order is permitted only after the commit.
+func TestOrderConnectsWhileGrantIsCommitted(t *testing.T) {
+	storage, engines := &gatedStorage{}, &dialRecordingEngines{dialed: make(chan struct{})}
+	cluster := &testCluster{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
 	node := cluster.newNodeWith(0, storage, engines)
 	cluster.nodes = []*Node{node}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -62,38 +61,38 @@
 		node.Read(func(machine *state.Machine) { holder = machine.Holder("m") })
 		return holder == node.holder
 	}
-	given := newFleet(ctx, node, node.status.Load().Term)
-	defer given.stop()
+	dispatcher := newOrderDispatcher(ctx, node, node.status.Load().Term)
+	defer dispatcher.stop()
 
 	storage.gate.Lock()
 	outcome := make(chan orders.Outcome, 1)
 	workers.Go(func() {
-		outcome <- given.send(ctx, orders.Order{Machine: "m", Operation: orders.Load}, given.beginGrant(ctx, "m"))
+		outcome <- dispatcher.send(ctx, orders.Order{Machine: "m", Operation: orders.Load}, dispatcher.requestGrant(ctx, "m"))
 	})
-	<-engines.dialled
+	<-engines.dialed
 	storage.gate.Unlock()
 	<-outcome
 	if engines.early.Load() {
-		t.Error("the order was permitted without a grant in the log")
+		t.Error("the order was permitted before its grant was committed")
 	}
 }
 
-// countedEngines count the connections that are made for orders to come.
-type countedEngines struct {
+// connectRecordingEngines record the connections made in advance of orders.
+type connectRecordingEngines struct {
 	silentEngines
 	connected chan string
 }
 
-func (e *countedEngines) Connect(_ context.Context, machine, _ string) error {
+func (e *connectRecordingEngines) Connect(_ context.Context, machine, _ string) error {
 	e.connected <- machine
 	return nil
 }
 
-// TestMachineOfAnotherLeaderIsNotPrepared: a grant that is asked for before the time of the last
-// holder is over would make the log forget that holder, and two leaders could order in turns.
-func TestMachineOfAnotherLeaderIsNotPrepared(t *testing.T) {
-	engines := &countedEngines{connected: make(chan string, 2)}
-	cluster := &trio{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
+// TestMachineGrantedToAnotherIsNotPrepared checks that no grant is requested before the previous
+// holder's has expired: the log would lose that holder, and two leaders could send orders.
+func TestMachineGrantedToAnotherIsNotPrepared(t *testing.T) {
+	engines := &connectRecordingEngines{connected: make(chan string, 2)}
+	cluster := &testCluster{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
 	node := cluster.newNodeWith(0, memoryStorage{}, engines)
 	cluster.nodes = []*Node{node}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -108,8 +107,8 @@
 	}
 	holders := map[string]string{"another": "another leader", "own": node.holder}
 	for name, holder := range holders {
-		node.takeInstance(&wirepb.InstanceReport{Machine: name, Pool: "p", Endpoint: "http://10.0.0.1:1", Zone: "z", Slots: 1, Sequence: 1})
-		cluster.eventually("the machine recorded", func() bool {
+		node.receiveInstanceReport(&wirepb.InstanceReport{Machine: name, Pool: "p", Endpoint: "http://10.0.0.1:1", Zone: "z", Slots: 1, Sequence: 1})
+		cluster.eventually("the machine is recorded", func() bool {
 			listed := false
 			node.Read(func(machine *state.Machine) {
 				listed = len(machine.List(v1.KindMachine)) > 0 && machine.MachineStatus(name).Phase != ""
@@ -121,29 +120,29 @@
 			t.Fatal(err)
 		}
 	}
-	given := newFleet(ctx, node, node.status.Load().Term)
-	given.prepare(ctx, []string{"another", "own"})
-	given.stop()
+	dispatcher := newOrderDispatcher(ctx, node, node.status.Load().Term)
+	dispatcher.prepare(ctx, []string{"another", "own"})
+	dispatcher.stop()
 	if machine := <-engines.connected; machine != "own" || len(engines.connected) > 0 {
-		t.Errorf("connected to %s and %d more; another leader may still order one", machine, len(engines.connected))
+		t.Errorf("connected to %s and %d more, want only the machine without another holder", machine, len(engines.connected))
 	}
 	holder := ""
 	node.Read(func(machine *state.Machine) { holder = machine.Holder("another") })
 	if holder != "another leader" {
-		t.Errorf("the machine was granted to %s before the last holder's time was over", holder)
+		t.Errorf("the machine was granted to %s before the previous holder's grant expired", holder)
 	}
 }
 
-// TestMachinesArePreparedOnce: a swap unloads and loads on one machine, and each connection and
-// grant more is work for the machine and an entry of the log.
+// TestMachinesArePreparedOnce checks that a machine with several orders gets one connection and one
+// grant.
 func TestMachinesArePreparedOnce(t *testing.T) {
 	on := func(machine string) *v1.ReplicaSpec { return &v1.ReplicaSpec{Machine: machine} }
-	machines := ordered([]placement.Action{
+	machines := machinesToOrder([]placement.Action{
 		{Kind: placement.ActionUnload, Replica: &placement.Replica{Spec: on("b")}},
 		{Kind: placement.ActionUnload, Replica: &placement.Replica{Spec: on("a")}},
 		{Kind: placement.ActionLoad, Spec: on("b")},
 	})
 	if !slices.Equal(machines, []string{"a", "b"}) {
-		t.Errorf("connections and grants are made for %v", machines)
+		t.Errorf("machines to prepare: got %v, want [a b]", machines)
 	}
 }
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -11,13 +11,14 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// recordsStarts reports whether records of machines tell when these started.
+// recordsStarts reports whether machine records include the start time, which depends on the
+// cluster level.
 func (n *Node) recordsStarts() bool {
 	return n.Level() >= level.MachineStarts
 }
 
-// instanceName returns the name of the record of the machine that a report comes from, by the
-// records that this node has applied.
+// instanceName returns the record name for the machine that a report comes from, as of the applied
+// state.
 func (n *Node) instanceName(report *wirepb.InstanceReport) (name string) {
 	n.Read(func(machine *state.Machine) { name = nameOf(machine, report) })
 	return name
@@ -37,7 +38,7 @@
 	}
 }
 
-// newestInstance returns the name of the newest record under an id; the id if there is none.
+// newestInstance returns the name of the latest record with an ID; the ID itself if there is none.
 func (n *Node) newestInstance(id string) string {
 	newest, created := id, uint64(0)
 	n.Read(func(machine *state.Machine) {
@@ -53,23 +54,23 @@
 	return newest
 }
 
-// isEarlierStart reports whether a report that has no record under a name comes from a start before
-// one that is in use under its id.
+// isEarlierStart reports whether a report without a record comes from an earlier start than the one
+// in use for its ID.
 func (n *Node) isEarlierStart(name string, report *wirepb.InstanceReport) bool {
 	if report.GetStartedMs() == 0 || name == report.GetMachine() {
 		return false
 	}
 	newest, earlier := n.newestInstance(report.GetMachine()), false
 	n.Read(func(machine *state.Machine) {
-		held := recordsOf(machine)(newest)
-		earlier = machine.Get(v1.KindMachine, name) == nil && held != nil &&
-			instances.IsBefore(report.GetStartedMs(), held, machine.MachineStatus(newest).Phase)
+		record := recordsOf(machine)(newest)
+		earlier = machine.Get(v1.KindMachine, name) == nil && record != nil &&
+			instances.IsBefore(report.GetStartedMs(), record, machine.MachineStatus(newest).Phase)
 	})
 	return earlier
 }
 
-// awaitRecords waits until this node has applied the records that the leader has: by them a start
-// is told from another, and what is acknowledged to one must be recorded of that one.
+// awaitRecords waits until this node has applied the leader's records, which identify the start
+// that a report comes from.
 func (n *Node) awaitRecords(ctx context.Context) error {
 	if !n.recordsStarts() {
 		return nil
@@ -77,12 +78,11 @@
 	return n.Barrier(ctx)
 }
 
-// checkInstance returns the name of the record of the machine that a report comes from. It refuses one
-// that can't be of the machine under whose id it comes, since it was written by another, and names the
-// field.
+// checkInstance returns the record name for the machine that a report comes from. It returns an
+// error that names the field if the report can't come from the machine whose ID it carries.
 func (n *Node) checkInstance(report *wirepb.InstanceReport) (name string, err error) {
 	if !instances.IsID(report.GetMachine()) {
-		return "", fault.InvalidField("machine", "%q can't be the id of a machine", report.GetMachine())
+		return "", fault.InvalidField("machine", "%q is not a valid machine ID", report.GetMachine())
 	}
 	n.Read(func(machine *state.Machine) {
 		name = nameOf(machine, report)
@@ -91,22 +91,22 @@
 	return name, err
 }
 
-// checkWriter checks a report against the record of the machine, which is nil before there is one. No
-// record tells of a start below the level at which reports have to.
-func checkWriter(name string, held *v1.MachineSpec, report *wirepb.InstanceReport) error {
+// checkWriter checks a report against the machine's record, nil if there is none. Below the level
+// that requires start times, records do not have one.
+func checkWriter(name string, record *v1.MachineSpec, report *wirepb.InstanceReport) error {
 	switch {
-	case held == nil || held.Pool == "":
+	case record == nil || record.Pool == "":
 		return nil
-	case held.Pool != report.GetPool():
-		return fault.InvalidField("pool", "machine %s is of pool %s, not of %q", name, held.Pool, report.GetPool())
-	case held.StartedMs != 0 && report.GetStartedMs() == 0:
-		return fault.InvalidField("started", "machine %s tells when it started, the report does not", name)
+	case record.Pool != report.GetPool():
+		return fault.InvalidField("pool", "machine %s belongs to pool %s, not to %q", name, record.Pool, report.GetPool())
+	case record.StartedMs != 0 && report.GetStartedMs() == 0:
+		return fault.InvalidField("started", "machine %s has a start time, the report has none", name)
 	}
 	return nil
 }
 
-// keepInstance keeps a machine's report as the leader.
-func (n *Node) keepInstance(report *wirepb.InstanceReport) {
+// storeInstanceReport stores a machine's report on the leader.
+func (n *Node) storeInstanceReport(report *wirepb.InstanceReport) {
 	name, err := n.checkInstance(report)
 	if err != nil {
 		n.logger.Warn("report_refused", "machine", report.GetMachine(), "field", fault.FieldOf(err), "error", fault.Message(err))
--- a/internal/control/instances_test.go
+++ b/internal/control/instances_test.go
@@ -6,18 +6,17 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestLeaderAsksForWhatWasLeftOut: a machine turns to one follower, then to the other with other
-// models, and back. The first follower leaves out what it has passed on, which the leader holds
-// no more.
-func TestLeaderAsksForWhatWasLeftOut(t *testing.T) {
-	cluster := startTrio(t)
+// TestLeaderRequestsOmittedContent checks that a report reaches the leader in full if a follower
+// omits content that another follower's report has replaced on the leader.
+func TestLeaderRequestsOmittedContent(t *testing.T) {
+	cluster := startCluster(t)
 	leader, first := cluster.leaderAndFollower()
 	second := 3 - leader - first
-	cluster.eventually("the second follower in step", func() bool {
+	cluster.eventually("the second follower has caught up", func() bool {
 		return cluster.nodes[second].Revision() >= cluster.nodes[leader].Revision()
 	})
 	sequence := uint64(0)
-	tell := func(position int, model string) {
+	send := func(position int, model string) {
 		t.Helper()
 		held := func() bool {
 			report := cluster.nodes[leader].instances.Entries()["m"].Report
@@ -28,13 +27,13 @@
 		if err := cluster.nodes[position].Heartbeat(t.Context(), report); err != nil {
 			t.Fatal(err)
 		}
-		cluster.eventually("what the machine said at the leader", held)
+		cluster.eventually("the leader has the report", held)
 	}
-	tell(first, "a")
-	tell(first, "a")
-	tell(second, "b")
-	tell(first, "a")
-	tell(second, "b")
-	tell(leader, "c")
-	tell(second, "b")
+	send(first, "a")
+	send(first, "a")
+	send(second, "b")
+	send(first, "a")
+	send(second, "b")
+	send(leader, "c")
+	send(second, "b")
 }
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -13,44 +13,43 @@
 
 const (
 	joinInterval = 250 * time.Millisecond
-	// joinLifetime is how long a request to join is remembered; the node
-	// repeats it until it sees itself among the members.
+	// joinLifetime is how long a join request is kept; a node repeats its request until it is a
+	// member.
 	joinLifetime = 2 * time.Second
-	// leaderSilence, in election timeouts, is after how much silence a member
-	// takes it that it may have been removed.
-	leaderSilence = 2
-	// forgetLearnerAfter is how long a silent learner stays a member.
-	forgetLearnerAfter = 30 * time.Second
+	// leaderTimeoutElections is the number of election timeouts without leader contact after which
+	// a member assumes that it may have been removed.
+	leaderTimeoutElections = 2
+	removeLearnerAfter     = 30 * time.Second
 )
 
-// joinTable holds the newest request to join from each address.
+// joinTable holds the latest join request from each address.
 type joinTable struct {
-	mutex sync.Mutex
-	held  map[string]joinEntry
+	mutex    sync.Mutex
+	requests map[string]joinEntry
 }
 
 type joinEntry struct {
-	member   *wirepb.MemberAddress
-	received time.Duration
+	member     *wirepb.MemberAddress
+	receivedAt time.Duration
 }
 
 func newJoinTable() *joinTable {
-	return &joinTable{held: map[string]joinEntry{}}
+	return &joinTable{requests: map[string]joinEntry{}}
 }
 
 func (t *joinTable) put(now time.Duration, member *wirepb.MemberAddress) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.held[member.GetAddress()] = joinEntry{member: member, received: now}
+	t.requests[member.GetAddress()] = joinEntry{member: member, receivedAt: now}
 }
 
 func (t *joinTable) recent(now time.Duration) []*wirepb.MemberAddress {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var recent []*wirepb.MemberAddress
-	for address, entry := range t.held {
-		if now-entry.received > joinLifetime {
-			delete(t.held, address)
+	for address, entry := range t.requests {
+		if now-entry.receivedAt > joinLifetime {
+			delete(t.requests, address)
 			continue
 		}
 		recent = append(recent, entry.member)
@@ -58,9 +57,9 @@
 	return recent
 }
 
-// takeJoin keeps a request to join; one that comes from the node itself is
-// passed on to the leader.
-func (n *Node) takeJoin(member *wirepb.MemberAddress, sender uint64) {
+// receiveJoin stores a join request and forwards one that comes from the joining node itself to the
+// leader.
+func (n *Node) receiveJoin(member *wirepb.MemberAddress, sender uint64) {
 	if member.GetId() == raft.None || member.GetAddress() == "" {
 		return
 	}
@@ -75,9 +74,8 @@
 	}
 }
 
-// nextFormed returns the next step of the membership where the nodes find
-// each other by themselves.
-func (n *Node) nextFormed(node *raft.Node) *wirepb.Membership {
+// nextMembership returns the next membership change in a cluster that forms from seeds.
+func (n *Node) nextMembership(node *raft.Node) *wirepb.Membership {
 	return membership.Next(membership.Input{
 		Status: node.Status(), Current: node.Membership(), Peers: node.Peers(), Joins: n.joins.recent(n.now()),
 		Policy: n.membershipPolicy(),
@@ -88,29 +86,28 @@
 	formation := n.settings.Formation
 	return membership.Policy{
 		Voters: formation.Voters(), Zones: formation.TolerateZones, Regions: formation.TolerateRegions,
-		Places: n.settings.Position().Map, ReplaceAfter: n.settings.Control.ReplaceAfter, ForgetAfter: forgetLearnerAfter,
+		Places: n.settings.Position().Map, ReplaceAfter: n.settings.Control.ReplaceAfter, ForgetAfter: removeLearnerAfter,
 	}
 }
 
-// logTolerance tells, for each membership that comes into force, what its voters bear, and
-// whether that is less than what they should.
+// logTolerance logs how many losses the voters of a new membership tolerate, and a warning if that
+// is less than configured.
 func (n *Node) logTolerance(current *wirepb.Membership) {
 	if !n.settings.Formation.Forms() || len(current.GetVoters()) == 0 {
 		return
 	}
 	formation := n.settings.Formation
-	borne := membership.Bears(current, n.membershipPolicy())
-	n.metrics.observeTolerance(borne)
+	tolerance := membership.Bears(current, n.membershipPolicy())
+	n.metrics.observeTolerance(tolerance)
 	n.logger.Info("voters_bear", "voters", len(current.GetVoters()),
-		"machines", borne.Machines, "zones", borne.Zones, "regions", borne.Regions)
-	if borne.Machines < formation.Tolerate || borne.Zones < formation.TolerateZones || borne.Regions < formation.TolerateRegions {
+		"machines", tolerance.Machines, "zones", tolerance.Zones, "regions", tolerance.Regions)
+	if tolerance.Machines < formation.Tolerate || tolerance.Zones < formation.TolerateZones || tolerance.Regions < formation.TolerateRegions {
 		n.logger.Warn("voters_bear_too_little", "machines_asked", formation.Tolerate,
 			"zones_asked", formation.TolerateZones, "regions_asked", formation.TolerateRegions)
 	}
 }
 
-// members are where the control nodes listen and stand; empty where the settings of all nodes
-// list them.
+// members returns the addresses of the control nodes; none if the settings list all members.
 func (n *Node) members() []*wirepb.MemberAddress {
 	return n.membership.Load().GetAddresses()
 }
@@ -125,11 +122,11 @@
 	}
 }
 
-// isSettled reports whether the node is a member under its present address
-// and hears from a leader.
-func (n *Node) isSettled() bool {
+// hasJoined reports whether the node is a member under its current address and has contact with a
+// leader.
+func (n *Node) hasJoined() bool {
 	status := n.status.Load()
-	silent := n.now()-status.LastContact > leaderSilence*n.settings.Control.ElectionTimeout
+	silent := n.now()-status.LastContact > leaderTimeoutElections*n.settings.Control.ElectionTimeout
 	if status.Leader == raft.None || status.Role != raft.Leader && silent {
 		return false
 	}
@@ -142,9 +139,8 @@
 	return false
 }
 
-// runJoin asks to join as long as the node is not settled: the seeds, and
-// whoever else it knows. A node that was removed while it was away notices the
-// same way.
+// runJoin sends join requests to the seeds and all known peers until the node has joined. A node
+// that was removed while unreachable joins again the same way.
 func (n *Node) runJoin(ctx context.Context, workers *sync.WaitGroup) {
 	var seeds []*peerLink
 	stopSeeds := func() {}
@@ -152,14 +148,14 @@
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
 	for {
-		if n.isSettled() {
+		if n.hasJoined() {
 			stopSeeds()
 			seeds, stopSeeds = nil, func() {}
 		} else {
 			if seeds == nil {
 				seeds, stopSeeds = n.dialSeeds(ctx, workers)
 			}
-			n.askToJoin(seeds)
+			n.sendJoinRequests(seeds)
 		}
 		select {
 		case <-ctx.Done():
@@ -169,11 +165,11 @@
 	}
 }
 
-func (n *Node) askToJoin(seeds []*peerLink) {
+func (n *Node) sendJoinRequests(seeds []*peerLink) {
 	own := n.ownAddress()
 	status := n.status.Load()
 	if status.Role == raft.Leader {
-		n.takeJoin(own, n.id)
+		n.receiveJoin(own, n.id)
 		return
 	}
 	for _, link := range append(n.peers.all(), seeds...) {
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -19,38 +19,32 @@
 
 const (
 	reconcileInterval = 100 * time.Millisecond
-	// reconcilePause keeps a stream of nudges from using up the processor.
-	reconcilePause = 5 * time.Millisecond
-	// restPerWork is how many times as long as it worked a loop of the leader rests. Passes and
-	// orders look at all machines: with 3,000 of them a pass takes some 70 ms of half a core,
-	// and without a rest heartbeats came too late to keep the lease. With this a quarter of the
-	// processor goes to each of the two at most.
-	restPerWork = 3
-	// maxRest bounds the rest, so that a pass that was held up by something else does not
-	// hold up the next for long.
-	maxRest         = 500 * time.Millisecond
+	// minPause bounds the rate of passes under continuous wakeups.
+	minPause = 5 * time.Millisecond
+	// pausePerWork is the pause after a pass as a multiple of its duration. It bounds passes and
+	// order dispatch to a quarter of a processor each, which leaves time to send heartbeats.
+	pausePerWork    = 3
+	maxPause        = 500 * time.Millisecond
 	commitTimeout   = 3 * time.Second
 	listReadTimeout = 2 * time.Second
-	// registeredSettleTime is how long a new leader waits for reports where it
-	// asks the machines itself, and uses none that it has not heard of.
+	// registeredSettleTime is how long a new leader that polls machines itself waits for reports.
 	registeredSettleTime = 600 * time.Millisecond
 )
 
-// leader runs the controller for one term and proposes what it decides.
+// leader runs the controller for one term and proposes its decisions.
 type leader struct {
 	node       *Node
 	controller *controller.Controller
 	list       *atomic.Pointer[platform.MachineList]
-	// fleet gives orders to the machines that registered by themselves.
-	fleet   *fleet
-	permits *termPermits
-	// committing is how long the present pass has waited for the log.
-	committing time.Duration
-	// load is what passes took since it was last logged.
-	load passLoad
+	// dispatcher sends orders to machines that registered themselves.
+	dispatcher *orderDispatcher
+	permits    *termPermits
+	// commitWait is the time that the current pass has waited for commits.
+	commitWait time.Duration
+	load       passLoad
 }
 
-// runLeader runs the controller whenever this node leads.
+// runLeader runs the controller while this node is leader.
 func (n *Node) runLeader(ctx context.Context) {
 	list := &atomic.Pointer[platform.MachineList]{}
 	go n.readMachineList(ctx, list)
@@ -62,7 +56,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-n.nudge:
+		case <-n.leaderWakeup:
 		}
 		status := n.status.Load()
 		if current != nil && !status.LeadsIn(current.controller.Term()) {
@@ -75,50 +69,50 @@
 		if current == nil {
 			current = n.newLeader(ctx, status.Term, list)
 		}
-		pause(ctx, max(restAfter(current.timedPass(ctx)), reconcilePause))
+		sleepContext(ctx, max(pauseAfter(current.timedPass(ctx)), minPause))
 	}
 }
 
-// restAfter is how long a loop rests that has worked so long.
-func restAfter(worked time.Duration) time.Duration {
-	return min(restPerWork*worked, maxRest)
+// pauseAfter returns the pause after a pass of the given duration.
+func pauseAfter(duration time.Duration) time.Duration {
+	return min(pausePerWork*duration, maxPause)
 }
 
-// pause waits for a while, or until ctx ends.
-func pause(ctx context.Context, span time.Duration) {
+// sleepContext waits for a duration or until ctx is done.
+func sleepContext(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(span):
+	case <-time.After(duration):
 	}
 }
 
-// timedPass runs a pass and returns how long it worked: waiting for the log is no work.
+// timedPass runs a pass and returns its duration, excluding waits for commits.
 func (l *leader) timedPass(ctx context.Context) time.Duration {
-	l.committing = 0
+	l.commitWait = 0
 	started := time.Now()
 	l.pass(ctx)
-	took := time.Since(started)
-	l.load.add(took, l.committing)
+	duration := time.Since(started)
+	l.load.add(duration, l.commitWait)
 	l.load.log(l.node, time.Now())
-	return took - l.committing
+	return duration - l.commitWait
 }
 
-// awaitLog counts the time of a call as waiting for the log.
-func (l *leader) awaitLog(call func()) {
+// timeCommit adds the duration of a call to the time waited for commits.
+func (l *leader) timeCommit(call func()) {
 	started := time.Now()
 	call()
-	l.committing += time.Since(started)
+	l.commitWait += time.Since(started)
 }
 
 func (l *leader) stop() {
 	if l != nil {
-		l.fleet.stop()
+		l.dispatcher.stop()
 	}
 }
 
 func (n *Node) newLeader(ctx context.Context, term uint64, list *atomic.Pointer[platform.MachineList]) *leader {
 	platformSettings := n.settings.Platform
-	history, historyAge := n.pastDemand()
+	history, historyAge := n.recentDemand()
 	n.logger.Info("term_begun", "term", term, "versions_known", len(history), "history_age_ms", historyAge.Milliseconds())
 	config := controller.Config{
 		Node: n.settings.Node, Term: term, MachineTimeout: n.settings.Policy.MachineTimeout,
@@ -138,32 +132,31 @@
 	permits := newTermPermits(term, n.now())
 	n.permits.Store(permits)
 	return &leader{
-		node: n, controller: controller.New(n.now(), config, n.reports), list: list, fleet: newFleet(ctx, n, term),
+		node: n, controller: controller.New(n.now(), config, n.reports), list: list, dispatcher: newOrderDispatcher(ctx, n, term),
 		permits: permits,
 	}
 }
 
-// pass runs every controller once. Each decides on a state that holds the
-// outcome of the one before. The state is held while it is read, and not while
-// controllers decide: the log can't apply anything meanwhile, nor send heartbeats, and with
-// thousands of machines a leader lost its followers in one pass.
+// pass runs every controller once, each on a state that includes the outcome of the previous one.
+// The state lock is held only while reading: controllers may take long in large clusters, and the
+// log can't apply entries or send heartbeats while it is held.
 func (l *leader) pass(ctx context.Context) {
 	l.node.Read(l.controller.Observe)
 	l.write(ctx, l.controller.MachineWrites(l.node.now(), l.list.Load()))
-	l.load.time(partFollow, func() { l.fleet.follow(ctx, l) })
-	l.load.time(partPlace, func() { l.placeReplicas(ctx) })
-	l.fleet.setWork(l.controller.Work())
-	l.fleet.wake()
-	l.sweep(ctx)
+	l.load.timePart(partFollow, func() { l.dispatcher.syncMachines(ctx, l) })
+	l.load.timePart(partPlace, func() { l.placeReplicas(ctx) })
+	l.dispatcher.setWork(l.controller.Work())
+	l.dispatcher.wake()
+	l.sweepClaims(ctx)
 	l.repairMembership(ctx)
 	l.raiseLevel(ctx)
 	l.controller.SetControl(l.node.members())
-	l.load.time(partDigest, l.spreadDigest)
+	l.load.timePart(partDigest, l.publishDigest)
 }
 
-// spreadDigest tells everyone the soft state, if that is due. What it says of machines that warm
-// up holds as of its revision, so both are read together.
-func (l *leader) spreadDigest() {
+// publishDigest sends the soft state to all nodes if it is due. The warming states refer to the
+// revision in the digest, so both are read together.
+func (l *leader) publishDigest() {
 	var revision uint64
 	l.node.Read(func(machine *state.Machine) {
 		l.controller.Observe(machine)
@@ -176,7 +169,7 @@
 		return
 	}
 	l.load.digests++
-	l.node.takeDigest(digest)
+	l.node.receiveDigest(digest)
 	l.node.peers.broadcastDigest(digest)
 }
 
@@ -195,19 +188,19 @@
 	l.node.metrics.decideSeconds.Observe(time.Since(started).Seconds())
 	for _, command := range decision.Commands {
 		if !l.recordLoad(ctx, command) {
-			return // The records of the replicas stay, and tell the next pass.
+			return // The next pass retries, since the replica records remain.
 		}
 	}
 	for _, action := range decision.Actions {
 		l.logAction(action)
 	}
-	l.fleet.prepare(ctx, ordered(decision.Actions))
-	l.write(ctx, l.fleet.withAdapters(decision.Writes))
+	l.dispatcher.prepare(ctx, machinesToOrder(decision.Actions))
+	l.write(ctx, l.dispatcher.withAdapters(decision.Writes))
 }
 
-// ordered returns the machines that actions mean orders for, each once: one connection and one
-// grant serve all orders to a machine.
-func ordered(actions []placement.Action) []string {
+// machinesToOrder returns the machines that actions will send orders to, each once, since a
+// connection and a grant serve all orders to a machine.
+func machinesToOrder(actions []placement.Action) []string {
 	var machines []string
 	for _, action := range actions {
 		switch action.Kind {
@@ -221,18 +214,18 @@
 	return slices.Compact(machines)
 }
 
-// recordLoad commits what came of a load, and reports whether it is in the log.
+// recordLoad commits the outcome of a load and reports whether the log has processed it.
 func (l *leader) recordLoad(ctx context.Context, command *wirepb.Command) bool {
 	var result *wirepb.CommandResult
 	var err error
-	l.awaitLog(func() { result, err = l.commit(ctx, command) })
+	l.timeCommit(func() { result, err = l.commit(ctx, command) })
 	if err != nil {
 		l.node.logger.Warn("load_not_recorded", "error", fault.Message(err))
 		return false
 	}
 	if result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
 		l.node.logger.Warn("load_not_recorded", "error", result.GetMessage())
-		return true // The log refuses it, and would again.
+		return true // Rejected by the state machine; a retry would be rejected as well.
 	}
 	crash := command.GetRecordCrash()
 	l.node.logger.Info("load_recorded", "machine", crash.GetMachine(), "ended", crash != nil, "revision", result.GetWrite().GetRevision())
@@ -249,8 +242,8 @@
 		"tier", action.Spec.Tier, "reason", action.Reason)
 }
 
-// write proposes the writes together. Where one of them is refused, each is
-// proposed alone, so that one bad decision does not hold up the others.
+// write proposes writes in one command. If it is rejected, each write is proposed separately, so
+// that one invalid decision does not block the others.
 func (l *leader) write(ctx context.Context, writes []*wirepb.ObjectWrite) {
 	if len(writes) == 0 {
 		return
@@ -258,7 +251,7 @@
 	command := &wirepb.Command{Body: &wirepb.Command_Write{Write: &wirepb.WriteCommand{Writes: writes}}}
 	var result *wirepb.CommandResult
 	var err error
-	l.awaitLog(func() { result, err = l.commit(ctx, command) })
+	l.timeCommit(func() { result, err = l.commit(ctx, command) })
 	if err != nil {
 		l.node.logger.Warn("write_not_committed", "error", fault.Message(err))
 		return
@@ -281,7 +274,7 @@
 	return l.node.proposeLocally(ctx, command)
 }
 
-func (l *leader) sweep(ctx context.Context) {
+func (l *leader) sweepClaims(ctx context.Context) {
 	due := false
 	l.node.Read(func(machine *state.Machine) { due = l.controller.SweepDue(l.node.now(), machine) })
 	if !due {
@@ -293,7 +286,7 @@
 	}
 }
 
-// repairMembership lets a standby take the place of a voter that is lost.
+// repairMembership proposes the next membership change, if one is needed.
 func (l *leader) repairMembership(ctx context.Context) {
 	target := 0
 	for _, entry := range l.node.settings.Control.Members {
@@ -302,11 +295,11 @@
 		}
 	}
 	node := l.node
-	l.onLoop(ctx, func() {
+	l.runOnLoop(ctx, func() {
 		raftNode := node.member.Raft
 		next := controller.NextMembership(raftNode.Status(), raftNode.Peers(), target, node.settings.Control.ReplaceAfter)
 		if node.settings.Formation.Forms() {
-			next = node.nextFormed(raftNode)
+			next = node.nextMembership(raftNode)
 		}
 		if next == nil {
 			return
@@ -320,16 +313,16 @@
 	})
 }
 
-// onLoop runs an action on the goroutine that owns the member, unless that
-// stops first.
-func (l *leader) onLoop(ctx context.Context, action func()) {
+// runOnLoop runs an action on the goroutine that owns the member, unless ctx ends first.
+func (l *leader) runOnLoop(ctx context.Context, action func()) {
 	select {
 	case l.node.actions <- action:
 	case <-ctx.Done():
 	}
 }
 
-// readMachineList polls the platform's list. A failed read keeps the last.
+// readMachineList polls the platform's machine list. If a read fails, the previous list stays in
+// use.
 func (n *Node) readMachineList(ctx context.Context, list *atomic.Pointer[platform.MachineList]) {
 	if n.settings.Platform.MachineList == "" {
 		return
@@ -362,7 +355,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, fault.Unavailable.New("the machine list answered %d", response.StatusCode)
+		return nil, fault.Unavailable.New("the machine list URL returned status %d", response.StatusCode)
 	}
 	read := &platform.MachineList{}
 	if err := json.NewDecoder(response.Body).Decode(read); err != nil {
--- a/internal/control/leader_test.go
+++ b/internal/control/leader_test.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// TestLoopsLeaveTheProcessorToTheLog: passes that took 70 ms each followed each other after 5 ms.
-// The log got what was left, its heartbeats came too late, and the leader lost its followers
-// every 1.5 s.
-func TestLoopsLeaveTheProcessorToTheLog(t *testing.T) {
+// TestPassesLeaveProcessorTimeToTheLog checks that passes leave enough processor time to send
+// heartbeats.
+func TestPassesLeaveProcessorTimeToTheLog(t *testing.T) {
 	const longestShare = 0.25
-	for _, worked := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 70 * time.Millisecond, 150 * time.Millisecond} {
-		rested := restAfter(worked)
-		if share := float64(worked) / float64(worked+rested); share > longestShare {
-			t.Errorf("a loop that works for %s takes %.2f of the processor", worked, share)
+	for _, duration := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 70 * time.Millisecond, 150 * time.Millisecond} {
+		paused := pauseAfter(duration)
+		if share := float64(duration) / float64(duration+paused); share > longestShare {
+			t.Errorf("passes of %s use a share of %.2f of a processor", duration, share)
 		}
 	}
-	if rested := restAfter(time.Minute); rested > maxRest {
-		t.Errorf("one long pass holds up the next for %s", rested)
+	if paused := pauseAfter(time.Minute); paused > maxPause {
+		t.Errorf("one long pass delays the next by %s", paused)
 	}
 }
--- a/internal/control/level.go
+++ b/internal/control/level.go
@@ -12,20 +12,21 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// raiseAfter is how long a term lasts before its leader raises the level: twice as long as nodes
-// take to find the new leader and to report, also after everything was restarted. What is raised
-// too early shuts nodes of an earlier release out while they still serve.
-const raiseAfter = 5 * time.Second
+// raiseLevelDelay is the minimum age of a term before its leader raises the level. It exceeds the
+// time in which nodes find the new leader and report, as nodes of an earlier release are refused
+// after the level is raised.
+const raiseLevelDelay = 5 * time.Second
 
-// Level is the level of the cluster in force, as applied here.
+// Level returns the cluster level in force, as of the applied state.
 func (n *Node) Level() level.Level {
 	n.stateMutex.RLock()
 	defer n.stateMutex.RUnlock()
 	return n.member.State.Level()
 }
 
-// refuseLevel returns why a process is not let in that does not understand the level in force.
-func (n *Node) refuseLevel(hello *wirepb.Hello) string {
+// levelRefusal returns why a process that does not support the level in force is refused; empty if
+// it is not.
+func (n *Node) levelRefusal(hello *wirepb.Hello) string {
 	inForce := n.Level()
 	if level.Level(hello.GetLevel()) >= inForce {
 		return ""
@@ -33,22 +34,21 @@
 	return fmt.Sprintf("the cluster is at level %d, this release understands %d", inForce, hello.GetLevel())
 }
 
-// raiseLevel puts the next level in force once all members and all nodes in touch understand it. A
-// cluster whose members have just formed begins with it: no release before has written anything, and
-// to record thousands of machines first and their starts afterwards would tell every node of each twice.
+// raiseLevel raises the level once all members and connected nodes support the next one. A new
+// cluster raises it at once, before any state has been written at a lower level.
 func (l *leader) raiseLevel(ctx context.Context) {
 	node := l.node
 	var inForce level.Level
 	isNew := false
 	node.Read(func(machine *state.Machine) { inForce, isNew = machine.Level(), machine.Revision() == 0 })
-	if inForce == level.Supported || !isNew && node.now()-l.fleet.since < raiseAfter {
+	if inForce == level.Supported || !isNew && node.now()-l.dispatcher.startedAt < raiseLevelDelay {
 		return
 	}
-	understood, complete := node.understoodLevels()
+	supported, complete := node.supportedLevels()
 	if !complete {
 		return
 	}
-	next, raised := level.Next(inForce, understood)
+	next, raised := level.Next(inForce, supported)
 	if !raised {
 		return
 	}
@@ -57,12 +57,12 @@
 		node.logger.Warn("level_not_raised", "level", uint32(next), "error", fault.Message(err))
 		return
 	}
-	node.logger.Info("level_raised", "level", uint32(next), "before", uint32(inForce), "asked", len(understood))
+	node.logger.Info("level_raised", "level", uint32(next), "before", uint32(inForce), "asked", len(supported))
 }
 
-// understoodLevels returns what the members and the nodes in touch understand. It is not complete
-// while a member is not connected.
-func (n *Node) understoodLevels() (levels []level.Level, complete bool) {
+// supportedLevels returns the levels supported by the members and by the nodes that report. It is
+// incomplete while a member is not connected.
+func (n *Node) supportedLevels() (levels []level.Level, complete bool) {
 	levels = n.reports.Levels(n.now())
 	membership := n.membership.Load()
 	for _, id := range append(append([]uint64{}, membership.GetVoters()...), membership.GetLearners()...) {
@@ -73,17 +73,17 @@
 		if link == nil {
 			return nil, false
 		}
-		understood, connected := link.level()
+		supported, connected := link.level()
 		if !connected {
 			return nil, false
 		}
-		levels = append(levels, understood)
+		levels = append(levels, supported)
 	}
 	return levels, true
 }
 
-// level returns what the member understands, while it is connected.
-func (l *peerLink) level() (understood level.Level, connected bool) {
+// level returns the level that the member supports; none while it is not connected.
+func (l *peerLink) level() (supported level.Level, connected bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.conn == nil {
@@ -92,10 +92,10 @@
 	return level.Level(l.conn.Peer.GetLevel()), true
 }
 
-// isTooOld reports whether a member that this node dialled does not understand the level in force.
-// Entries of the log must not reach it.
-func (l *peerLink) isTooOld(conn *wire.Conn) bool {
-	refusal := l.node.refuseLevel(conn.Peer)
+// isUnsupported reports whether the dialed member does not support the level in force. It must then
+// not receive log entries.
+func (l *peerLink) isUnsupported(conn *wire.Conn) bool {
+	refusal := l.node.levelRefusal(conn.Peer)
 	if refusal != "" {
 		l.node.logger.Warn("member_too_old", "member", l.member.ID, "address", l.member.Address, "reason", refusal)
 	}
--- a/internal/control/limits_test.go
+++ b/internal/control/limits_test.go
@@ -7,32 +7,31 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// limitOf is what a router was told by a machine a moment ago.
+// limitOf returns a limit that a router recently received from a machine.
 func limitOf(machine string, perSecond float64) *wirepb.MachineLimit {
 	return &wirepb.MachineLimit{Machine: machine, Limited: true, PerSecond: perSecond, SentAgeMs: 20, HeardAgeMs: 10}
 }
 
-func (c *trio) permit(node int, request *wirepb.PermitRequest) (isGranted, isAnswered bool) {
+func (c *testCluster) permit(node int, request *wirepb.PermitRequest) (isGranted, isAnswered bool) {
 	reply, err := c.nodes[node].localPermit(request)
 	return reply.GetGranted(), err == nil
 }
 
-// TestLimitsPaceAMachineUnderEveryLeader: a machine whose limit a router tells of with its question, or
-// with its report, gets one token bucket; the digests tell all of it; and the next leader knows it without
-// having heard of a router.
-func TestLimitsPaceAMachineUnderEveryLeader(t *testing.T) {
-	cluster := startTrio(t)
+// TestLimitsApplyUnderEveryLeader checks that a limit reported with a permit request paces the
+// machine, reaches the followers, and applies under the next leader without a router repeating it.
+func TestLimitsApplyUnderEveryLeader(t *testing.T) {
+	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
 	cluster.declareWarming(leader, "m", 1000)
-	told := &wirepb.PermitRequest{Machine: "m", LimitOnly: true, Limit: limitOf("m", 0.5)}
-	cluster.eventually("an answer", func() bool {
-		isGranted, isAnswered := cluster.permit(leader, told)
+	first := &wirepb.PermitRequest{Machine: "m", LimitOnly: true, Limit: limitOf("m", 0.5)}
+	cluster.eventually("a reply", func() bool {
+		isGranted, isAnswered := cluster.permit(leader, first)
 		if isGranted {
-			t.Fatal("a limit that is new begins with a permit")
+			t.Fatal("the first request under a new limit was granted")
 		}
 		return isAnswered
 	})
-	cluster.eventually("the next leader is told", func() bool {
+	cluster.eventually("a follower knows the limit", func() bool {
 		limit := cluster.nodes[follower].limits.of("m")
 		return limit.IsSet && limit.PerSecond == 0.5
 	})
@@ -50,7 +49,7 @@
 	for _, request := range []*wirepb.PermitRequest{{Machine: "m", LimitOnly: true}, {Machine: "m"}} {
 		granted := 0
 		for range 50 {
-			cluster.eventually("an answer of the next leader", func() bool {
+			cluster.eventually("a reply of the next leader", func() bool {
 				isGranted, isAnswered := cluster.permit(next, request)
 				if isGranted {
 					granted++
@@ -59,15 +58,15 @@
 			})
 		}
 		if granted == 50 {
-			t.Errorf("asked for %v, the next leader lets all through", request)
+			t.Errorf("the next leader granted every request %v", request)
 		}
 	}
 }
 
-// TestEndOfALimitNeedsNoPermit: a router that has not heard of it yet is let through, whatever it takes the
-// limit to be.
-func TestEndOfALimitNeedsNoPermit(t *testing.T) {
-	cluster := startTrio(t)
+// TestEndedLimitNeedsNoPermit checks that permits are granted to a router that still applies an
+// ended limit.
+func TestEndedLimitNeedsNoPermit(t *testing.T) {
+	cluster := startCluster(t)
 	leader, _ := cluster.leaderAndFollower()
 	cluster.declareWarming(leader, "m", 1000)
 	node := cluster.nodes[leader]
@@ -80,7 +79,7 @@
 			return isAnswered && isGranted
 		})
 	}
-	if told := node.limitSnapshot(); len(told) != 1 || told[0].Limit.IsSet || told[0].HeardAge < 2*time.Second {
-		t.Errorf("the others are told %v", told)
+	if limits := node.limitSnapshot(); len(limits) != 1 || limits[0].Limit.IsSet || limits[0].HeardAge < 2*time.Second {
+		t.Errorf("the digest has limits %v", limits)
 	}
 }
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/weldline/weldline/internal/raft"
 )
 
-// Metrics are the control node's metrics.
+// Metrics holds the Prometheus metrics of a control node.
 type Metrics struct {
 	role, term, applied prometheus.Gauge
 	electionTimeout     prometheus.Gauge
@@ -69,10 +69,10 @@
 	m.permits.WithLabelValues(outcome).Inc()
 }
 
-func (m *Metrics) observeTolerance(borne membership.Tolerance) {
-	m.tolerance.WithLabelValues("machines").Set(float64(borne.Machines))
-	m.tolerance.WithLabelValues("zones").Set(float64(borne.Zones))
-	m.tolerance.WithLabelValues("regions").Set(float64(borne.Regions))
+func (m *Metrics) observeTolerance(tolerance membership.Tolerance) {
+	m.tolerance.WithLabelValues("machines").Set(float64(tolerance.Machines))
+	m.tolerance.WithLabelValues("zones").Set(float64(tolerance.Zones))
+	m.tolerance.WithLabelValues("regions").Set(float64(tolerance.Regions))
 }
 
 func (m *Metrics) observeStatus(status *raft.Status) {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -25,59 +25,55 @@
 )
 
 const (
-	tickInterval  = 10 * time.Millisecond
-	inboxLength   = 4096
-	maxBatch      = 256
-	maxEntries    = 256
-	maxInflight   = 64
-	ticksPerElect = 10
-	// slowProcessing is how long it may take to process what has come while the
-	// disk is quick, calmTime for how long it must have been before a snapshot is
-	// taken that need not be.
-	slowProcessing = 20 * time.Millisecond
-	calmTime       = time.Second
-	minimumTickDur = time.Millisecond
+	tickInterval      = 10 * time.Millisecond
+	inboxLength       = 4096
+	maxBatch          = 256
+	maxEntries        = 256
+	maxInflight       = 64
+	ticksPerHeartbeat = 10
+	// slowProcessing is the processing time above which the disk counts as busy; idleDelay is how
+	// long it must not have been busy before an optional snapshot is taken.
+	slowProcessing  = 20 * time.Millisecond
+	idleDelay       = time.Second
+	minTickInterval = time.Millisecond
 )
 
-// Options are what a Node needs besides its settings.
+// Options holds the dependencies of a Node.
 type Options struct {
 	Settings *settings.Settings
 	Logger   *slog.Logger
-	// Storage and Recovered are the opened data folder.
+	// Storage and Recovered are the opened data directory.
 	Storage   member.Storage
 	Recovered member.Recovered
-	// ID is the node's id in the replicated log.
+	// ID is the node's ID in the replicated log.
 	ID uint64
-	// Join is set for a node that learns the members from the others.
+	// Join is set for a node that learns the membership from other nodes.
 	Join bool
-	// First are the addresses of the first voters, in a system that formed
-	// from seeds with this node among them.
+	// FirstVoters are the addresses of the initial voters, including this node, in a cluster that
+	// formed from seeds.
 	First   []string
 	Metrics *Metrics
-	// Self is how the node introduces itself, with its id in the log.
+	// Self is the identity that the node sends when it connects, including its ID.
 	Self wire.Identity
-	// Seeds are where some control nodes listen, by the settings as last read.
+	// Seeds returns the seed addresses from the current settings.
 	Seeds func() []string
-	// Engines reaches the machines that register by themselves; nil where
-	// agents give the orders.
+	// Engines reaches machines that register themselves; nil if agents execute the orders.
 	Engines Engines
-	// Clock counts the time that the machine sleeps, like clock.Now, which it is by default.
+	// Clock must count the time that the machine is suspended; the default is clock.Now.
 	Clock func() time.Duration
 }
 
-// Node is a running control node.
 type Node struct {
 	settings *settings.Settings
 	logger   *slog.Logger
 	metrics  *Metrics
 	self     wire.Identity
 	id       uint64
-	// clock is what claims of the node towards others are measured by, and started what it
-	// showed when the node was made.
+	// started is the clock's reading when the node was created.
 	clock   func() time.Duration
 	started time.Duration
 
-	// stateMutex guards member.State: the loop writes, everyone reads.
+	// stateMutex guards member.State, which only the loop modifies.
 	stateMutex sync.RWMutex
 	member     *member.Member
 	inbox      chan *wirepb.RaftMessage
@@ -89,43 +85,41 @@
 
 	digest        atomic.Pointer[wirepb.ClusterDigest]
 	digestChanged *signal.Broadcast
-	// history is what the newest leader handed on of demand.
-	history atomic.Pointer[demandHistory]
+	history       atomic.Pointer[demandHistory]
 
-	// permits are those of the term that this node led last.
+	// permits belong to the last term in which this node was leader.
 	permits atomic.Pointer[termPermits]
-	// limits are those that machines name, by what routers were told.
-	limits *machineLimits
+	limits  *machineLimits
 
 	peers *peerSet
 	joins *joinTable
-	// membership is the one in force, as applied here.
+	// membership is the applied membership.
 	membership atomic.Pointer[wirepb.Membership]
 	reports    *controller.ReportTable
-	// reportsOut are those that are passed on to the leader.
+	// reportsOut holds the reports to be forwarded to the leader.
 	reportsOut *feed.ReportQueue
-	// instances is what machines said of themselves lately.
+	// instances holds the latest reports of machines.
 	instances *instances.Table
 	engines   Engines
 	seeds     func() []string
-	// grants tells which machines others may have given orders to; holder names
-	// this node there.
-	grants *orders.Grants
-	holder string
-	nudge  chan struct{}
-	// calmSince is since when processing has been quick; the loop's own.
-	calmSince time.Duration
-	// unheard is what logContact told last; the loop's own.
-	unheard bool
-	// taken counts what was taken, for leader_load.
-	taken takenCounts
-	// linksChecked is when renewSilentLinks last looked; the loop's own.
-	linksChecked time.Duration
-	// stalls tells whether the process was stopped until a moment ago.
-	stalls stallGuard
+	// grants tracks which machines other nodes may still send orders to; holder is this node's name
+	// in grants.
+	grants       *orders.Grants
+	holder       string
+	leaderWakeup chan struct{}
+	// idleSince is when processing was last slow or an optional snapshot was taken; used only by
+	// the loop.
+	idleSince time.Duration
+	// wasIsolated is the last logged state of logReachability; used only by the loop.
+	wasIsolated bool
+	counters    loadCounters
+	// linksCheckedAt is when replaceSilentLinks last ran; used only by the loop.
+	linksCheckedAt time.Duration
+	// stallDetector detects that the process was recently suspended.
+	stallDetector stallDetector
 }
 
-// proposal is a command on its way through the log.
+// proposal is a command that waits to be committed.
 type proposal struct {
 	command *wirepb.Command
 	reply   chan proposalReply
@@ -136,7 +130,7 @@
 	err    error
 }
 
-// New opens a member over its storage.
+// New opens a member on its storage.
 func New(options Options) (*Node, error) {
 	if options.Clock == nil {
 		options.Clock = clock.Now
@@ -150,7 +144,7 @@
 		actions:   make(chan func(), 16),
 		pending:   member.NewProposals(),
 		changed:   signal.New(), digestChanged: signal.New(),
-		nudge: make(chan struct{}, 1),
+		leaderWakeup: make(chan struct{}, 1),
 	}
 	control := options.Settings.Control
 	config := raft.Config{
@@ -179,7 +173,7 @@
 	return node, nil
 }
 
-// bootstrapMembership is what the members agree on before the first change.
+// bootstrapMembership returns the membership before the first change.
 func bootstrapMembership(options Options) *wirepb.Membership {
 	membership := &wirepb.Membership{}
 	if options.Join {
@@ -198,8 +192,8 @@
 	return membership
 }
 
-// now is the time since the node started, sleeps of its machine included: whatever holds for
-// a time towards others (leases, grants, contact) is over after a sleep.
+// now returns the time since the node started, including time that the machine was suspended, so
+// that leases, grants and leader contact expire during suspend.
 func (n *Node) now() time.Duration {
 	return n.clock() - n.started
 }
@@ -221,7 +215,7 @@
 }
 
 func (n *Node) loop(ctx context.Context) error {
-	interval := max(minimumTickDur, min(tickInterval, n.settings.Control.HeartbeatInterval/ticksPerElect))
+	interval := max(minTickInterval, min(tickInterval, n.settings.Control.HeartbeatInterval/ticksPerHeartbeat))
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -229,11 +223,11 @@
 		case <-ctx.Done():
 			return n.stop()
 		case <-ticker.C:
-			if err := n.compactInCalm(); err != nil {
+			if err := n.compactWhenIdle(); err != nil {
 				return err
 			}
 			n.member.Raft.Tick(n.now())
-			n.renewSilentLinks()
+			n.replaceSilentLinks()
 		case message := <-n.inbox:
 			n.member.Raft.Step(n.now(), message)
 		case entry := <-n.proposals:
@@ -243,14 +237,14 @@
 		}
 		n.drainQueues()
 		if err := n.process(); err != nil {
-			n.logEnd(err)
+			n.logFatal(err)
 			return err
 		}
 	}
 }
 
-// logEnd tells why the member can't go on.
-func (n *Node) logEnd(err error) {
+// logFatal logs why the member can't continue.
+func (n *Node) logFatal(err error) {
 	if n.member.State.Unsupported() != nil {
 		n.logger.Error("release_too_old", "error", fault.Message(err))
 		return
@@ -258,14 +252,14 @@
 	n.logger.Error("storage_failed", "error", fault.Message(err))
 }
 
-// compactInCalm takes a snapshot while the disk is quick and all is well, so that
-// a restart finds little to replay: until it is done, the node helps nobody.
-func (n *Node) compactInCalm() error {
+// compactWhenIdle takes a snapshot while the disk is idle and a leader is known, to keep the replay
+// after a restart short.
+func (n *Node) compactWhenIdle() error {
 	now := n.now()
-	if !n.HasLeader() || now-n.calmSince < calmTime || !n.member.ReplayIsLong() {
+	if !n.HasLeader() || now-n.idleSince < idleDelay || !n.member.ReplayIsLong() {
 		return nil
 	}
-	n.calmSince = now
+	n.idleSince = now
 	if err := n.member.CompactNow(); err != nil {
 		n.logger.Error("storage_failed", "error", fault.Message(err))
 		return err
@@ -274,7 +268,7 @@
 	return nil
 }
 
-// drainQueues takes what else has come, so that one sync serves it all.
+// drainQueues handles queued messages and proposals, so that they share one disk sync.
 func (n *Node) drainQueues() {
 	for range maxBatch {
 		select {
@@ -290,8 +284,8 @@
 
 func (n *Node) propose(entry *proposal) {
 	if entry.command.GetBody() == nil {
-		// Of a later release: in the log it would stop every member that does not know it.
-		entry.reply <- proposalReply{err: fault.InvalidField("body", "this release does not know the command")}
+		// A command of a later release would stop every member that applies it.
+		entry.reply <- proposalReply{err: fault.InvalidField("body", "unknown command: it may belong to a later release")}
 		return
 	}
 	entry.command.ProposedUnixMs = time.Now().UnixMilli()
@@ -312,13 +306,13 @@
 		return err
 	}
 	if time.Since(started) > slowProcessing {
-		n.calmSince = n.now()
+		n.idleSince = n.now()
 	}
-	// What the node says to others must be true of all of it by then: a message
-	// may tell that it leads no more, and the status is what it acts by.
-	n.taken.entries.Add(int64(len(output.Applied)))
-	n.taken.processing.Add(int64(time.Since(started)))
-	n.noteGrants(output)
+	// The status must be published before messages are sent: a message may reveal that this node
+	// has stepped down, and the status controls what it does as leader.
+	n.counters.entries.Add(int64(len(output.Applied)))
+	n.counters.processing.Add(int64(time.Since(started)))
+	n.recordGrants(output)
 	n.publishStatus()
 	n.peers.sendRaft(output.Messages)
 	n.pending.Complete(output)
@@ -338,25 +332,25 @@
 		n.logTolerance(current)
 	}
 	previous := n.status.Swap(&status)
-	n.logContact(&status)
+	n.logReachability(&status)
 	if previous == nil || previous.Role != status.Role || previous.Term != status.Term || previous.Leader != status.Leader {
 		n.logger.Info("raft_role", "role", status.Role.String(), "term", status.Term, "leader", status.Leader)
 	}
 	n.metrics.observeStatus(&status)
 }
 
-// logContact tells when the leader stops or begins to hear this node.
-func (n *Node) logContact(status *raft.Status) {
-	unheard := n.isUnheard()
-	if unheard == n.unheard {
+// logReachability logs when this node's messages stop reaching the leader, and when they do again.
+func (n *Node) logReachability(status *raft.Status) {
+	isolated := n.isIsolated()
+	if isolated == n.wasIsolated {
 		return
 	}
-	n.unheard = unheard
-	n.logger.Warn("leader_contact", "heard", !unheard, "leader", status.Leader, "term", status.Term,
+	n.wasIsolated = isolated
+	n.logger.Warn("leader_contact", "heard", !isolated, "leader", status.Leader, "term", status.Term,
 		"overdue_ms", (n.now() - status.HeardUntil).Milliseconds())
 }
 
-// stop hands leadership over, so that a planned stop costs no election.
+// stop transfers leadership, so that a planned stop needs no election timeout.
 func (n *Node) stop() error {
 	if n.member.Raft.TransferLeadership() {
 		_ = n.process()
@@ -366,19 +360,19 @@
 	return nil
 }
 
-// leads reports whether this node may decide now.
+// leads reports whether this node holds the lease.
 func (n *Node) leads() bool {
 	return n.status.Load().LeaseHeld(n.now())
 }
 
-// Revision returns the revision of the state that this node has applied.
+// Revision returns the revision of the applied state.
 func (n *Node) Revision() uint64 {
 	n.stateMutex.RLock()
 	defer n.stateMutex.RUnlock()
 	return n.member.State.Revision()
 }
 
-// HasLeader reports whether this node knows of a leader.
+// HasLeader reports whether a leader is known.
 func (n *Node) HasLeader() bool {
 	return n.status.Load().Leader != raft.None
 }
--- a/internal/control/operatorcalls.go
+++ b/internal/control/operatorcalls.go
@@ -10,14 +10,13 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// takeInstance keeps a machine's report; a follower passes it on to the
-// leader.
-func (n *Node) takeInstance(report *wirepb.InstanceReport) {
-	n.taken.heartbeats.Add(1)
+// receiveInstanceReport stores a machine's report; a follower forwards it to the leader.
+func (n *Node) receiveInstanceReport(report *wirepb.InstanceReport) {
+	n.counters.heartbeats.Add(1)
 	report = instances.WithContent(report)
 	status := n.status.Load()
 	if status.Leader == status.ID {
-		n.keepInstance(report)
+		n.storeInstanceReport(report)
 		return
 	}
 	if link := n.peers.link(status.Leader); link != nil {
@@ -25,9 +24,9 @@
 	}
 }
 
-// Heartbeat takes what a machine says of itself. It fails where no leader is
-// known or the leader does not hear this node, and for a machine that leaves until
-// that is committed: what was acknowledged must not be forgotten.
+// Heartbeat handles a machine's report. An acknowledged report must not be lost: it returns an
+// error if no leader is known or this node's messages do not reach it, and a machine's leaving is
+// committed first.
 func (n *Node) Heartbeat(ctx context.Context, report *wirepb.InstanceReport) error {
 	if _, err := n.checkInstance(report); err != nil {
 		return err
@@ -40,14 +39,14 @@
 	if !n.HasLeader() {
 		return fault.Unavailable.New("there is no leader")
 	}
-	if n.isUnheard() {
-		return errUnheard()
+	if n.isIsolated() {
+		return errIsolated()
 	}
-	n.takeInstance(report)
+	n.receiveInstanceReport(report)
 	return nil
 }
 
-// Deregister records that a machine is gone. The call names no start: it is that of the newest.
+// Deregister records that a machine is gone. It applies to the latest start of the machine.
 func (n *Node) Deregister(ctx context.Context, id string) error {
 	if err := n.awaitRecords(ctx); err != nil {
 		return err
@@ -55,16 +54,16 @@
 	return n.recordPhase(ctx, n.newestInstance(id), &wirepb.InstanceReport{Machine: id}, v1.MachineGone)
 }
 
-// leave records that a machine leaves.
+// leave records that a machine is leaving.
 func (n *Node) leave(ctx context.Context, report *wirepb.InstanceReport) error {
 	if err := n.awaitRecords(ctx); err != nil {
 		return err
 	}
 	name := n.instanceName(report)
 	if n.isEarlierStart(name, report) {
-		// What was held up on its way asks for nothing any more; a machine whose clock was set
-		// back is heard once the later start is lost.
-		return fault.Unavailable.New("a later start of %s is in use", report.GetMachine())
+		// A delayed report must not affect the later start. A machine whose clock was set back is
+		// accepted once the later start is lost.
+		return fault.Unavailable.New("a later start of machine %s is in use", report.GetMachine())
 	}
 	return n.recordPhase(ctx, name, report, v1.MachineLeaving)
 }
@@ -84,7 +83,7 @@
 	return nil
 }
 
-// Declare makes a document the declared state, unless a newer one is.
+// Declare replaces the declared state by a document, unless a newer one is in force.
 func (n *Node) Declare(ctx context.Context, command *wirepb.DeclareCommand) error {
 	if err := state.CheckDeclaration(command.GetObjects()); err != nil {
 		return err
@@ -100,8 +99,7 @@
 	return nil
 }
 
-// Declaration returns the newest document, confirmed by the leader; nil if
-// there is none yet.
+// Declaration returns the latest document, confirmed by the leader; nil if there is none.
 func (n *Node) Declaration(ctx context.Context) (*wirepb.Declaration, error) {
 	if err := n.Barrier(ctx); err != nil {
 		return nil, err
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -15,52 +15,50 @@
 )
 
 const (
-	// flushDelay is how long the last messages before a stop get to be written.
+	// flushDelay is the time for writing the last messages before a stop.
 	flushDelay     = 50 * time.Millisecond
 	forwardTimeout = 5 * time.Second
-	// strangerLifetime is how long a link to a node that is no member is kept
-	// after it was last heard of.
-	strangerLifetime = 30 * time.Second
-	// silentElectionTimeouts is for how many election timeouts a member may say nothing before
-	// the connection to it is made anew: an election takes less than two. A member that is down
-	// is dialled as often.
-	silentElectionTimeouts = 2
-	// silentLinkChecks is how often this is looked at in that time.
-	silentLinkChecks = 8
+	// nonMemberLinkLifetime is how long a link to a node that is not a member is kept after that
+	// node last connected.
+	nonMemberLinkLifetime = 30 * time.Second
+	// linkTimeoutElections is the number of election timeouts without messages from a member after
+	// which its connection is replaced. It exceeds the duration of an election.
+	linkTimeoutElections = 2
+	// linkChecksPerTimeout is the number of checks for silent links per link timeout.
+	linkChecksPerTimeout = 8
 )
 
-// peerSet holds the connections that this node dialled to the other members.
+// peerSet holds the outgoing links to the other members.
 type peerSet struct {
 	node *Node
 
 	mutex sync.Mutex
 	links map[uint64]*peerLink
-	// start runs a link once the node runs.
+	// startLink is nil until the node runs.
 	startLink func(link *peerLink)
 }
 
-// peerLink is one dialled connection and the calls outstanding on it.
+// peerLink maintains an outgoing connection and its pending calls.
 type peerLink struct {
 	node   *Node
 	member settings.Member
-	// cancel ends the link; nil before it runs.
+	// cancel is nil until the link runs.
 	cancel context.CancelFunc
-	// heard is when the peer last dialled this node; it keeps the link to a
-	// node that is not a member yet, or not known to be.
-	heard time.Duration
-
-	mutex sync.Mutex
-	conn  *wire.Conn
-	// connected is when conn came about.
-	connected time.Duration
-	// unanswered is set from the first call on conn after which nothing has come back, and
-	// unansweredSince is when that was.
+	// lastDialedBy is when the peer last connected to this node; it keeps the link to a node that
+	// is not yet known to be a member.
+	lastDialedBy time.Duration
+
+	mutex       sync.Mutex
+	conn        *wire.Conn
+	connectedAt time.Duration
+	// unanswered is set from the first call on conn since which nothing has been received;
+	// unansweredSince is when that call was made.
 	unanswered      bool
 	unansweredSince time.Duration
 	digests         *feed.DigestSender
 	instances       *instances.Condenser
 	nextID          uint64
-	waiting         map[uint64]chan *wirepb.Envelope
+	pendingCalls    map[uint64]chan *wirepb.Envelope
 }
 
 func newPeerSet(node *Node) *peerSet {
@@ -74,7 +72,7 @@
 }
 
 func newPeerLink(node *Node, member settings.Member) *peerLink {
-	return &peerLink{node: node, member: member, waiting: map[uint64]chan *wirepb.Envelope{}}
+	return &peerLink{node: node, member: member, pendingCalls: map[uint64]chan *wirepb.Envelope{}}
 }
 
 func (s *peerSet) start(ctx context.Context, workers *sync.WaitGroup) {
@@ -107,18 +105,19 @@
 	return links
 }
 
-// learn notes where a member that dialled this node listens. A node that has
-// just joined knows the leader only by the leader's own connection.
-func (s *peerSet) learn(id uint64, address string) {
+// addDialer adds a link to a node that connected to this one. A node that has just joined knows the
+// leader only by the leader's connection.
+func (s *peerSet) addDialer(id uint64, address string) {
 	if id == s.node.id || address == "" {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.put(id, address).heard = s.node.now()
+	s.put(id, address).lastDialedBy = s.node.now()
 }
 
-// put returns the link to a member at an address; the mutex must be held.
+// put returns the link to a member at an address, replacing one to another address; the mutex must
+// be held.
 func (s *peerSet) put(id uint64, address string) *peerLink {
 	held := s.links[id]
 	if held != nil && held.member.Address == address {
@@ -135,7 +134,7 @@
 	return link
 }
 
-// sync makes the links match the members, if these carry addresses.
+// sync updates the links to match the membership, if it contains addresses.
 func (s *peerSet) sync(membership *wirepb.Membership) {
 	if len(membership.GetAddresses()) == 0 {
 		return
@@ -150,7 +149,7 @@
 		}
 	}
 	for id, link := range s.links {
-		if !members[id] && s.node.now()-link.heard > strangerLifetime {
+		if !members[id] && s.node.now()-link.lastDialedBy > nonMemberLinkLifetime {
 			link.stop()
 			delete(s.links, id)
 		}
@@ -163,8 +162,7 @@
 	}
 }
 
-// sendRaft sends raft messages. What can't be sent is lost, as the protocol
-// allows.
+// sendRaft sends raft messages. Those that can't be sent are dropped, which the protocol tolerates.
 func (s *peerSet) sendRaft(messages []*wirepb.RaftMessage) {
 	for _, message := range messages {
 		if link := s.link(message.GetTo()); link != nil {
@@ -173,7 +171,6 @@
 	}
 }
 
-// flush gives the writers time for the last messages before a stop.
 func (s *peerSet) flush() {
 	time.Sleep(flushDelay)
 }
@@ -192,14 +189,14 @@
 	}
 }
 
-// noteAnswer notes that something has come back on the connection.
-func (l *peerLink) noteAnswer() {
+// recordAnswer records that something was received on the connection.
+func (l *peerLink) recordAnswer() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.unanswered = false
 }
 
-// sendInstance passes on what a machine says of itself, without what the member has.
+// sendInstance forwards a machine's report, omitting content that the peer already has.
 func (l *peerLink) sendInstance(report *wirepb.InstanceReport) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -212,8 +209,8 @@
 	_ = l.conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_InstanceReport{InstanceReport: report}})
 }
 
-// sendWhole sends the newest report of a machine with all that was left out.
-func (l *peerLink) sendWhole(machine string) {
+// sendFullReport sends the latest report of a machine with its full content.
+func (l *peerLink) sendFullReport(machine string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if report := l.instances.Whole(machine); report != nil && l.conn != nil {
@@ -225,10 +222,10 @@
 	lost := time.Now()
 	for ctx.Err() == nil {
 		conn, err := wire.Dial(ctx, l.member.Address, l.node.self)
-		if err == nil && l.isTooOld(conn) {
+		if err == nil && l.isUnsupported(conn) {
 			conn.Close()
 		} else if err == nil {
-			l.node.noteSuccessor(ctx, l.member, conn.Peer)
+			l.node.detectReplacedMember(ctx, l.member, conn.Peer)
 			l.receive(ctx, conn)
 			lost = time.Now()
 		}
@@ -245,7 +242,7 @@
 	defer stop()
 	l.mutex.Lock()
 	l.conn = conn
-	l.connected = l.node.now()
+	l.connectedAt = l.node.now()
 	l.unanswered = false
 	l.digests = &feed.DigestSender{}
 	l.instances = instances.NewCondenser()
@@ -256,14 +253,14 @@
 		if err != nil {
 			return
 		}
-		l.noteAnswer()
+		l.recordAnswer()
 		if wanted := envelope.GetInstanceWanted(); wanted != nil {
-			l.sendWhole(wanted.GetMachine())
+			l.sendFullReport(wanted.GetMachine())
 			continue
 		}
 		l.mutex.Lock()
-		reply := l.waiting[envelope.GetRequestId()]
-		delete(l.waiting, envelope.GetRequestId())
+		reply := l.pendingCalls[envelope.GetRequestId()]
+		delete(l.pendingCalls, envelope.GetRequestId())
 		l.mutex.Unlock()
 		if reply != nil {
 			reply <- envelope
@@ -275,9 +272,9 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.conn = nil
-	for id, reply := range l.waiting {
+	for id, reply := range l.pendingCalls {
 		close(reply)
-		delete(l.waiting, id)
+		delete(l.pendingCalls, id)
 	}
 }
 
@@ -291,20 +288,20 @@
 	return conn.Send(envelope)
 }
 
-// call sends an envelope and waits for the one that repeats its id.
+// call sends an envelope and waits for the reply with the same request ID.
 func (l *peerLink) call(ctx context.Context, envelope *wirepb.Envelope) (*wirepb.Envelope, error) {
 	reply := make(chan *wirepb.Envelope, 1)
 	l.mutex.Lock()
 	l.nextID++
 	envelope.RequestId = l.nextID
-	l.waiting[envelope.RequestId] = reply
+	l.pendingCalls[envelope.RequestId] = reply
 	if !l.unanswered {
 		l.unanswered, l.unansweredSince = true, l.node.now()
 	}
 	l.mutex.Unlock()
 	defer func() {
 		l.mutex.Lock()
-		delete(l.waiting, envelope.RequestId)
+		delete(l.pendingCalls, envelope.RequestId)
 		l.mutex.Unlock()
 	}()
 	if err := l.send(envelope); err != nil {
@@ -317,29 +314,28 @@
 		}
 		return answer, nil
 	case <-ctx.Done():
-		l.renewUnanswered()
-		return nil, fault.Deadline.New("no answer from the leader in time")
+		l.reconnectIfUnanswered()
+		return nil, fault.Deadline.New("the leader did not reply in time")
 	}
 }
 
-// renewUnanswered replaces a connection on which nothing has come back for longer than an election
-// takes, once a caller has given up. Only answers come back on it: where these alone are lost, the
-// leader hears this node, and this node gets the log on a connection of the leader's, so nothing else
-// tells.
-func (l *peerLink) renewUnanswered() {
-	limit := silentElectionTimeouts * l.node.settings.Control.ElectionTimeout
+// reconnectIfUnanswered replaces the connection if calls on it have been unanswered for the link
+// timeout. If only replies are lost, raft does not detect it: the leader receives this node's
+// messages and sends the log on its own connection.
+func (l *peerLink) reconnectIfUnanswered() {
+	limit := linkTimeoutElections * l.node.settings.Control.ElectionTimeout
 	l.mutex.Lock()
 	overdue := l.unanswered && l.node.now()-l.unansweredSince >= limit
 	l.mutex.Unlock()
 	if overdue {
-		l.renew(limit)
+		l.reconnect(limit)
 	}
 }
 
-// renew closes a connection that has stood for longer than a limit; another is dialled.
-func (l *peerLink) renew(limit time.Duration) {
+// reconnect closes a connection that is older than the limit; run then dials another.
+func (l *peerLink) reconnect(limit time.Duration) {
 	l.mutex.Lock()
-	conn, age := l.conn, l.node.now()-l.connected
+	conn, age := l.conn, l.node.now()-l.connectedAt
 	l.mutex.Unlock()
 	if conn == nil || age < limit {
 		return
@@ -348,45 +344,44 @@
 	conn.Close()
 }
 
-// renewSilentLinks replaces connections to members that say nothing, or to a leader that does not
-// hear this node. A connection may stop carrying anything without a reset while new ones work;
-// TCP notices after seconds, or never where a machine in between answers for the other. It is
-// the loop's own.
-func (n *Node) renewSilentLinks() {
+// replaceSilentLinks replaces connections to members that send nothing, or to a leader that this
+// node's messages do not reach. A broken connection may not be reset, and TCP detects it late, or
+// never behind a proxy. It must be called only by the loop.
+func (n *Node) replaceSilentLinks() {
 	now := n.now()
-	limit := silentElectionTimeouts * n.settings.Control.ElectionTimeout
-	if now-n.linksChecked < limit/silentLinkChecks {
+	limit := linkTimeoutElections * n.settings.Control.ElectionTimeout
+	if now-n.linksCheckedAt < limit/linkChecksPerTimeout {
 		return
 	}
-	n.linksChecked = now
+	n.linksCheckedAt = now
 	status := n.status.Load()
 	switch {
 	case status.Role == raft.Leader:
 		for id, peer := range n.member.Raft.Peers() {
 			if peer.Silent > limit {
-				n.renewLink(id, limit)
+				n.reconnectLink(id, limit)
 			}
 		}
 	case status.Unheard(now):
-		n.renewLink(status.Leader, limit)
+		n.reconnectLink(status.Leader, limit)
 	case status.Leader == raft.None && now-status.LastContact > limit:
 		for _, link := range n.peers.all() {
-			link.renew(limit)
+			link.reconnect(limit)
 		}
 	}
 }
 
-func (n *Node) renewLink(id uint64, limit time.Duration) {
+func (n *Node) reconnectLink(id uint64, limit time.Duration) {
 	if link := n.peers.link(id); link != nil {
-		link.renew(limit)
+		link.reconnect(limit)
 	}
 }
 
-// servePeer handles a connection that another member dialled.
+// servePeer handles a connection from another member.
 func (n *Node) servePeer(ctx context.Context, conn *wire.Conn) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
-	n.peers.learn(conn.Peer.GetControlId(), conn.Peer.GetAddress())
+	n.peers.addDialer(conn.Peer.GetControlId(), conn.Peer.GetAddress())
 	digests := &feed.DigestReceiver{}
 	for {
 		envelope, err := conn.Receive()
@@ -399,19 +394,19 @@
 				n.inbox <- body.Raft
 			}
 		case *wirepb.Envelope_NodeReportBatch:
-			n.takeReports(body.NodeReportBatch.GetReports())
+			n.receiveReports(body.NodeReportBatch.GetReports())
 		case *wirepb.Envelope_ClusterDigest:
 			if digest := digests.Complete(body.ClusterDigest); digest != nil {
-				n.takeDigest(digest)
+				n.receiveDigest(digest)
 			}
 		case *wirepb.Envelope_Proposal:
 			workers.Go(func() {
 				feed.AnswerProposal(ctx, conn, envelope.GetRequestId(), body.Proposal, n.proposeLocally)
 			})
 		case *wirepb.Envelope_JoinRequest:
-			n.takeJoin(body.JoinRequest.GetMember(), conn.Peer.GetControlId())
+			n.receiveJoin(body.JoinRequest.GetMember(), conn.Peer.GetControlId())
 		case *wirepb.Envelope_InstanceReport:
-			n.takePassedOn(conn, body.InstanceReport)
+			n.receiveForwardedReport(conn, body.InstanceReport)
 		case *wirepb.Envelope_PermitRequest:
 			workers.Go(func() {
 				feed.AnswerPermit(ctx, conn, envelope.GetRequestId(), body.PermitRequest, n.permitLocally, n.logger)
@@ -422,33 +417,32 @@
 	}
 }
 
-// takePassedOn takes a machine's report that another control node passes on, and asks for what was
-// left out of it where this node lacks that.
-func (n *Node) takePassedOn(conn *wire.Conn, report *wirepb.InstanceReport) {
+// receiveForwardedReport handles a machine's report forwarded by another control node, and requests
+// the full report if this node lacks the omitted content.
+func (n *Node) receiveForwardedReport(conn *wire.Conn, report *wirepb.InstanceReport) {
 	if whole, known := n.instances.Complete(n.instanceName(report), report); known {
-		n.takeInstance(whole)
+		n.receiveInstanceReport(whole)
 		return
 	}
 	wanted := &wirepb.InstanceWanted{Machine: report.GetMachine()}
 	_ = conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_InstanceWanted{InstanceWanted: wanted}})
 }
 
-// noteSuccessor tells the member that another has ended for good, where a new
-// identity answers at its machine: the one before lived with its disk. The member
-// was known to be there before this node dialled, so whoever answers is not from
-// before its time. The answer to a dial is the only proof: what dials in may have
-// done so long ago.
-func (n *Node) noteSuccessor(ctx context.Context, dialled settings.Member, peer *wirepb.Hello) {
-	if dialled.ID == raft.None || peer.GetControlId() == raft.None || peer.GetControlId() == dialled.ID {
+// detectReplacedMember marks a member as terminated if another identity answers at its address on
+// the same machine, since an identity is lost only together with its disk. The member was known at
+// the address before this node dialed, so the new identity is later. An incoming connection is no
+// such proof, as it may predate the member.
+func (n *Node) detectReplacedMember(ctx context.Context, replaced settings.Member, peer *wirepb.Hello) {
+	if replaced.ID == raft.None || peer.GetControlId() == raft.None || peer.GetControlId() == replaced.ID {
 		return
 	}
 	for _, held := range n.membership.Load().GetAddresses() {
-		if held.GetId() != dialled.ID || held.GetAddress() != dialled.Address || held.GetNode() != peer.GetNode() {
+		if held.GetId() != replaced.ID || held.GetAddress() != replaced.Address || held.GetNode() != peer.GetNode() {
 			continue
 		}
-		n.logger.Info("member_gone", "member", dialled.ID, "address", dialled.Address, "successor", peer.GetControlId())
+		n.logger.Info("member_gone", "member", replaced.ID, "address", replaced.Address, "successor", peer.GetControlId())
 		select {
-		case n.actions <- func() { n.member.Raft.NoteGone(n.now(), dialled.ID) }:
+		case n.actions <- func() { n.member.Raft.NoteGone(n.now(), replaced.ID) }:
 		case <-ctx.Done():
 		}
 	}
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -12,7 +12,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// termPermits are the permits of one term, for concurrent use.
+// termPermits holds the token buckets of one term, for concurrent use.
 type termPermits struct {
 	term    uint64
 	mutex   sync.Mutex
@@ -37,8 +37,8 @@
 	}
 }
 
-// Permit implements feed.Backend: it carries the question to the leader. It does not wait for
-// one: a permit that comes late is of no use.
+// Permit implements feed.Backend: it forwards the request to the leader. It does not wait for a
+// leader to be elected, since a late permit is useless.
 func (n *Node) Permit(ctx context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 	status := n.status.Load()
 	if status.Leader == status.ID {
@@ -48,15 +48,15 @@
 	if link == nil {
 		return nil, fault.Unavailable.New("there is no leader")
 	}
-	answer, err := link.call(ctx, &wirepb.Envelope{Body: &wirepb.Envelope_PermitRequest{PermitRequest: request}})
+	reply, err := link.call(ctx, &wirepb.Envelope{Body: &wirepb.Envelope_PermitRequest{PermitRequest: request}})
 	if err != nil {
 		return nil, err
 	}
-	return answer.GetPermitReply(), nil
+	return reply.GetPermitReply(), nil
 }
 
-// localPermit answers as leader. The lease is checked after the token was taken: had another
-// leader begun to give out permits before, the check would fail.
+// localPermit replies as leader. It checks the lease after taking the token: had another leader
+// begun to grant permits before, the check would fail.
 func (n *Node) localPermit(request *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 	term := n.permits.Load()
 	if term == nil {
@@ -74,8 +74,8 @@
 	return &wirepb.PermitReply{Granted: decision.Granted, RetryAfterMs: uint32(decision.RetryAfter.Milliseconds())}, nil
 }
 
-// paceOf returns the pace of the machine that a permit is asked for. There is none where its limit,
-// for which alone the router asks, has ended by what this node was told since.
+// paceOf returns the pace at which the machine may be sent requests. isPaced is false if the permit
+// was requested only for a limit, and that limit has ended.
 func (n *Node) paceOf(request *wirepb.PermitRequest) (pace permits.Pace, isPaced bool) {
 	machine := request.GetMachine()
 	if limit := request.GetLimit(); limit != nil {
@@ -92,7 +92,7 @@
 	return pace, true
 }
 
-// permitLocally is localPermit as a feed.PermitFunc, for control nodes that pass a question on.
+// permitLocally is localPermit as a feed.PermitFunc, for requests forwarded by other control nodes.
 func (n *Node) permitLocally(_ context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 	return n.localPermit(request)
 }
@@ -101,9 +101,9 @@
 	return fault.Unavailable.New("this node holds no lease")
 }
 
-// rateWhileWarming returns how many requests a second a machine bears while it warms up, by its
-// pool. It is 0, for which nothing is permitted, where the log has no such machine or pool (any
-// more). That is a refusal and no error: after an error a router asks for no machine for a while.
+// rateWhileWarming returns the request rate that a machine's pool allows while it warms up. It is 0
+// if the machine or pool is unknown, so that the permit is refused: an error would make the router
+// suspend permit requests for all machines.
 func (n *Node) rateWhileWarming(name string) (perSecond float64) {
 	n.Read(func(machine *state.Machine) {
 		spec, known := machine.Spec(v1.KindMachine, name).(*v1.MachineSpec)
--- a/internal/control/permits_test.go
+++ b/internal/control/permits_test.go
@@ -15,8 +15,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// declareWarming declares a pool whose machines warm up, and records one of them.
-func (c *trio) declareWarming(leader int, machine string, perSecond float64) {
+// declareWarming declares a pool with warming machines and records one machine.
+func (c *testCluster) declareWarming(leader int, machine string, perSecond float64) {
 	c.t.Helper()
 	encode := func(value any) []byte {
 		encoded, err := json.Marshal(value)
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestPermitsComeFromTheLeader: any control node passes the question on, and a leader whose lease
-// may be over permits nothing: another may have begun to.
-func TestPermitsComeFromTheLeader(t *testing.T) {
-	cluster := startTrio(t)
+// TestOnlyTheLeaderGrantsPermits checks that followers forward permit requests, and that a leader
+// grants none after its lease or term may have ended.
+func TestOnlyTheLeaderGrantsPermits(t *testing.T) {
+	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
 	cluster.declareWarming(leader, "m", 20)
 	ask := func(node int, machine string) bool {
@@ -53,55 +53,54 @@
 		reply, err := cluster.nodes[node].Permit(ctx, &wirepb.PermitRequest{Machine: machine})
 		return err == nil && reply.GetGranted()
 	}
-	cluster.eventually("a permit through the leader", func() bool { return ask(leader, "m") })
-	cluster.eventually("a permit through a follower", func() bool { return ask(follower, "m") })
+	cluster.eventually("a permit from the leader", func() bool { return ask(leader, "m") })
+	cluster.eventually("a permit by way of a follower", func() bool { return ask(follower, "m") })
 	held := cluster.nodes[leader].permits.Load()
 	cluster.nodes[leader].permits.Store(newTermPermits(held.term-1, 0))
 	if _, err := cluster.nodes[leader].localPermit(&wirepb.PermitRequest{Machine: "m"}); err == nil {
-		t.Error("the leader gives out tokens of an earlier term: another one led in between")
+		t.Error("the leader grants permits from the buckets of an earlier term")
 	}
 	cluster.nodes[leader].permits.Store(held)
 
-	// For a machine that it does not know, or does not know any more, the leader answers as well: a
-	// router that gets no answer asks for no other machine, either, for a while.
+	// An unknown machine gets a refusal and not an error, which would make the router suspend
+	// permit requests for all machines.
 	cluster.eventually("a refusal for an unknown machine", func() bool {
 		reply, err := cluster.nodes[leader].localPermit(&wirepb.PermitRequest{Machine: "unknown"})
 		if reply.GetGranted() {
-			t.Fatal("the leader permits something for a machine that it does not know")
+			t.Fatal("the leader grants a permit for an unknown machine")
 		}
 		return err == nil && reply.GetRetryAfterMs() > 0
 	})
 
 	cluster.cuts[leader].Store(true)
-	cluster.eventually("another leader's permits", func() bool {
+	cluster.eventually("a permit from another leader", func() bool {
 		return cluster.nodes[follower].leads() && ask(follower, "m") || cluster.nodes[3-leader-follower].leads() && ask(3-leader-follower, "m")
 	})
 	if _, err := cluster.nodes[leader].localPermit(&wirepb.PermitRequest{Machine: "m"}); err == nil {
-		t.Error("the leader before answers still")
+		t.Error("the previous leader still replies to permit requests")
 	}
 }
 
-// TestSleptLeaderPermitsNothing: it finds its lease as fresh as before, but for the clock that
-// counts its sleep.
-func TestSleptLeaderPermitsNothing(t *testing.T) {
-	cluster := startTrio(t)
+// TestSuspendedLeaderGrantsNoPermits checks that the lease expires while the machine is suspended.
+func TestSuspendedLeaderGrantsNoPermits(t *testing.T) {
+	cluster := startCluster(t)
 	leader, _ := cluster.leaderAndFollower()
 	cluster.declareWarming(leader, "m", 20)
-	cluster.eventually("an answer", func() bool {
+	cluster.eventually("a reply", func() bool {
 		_, err := cluster.nodes[leader].localPermit(&wirepb.PermitRequest{Machine: "m"})
 		return err == nil
 	})
 	cluster.cuts[leader].Store(true)
-	cluster.clocks[leader].sleep(time.Second)
+	cluster.clocks[leader].suspend(time.Second)
 	if _, err := cluster.nodes[leader].localPermit(&wirepb.PermitRequest{Machine: "m"}); err == nil {
-		t.Error("a leader that slept answers")
+		t.Error("a leader replies to permit requests after a suspend")
 	}
 }
 
-// TestRoutersAskOverTheirConnection: the answer comes over the connection of the feed, and without
-// an answer there is no permit.
-func TestRoutersAskOverTheirConnection(t *testing.T) {
-	cluster := startTrio(t)
+// TestRoutersRequestPermitsOverTheFeed checks that permit replies arrive on the feed connection,
+// and that a request fails without a leader.
+func TestRoutersRequestPermitsOverTheFeed(t *testing.T) {
+	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
 	cluster.declareWarming(leader, "m", 20)
 	router := feed.NewClient([]string{cluster.addresses[follower]}, identityOf("router", 0), nodeview.New(), slog.New(slog.DiscardHandler))
@@ -118,18 +117,18 @@
 	for position := range cluster.cuts {
 		cluster.cuts[position].Store(true)
 	}
-	cluster.eventually("no answer without a leader", func() bool {
+	cluster.eventually("an error without a leader", func() bool {
 		_, err := router.Permit(ctx, request)
 		return err != nil
 	})
 }
 
-// TestMachineThatWasWarmBeginsWithoutTokens: it got requests without permits until just now, which
-// count in the same second.
-func TestMachineThatWasWarmBeginsWithoutTokens(t *testing.T) {
-	// filling is longer than the bucket takes to fill up at one token in 100 s.
+// TestMachineThatStartsWarmingHasNoTokens checks that the token bucket of a machine starts empty,
+// as it has received requests without permits until now.
+func TestMachineThatStartsWarmingHasNoTokens(t *testing.T) {
+	// filling exceeds the time to fill the bucket at one token per 100 s.
 	const filling = 200 * time.Second
-	cluster := &trio{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
+	cluster := &testCluster{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
 	node := cluster.newNodeWith(0, memoryStorage{}, silentEngines{})
 	node.settings.Warming.Slack = 10
 	cluster.nodes = []*Node{node}
@@ -138,22 +137,22 @@
 	defer workers.Wait()
 	defer cancel()
 	workers.Go(func() { _ = node.Run(ctx) })
-	cluster.eventually("a term", func() bool { return node.leads() && node.permits.Load() != nil })
-	cluster.clocks[0].sleep(filling)
-	cluster.eventually("a lease again", node.leads)
+	cluster.eventually("a leader with permits", func() bool { return node.leads() && node.permits.Load() != nil })
+	cluster.clocks[0].suspend(filling)
+	cluster.eventually("the lease after the suspend", node.leads)
 	cluster.declareWarming(0, "m", 0.01)
-	says := func(sequence uint64, remaining time.Duration, units int) {
-		node.takeInstance(&wirepb.InstanceReport{
+	report := func(sequence uint64, remaining time.Duration, units int) {
+		node.receiveInstanceReport(&wirepb.InstanceReport{
 			Machine: "m", Pool: "p", Endpoint: "http://10.0.0.1:80", Zone: "z", Slots: 1, Sequence: sequence, WarmingMs: uint32(remaining.Milliseconds()),
 		})
-		cluster.eventually("a digest that tells of it", func() bool {
+		cluster.eventually("the digest contains the report", func() bool {
 			return len(node.Digest().GetRoster().GetMachines()) == 1 && len(node.Digest().GetMachineWarming()) == units
 		})
 	}
-	says(1, 0, 0)
-	says(2, time.Hour, 1)
+	report(1, 0, 0)
+	report(2, time.Hour, 1)
 	reply, err := node.localPermit(&wirepb.PermitRequest{Machine: "m"})
 	if err != nil || reply.GetGranted() {
-		t.Errorf("the first answer is %v, %v", reply, err)
+		t.Errorf("first permit request: got %v, %v, want a refusal", reply, err)
 	}
 }
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -16,7 +16,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// slowStorage counts its writes, each of which takes about as long as a sync.
+// slowStorage counts its writes and delays each by about the duration of a disk sync.
 type slowStorage struct{ writes atomic.Int64 }
 
 func (s *slowStorage) Append(*wirepb.WalRecord) error {
@@ -27,7 +27,7 @@
 
 func (s *slowStorage) SaveSnapshot(*wirepb.Snapshot, *wirepb.WalRecord) error { return nil }
 
-// silentEngines take no orders and answer nothing.
+// silentEngines accept no orders and fail every request.
 type silentEngines struct{}
 
 func (silentEngines) Order(context.Context, orders.Order, string, uint64, func() bool) orders.Outcome {
@@ -35,24 +35,23 @@
 }
 
 func (silentEngines) Connect(context.Context, string, string) error {
-	return fault.Engine.New("no answer")
+	return fault.Engine.New("no reply")
 }
 
 func (silentEngines) Report(context.Context, string, string) (orders.Report, error) {
-	return orders.Report{}, fault.Engine.New("no answer")
+	return orders.Report{}, fault.Engine.New("no reply")
 }
 
-// TestMachinesAreRecordedTogether: at a first start the leader recorded one machine after the
-// other, a sync and a round trip each. With 1,000 machines it took 14 s, in which it sent no
-// digest: every router took every control node to be cut off.
+// TestMachinesAreRecordedTogether checks that machines that register at the same time share disk
+// writes.
 func TestMachinesAreRecordedTogether(t *testing.T) {
 	const (
 		machines = 500
-		// machinesPerWrite is far below what fits into one, and far above one.
+		// machinesPerWrite is well below the maximum batch.
 		machinesPerWrite = 5
 	)
 	disk := &slowStorage{}
-	cluster := &trio{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
+	cluster := &testCluster{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
 	node := cluster.newNodeWith(0, disk, silentEngines{})
 	cluster.nodes = []*Node{node}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -73,14 +72,14 @@
 	before := disk.writes.Load()
 	for number := range machines {
 		name := "m" + strconv.Itoa(number)
-		node.takeInstance(&wirepb.InstanceReport{Machine: name, Pool: "p", Endpoint: "http://10.0.0.1:" + strconv.Itoa(1000+number), Zone: "z", Slots: 1, Sequence: 1})
+		node.receiveInstanceReport(&wirepb.InstanceReport{Machine: name, Pool: "p", Endpoint: "http://10.0.0.1:" + strconv.Itoa(1000+number), Zone: "z", Slots: 1, Sequence: 1})
 	}
 	recorded := 0
-	cluster.eventually("all machines recorded", func() bool {
+	cluster.eventually("all machines are recorded", func() bool {
 		node.Read(func(machine *state.Machine) { recorded = len(machine.List(v1.KindMachine)) })
 		return recorded == machines
 	})
 	if writes := disk.writes.Load() - before; writes > machines/machinesPerWrite {
-		t.Errorf("%d machines took %d writes", machines, writes)
+		t.Errorf("%d machines took %d writes, want at most %d", machines, writes, machines/machinesPerWrite)
 	}
 }
--- a/internal/control/starts_test.go
+++ b/internal/control/starts_test.go
@@ -14,10 +14,10 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// aloneWithPool starts a control node of its own, with the pool p, at the highest level.
-func aloneWithPool(t *testing.T) (*trio, *Node) {
+// startSingleNode starts a single control node with the pool p, at the highest level.
+func startSingleNode(t *testing.T) (*testCluster, *Node) {
 	t.Helper()
-	cluster := &trio{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
+	cluster := &testCluster{t: t, addresses: []string{"127.0.0.1:1"}, cuts: []*atomic.Bool{{}}}
 	node := cluster.newNodeWith(0, &slowStorage{}, silentEngines{})
 	cluster.nodes = []*Node{node}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -43,7 +43,7 @@
 	return cluster, node
 }
 
-func beatOf(startedMs int64, sequence uint64) *wirepb.InstanceReport {
+func reportOfStart(startedMs int64, sequence uint64) *wirepb.InstanceReport {
 	return &wirepb.InstanceReport{
 		Machine: "m", Pool: "p", Endpoint: "http://10.0.0.1:80", Zone: "z", Slots: 1, Sequence: sequence, StartedMs: startedMs,
 	}
@@ -54,52 +54,53 @@
 	return phase
 }
 
-// TestEachStartHasItsRecord: a machine starts again under its id; what the first start says late
-// changes nothing, and a planned end is that of the start that tells of it.
+// TestEachStartHasItsRecord checks that a machine restarted under its ID gets a new record, and
+// that late reports of an earlier start do not affect it.
 func TestEachStartHasItsRecord(t *testing.T) {
-	cluster, node := aloneWithPool(t)
-	beat := func(report *wirepb.InstanceReport) error {
+	cluster, node := startSingleNode(t)
+	heartbeat := func(report *wirepb.InstanceReport) error {
 		report.AgeMs = 0
 		return node.Heartbeat(t.Context(), report)
 	}
-	if err := beat(beatOf(1000, 900)); err != nil {
+	if err := heartbeat(reportOfStart(1000, 900)); err != nil {
 		t.Fatal(err)
 	}
 	cluster.eventually("the first start is in use", func() bool { return phaseOf(node, "m") == v1.MachineLive })
-	if err := beat(beatOf(2000, 1)); err != nil {
+	if err := heartbeat(reportOfStart(2000, 1)); err != nil {
 		t.Fatal(err)
 	}
 	const second = "m.start-2000"
 	cluster.eventually("the second start is in use, the first is gone", func() bool {
 		return phaseOf(node, second) == v1.MachineLive && phaseOf(node, "m") == v1.MachineGone
 	})
-	late := beatOf(1000, 901)
+	late := reportOfStart(1000, 901)
 	late.Leaving = true
-	if err := beat(late); err != nil {
-		t.Errorf("a late report of the first start: %v", err)
+	if err := heartbeat(late); err != nil {
+		t.Errorf("late report of the first start: %v", err)
 	}
-	unrecorded := beatOf(1500, 3)
+	unrecorded := reportOfStart(1500, 3)
 	unrecorded.Leaving = true
-	if err := beat(unrecorded); !fault.Is(err, fault.Unavailable) {
-		t.Errorf("a start between the two leaves: %v", err)
+	if err := heartbeat(unrecorded); !fault.Is(err, fault.Unavailable) {
+		t.Errorf("leaving of an unrecorded earlier start: got %v, want unavailable", err)
 	}
 	if phaseOf(node, second) != v1.MachineLive {
-		t.Errorf("the second start is %s", phaseOf(node, second))
+		t.Errorf("second start: got phase %s, want live", phaseOf(node, second))
 	}
-	leaving := beatOf(2000, 2)
+	leaving := reportOfStart(2000, 2)
 	leaving.Leaving = true
-	if err := beat(leaving); err != nil || phaseOf(node, second) != v1.MachineLeaving {
-		t.Errorf("the second start leaves: %v, it is %s", err, phaseOf(node, second))
+	if err := heartbeat(leaving); err != nil || phaseOf(node, second) != v1.MachineLeaving {
+		t.Errorf("leaving of the second start: %v, phase %s", err, phaseOf(node, second))
 	}
 	if err := node.Deregister(t.Context(), "m"); err != nil || phaseOf(node, second) != v1.MachineGone {
-		t.Errorf("the second start ends: %v, it is %s", err, phaseOf(node, second))
+		t.Errorf("deregistration of the second start: %v, phase %s", err, phaseOf(node, second))
 	}
 }
 
-// TestOtherWritersChangeNothing: reports under a machine's id that can't be its own.
-func TestOtherWritersChangeNothing(t *testing.T) {
-	cluster, node := aloneWithPool(t)
-	if err := node.Heartbeat(t.Context(), beatOf(1000, 1)); err != nil {
+// TestReportsOfOtherMachinesAreRejected checks reports that can't come from the machine whose ID
+// they carry.
+func TestReportsOfOtherMachinesAreRejected(t *testing.T) {
+	cluster, node := startSingleNode(t)
+	if err := node.Heartbeat(t.Context(), reportOfStart(1000, 1)); err != nil {
 		t.Fatal(err)
 	}
 	cluster.eventually("the machine is in use", func() bool { return phaseOf(node, "m") == v1.MachineLive })
@@ -107,13 +108,13 @@
 		name, field string
 		change      func(report *wirepb.InstanceReport)
 	}{
-		{"of another pool", "pool", func(report *wirepb.InstanceReport) { report.Pool = "unheard-of" }},
-		{"without a start", "started", func(report *wirepb.InstanceReport) { report.StartedMs = 0 }},
-		{"an id that is a name", "machine", func(report *wirepb.InstanceReport) { report.Machine = "m.start-7" }},
+		{"another pool", "pool", func(report *wirepb.InstanceReport) { report.Pool = "unheard-of" }},
+		{"no start time", "started", func(report *wirepb.InstanceReport) { report.StartedMs = 0 }},
+		{"record name as ID", "machine", func(report *wirepb.InstanceReport) { report.Machine = "m.start-7" }},
 	}
 	for _, test := range tests {
 		for _, leaving := range []bool{false, true} {
-			report := beatOf(1000, 99)
+			report := reportOfStart(1000, 99)
 			report.Leaving = leaving
 			test.change(report)
 			if err := node.Heartbeat(t.Context(), report); !fault.Is(err, fault.Invalid) || fault.FieldOf(err) != test.field {
@@ -122,9 +123,9 @@
 		}
 	}
 	if phaseOf(node, "m") != v1.MachineLive {
-		t.Errorf("the machine is %s", phaseOf(node, "m"))
+		t.Errorf("got phase %s, want live", phaseOf(node, "m"))
 	}
 	if held := node.instances.Entries()["m"].Report; held.GetSequence() != 1 {
-		t.Errorf("its newest report is number %d", held.GetSequence())
+		t.Errorf("latest report has sequence %d, want 1", held.GetSequence())
 	}
 }
