--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,9 +1,9 @@
-// Package member joins the agreement core and the replicated state into one
-// member of the control plane.
+// Package member combines a raft node and a copy of the replicated state into one member of the
+// control plane.
 //
-// It is as pure as its parts: storage is an interface, time an argument. The
-// same code runs in control nodes and, on simulated disks and networks, in
-// the simulator.
+// It has no clock and no I/O of its own: storage is an interface and time an argument, so control
+// nodes and the simulator run the same code. Invariant: nothing is sent or applied before storage
+// has synced it.
 package member
 
 import (
@@ -19,69 +19,64 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// DefaultCompactEvery is how many applied entries are kept before they are
-// replaced by a snapshot.
+// DefaultCompactEvery is the default number of applied entries between snapshots.
 const DefaultCompactEvery = 4096
 
-// compactTailShare is the share of entries kept behind a snapshot, so that a
-// peer that is a little behind gets entries and not the whole state.
-const compactTailShare = 4
+// compactTailDivisor is compactEvery divided by the number of entries kept after a snapshot, so
+// that a peer slightly behind receives entries and not the whole state.
+const compactTailDivisor = 4
 
 const (
-	// maxLogBytes bounds the entries held in memory and on disk between
-	// snapshots: a declared document may be large.
+	// maxLogBytes bounds the entries in memory and on disk between snapshots: declared documents
+	// may be large.
 	maxLogBytes = 4 << 20
-	// bytesTail is how many entries are kept behind a snapshot that was taken
-	// for their size.
-	bytesTail = 8
-	// replayShare is how many times as long as the snapshot the entries behind it
-	// may be before a restart is slow for their replay; shortReplay, in bytes, is
-	// always short.
-	replayShare = 2
-	shortReplay = 64 << 10
-	// quietTail is how many entries are kept behind a snapshot that was taken
-	// while there was time.
-	quietTail = 64
+	// sizeCompactionTail is the number of entries kept after a snapshot taken for the size of the
+	// log.
+	sizeCompactionTail = 8
+	// A replay is long if the entries after the snapshot are longReplayFactor times its size and at
+	// least minLongReplayBytes.
+	longReplayFactor   = 2
+	minLongReplayBytes = 64 << 10
+	// idleCompactionTail is the number of entries kept after a snapshot taken by CompactNow.
+	idleCompactionTail = 64
 )
 
-// Storage makes things durable. A method that returns without an error has
-// synced what it was given.
+// Storage is the durable storage of a member. Each method syncs before it returns without an error.
 type Storage interface {
-	// Append stores a record behind the earlier ones.
+	// Append appends a record to the log.
 	Append(record *wirepb.WalRecord) error
-	// SaveSnapshot replaces the snapshot, then all records by the given one.
+	// SaveSnapshot replaces the snapshot, then replaces all records by the given one.
 	SaveSnapshot(snapshot *wirepb.Snapshot, rest *wirepb.WalRecord) error
 }
 
-// Recovered is what a storage held when it was opened.
+// Recovered is the content of a storage when it was opened.
 type Recovered struct {
 	Snapshot *wirepb.Snapshot
 	Records  []*wirepb.WalRecord
 }
 
-// Output is what follows from processing, once storage holds it.
+// Output is the result of Process. Its contents are durable.
 type Output struct {
 	Messages []*wirepb.RaftMessage
 	Applied  []Applied
-	// Restored is set when a snapshot replaced the state.
+	// Restored is set if a snapshot replaced the state.
 	Restored bool
 }
 
-// Applied is the result of one committed entry.
+// Applied is a committed entry that has been applied.
 type Applied struct {
 	Index, Term uint64
-	// Entry is the entry itself; Result is nil for one that is no command.
+	// Result is nil if Entry is not a command.
 	Entry  *wirepb.Entry
 	Result *wirepb.CommandResult
 }
 
-// Member is one node of the replicated log with its copy of the state. It is
-// not safe for concurrent use.
+// Member is a node of the replicated log with its copy of the state. It is not safe for concurrent
+// use.
 type Member struct {
 	Raft  *raft.Node
 	State *state.Machine
-	// StateLock is held while State changes. A driver with other readers
-	// sets it; it may be nil.
+	// StateLock is held while State is modified; it may be nil if there are no concurrent readers.
 	StateLock    sync.Locker
 	storage      Storage
 	snapshot     *wirepb.Snapshot
@@ -90,7 +85,7 @@
 	logBytes int
 }
 
-// Open rebuilds a member from what its storage held.
+// Open recovers a member from its storage.
 func Open(config raft.Config, bootstrap *wirepb.Membership, recovered Recovered, storage Storage, now time.Duration, compactEvery uint64) (*Member, error) {
 	member := &Member{State: state.New(), storage: storage, snapshot: recovered.Snapshot, compactEvery: compactEvery}
 	if recovered.Snapshot != nil {
@@ -110,8 +105,7 @@
 	return member, nil
 }
 
-// replay folds the records into the hard state and the entries after the
-// snapshot.
+// replay returns the hard state and the entries after the snapshot.
 func replay(recovered Recovered) (raft.Stored, error) {
 	stored := raft.Stored{Snapshot: recovered.Snapshot.GetMeta()}
 	offset := stored.Snapshot.GetIndex()
@@ -121,7 +115,7 @@
 		}
 		for _, entry := range record.GetEntries() {
 			if entry.GetIndex() <= offset {
-				continue // A crash came between the snapshot and the log.
+				continue // Left by a crash between saving the snapshot and replacing the records.
 			}
 			position := entry.GetIndex() - offset - 1
 			if position > uint64(len(stored.Entries)) {
@@ -133,7 +127,7 @@
 	return stored, nil
 }
 
-// Propose proposes a command and returns the index of its entry and the term.
+// Propose proposes a command and returns the index and term of its entry.
 func (m *Member) Propose(now time.Duration, command *wirepb.Command) (index, term uint64, err error) {
 	data, err := proto.Marshal(command)
 	if err != nil {
@@ -142,8 +136,8 @@
 	return m.Raft.Propose(now, data)
 }
 
-// Process carries out everything outstanding. An error means that storage failed, or that the log
-// needs a later release; the member must not be used any more.
+// Process does all outstanding work. After an error, which means that storage failed or the log
+// requires a later release, the member must not be used.
 func (m *Member) Process() (Output, error) {
 	var output Output
 	for {
@@ -184,10 +178,9 @@
 	return m.storage.Append(&wirepb.WalRecord{HardState: m.Raft.HardState(), Entries: ready.Entries})
 }
 
-// mustSync leaves out changes of the commit index alone: a restarted node
-// learns it from the leader. A committed membership is an exception: a node
-// that restarts must know whose votes count, or members that were replaced
-// could be needed for a quorum for ever.
+// mustSync reports whether the Ready must be persisted. A change of the commit index alone need not
+// be: a restarted node learns it from the leader. The exception is a committed membership, without
+// which a restarted node might need the votes of members that were replaced.
 func mustSync(ready raft.Ready) bool {
 	if len(ready.Entries) > 0 || (ready.HardState != nil && ready.TermChanged) {
 		return true
@@ -233,34 +226,33 @@
 
 func (m *Member) maybeCompact() error {
 	status := m.Raft.Status()
-	tail := m.compactEvery / compactTailShare
-	held := status.Applied - (status.FirstHeld - 1)
+	tail := m.compactEvery / compactTailDivisor
+	count := status.Applied - (status.FirstHeld - 1)
 	if m.logBytes >= maxLogBytes {
-		tail = min(tail, bytesTail)
-	} else if held < m.compactEvery+tail {
+		tail = min(tail, sizeCompactionTail)
+	} else if count < m.compactEvery+tail {
 		return nil
 	}
-	if held <= tail {
+	if count <= tail {
 		return nil
 	}
 	return m.compact(tail)
 }
 
-// ReplayIsLong reports whether a restart would replay much more than it reads of
-// the snapshot. A driver that has time then calls CompactNow.
+// ShouldCompact reports whether a replay after a restart would be long compared with loading the
+// snapshot. The driver then calls CompactNow when it is idle.
 func (m *Member) ReplayIsLong() bool {
-	return m.logBytes >= max(shortReplay, replayShare*len(m.snapshot.GetData()))
+	return m.logBytes >= max(minLongReplayBytes, longReplayFactor*len(m.snapshot.GetData()))
 }
 
-// CompactNow replaces what has been applied by a snapshot. An error means that
-// storage failed.
+// CompactNow replaces the applied entries by a snapshot. An error means that storage failed.
 func (m *Member) CompactNow() error {
 	status := m.Raft.Status()
-	return m.compact(min(quietTail, status.Applied-(status.FirstHeld-1)))
+	return m.compact(min(idleCompactionTail, status.Applied-(status.FirstHeld-1)))
 }
 
-// compact takes a snapshot of what has been applied and keeps some entries behind
-// it for peers that are a little behind.
+// compact takes a snapshot of the applied state and keeps tail entries before its index for peers
+// that are slightly behind.
 func (m *Member) compact(tail uint64) error {
 	status := m.Raft.Status()
 	data, err := m.State.Snapshot()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -13,7 +13,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// memoryDisk keeps what was stored; a restart reads it back.
+// memoryDisk is an in-memory storage that survives a restart.
 type memoryDisk struct{ recovered member.Recovered }
 
 func (d *memoryDisk) Append(record *wirepb.WalRecord) error {
@@ -39,39 +39,39 @@
 	return opened
 }
 
-func process(t *testing.T, held *member.Member) int {
+func process(t *testing.T, opened *member.Member) int {
 	t.Helper()
-	output, err := held.Process()
+	output, err := opened.Process()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return len(output.Applied)
 }
 
-// TestRestartReplaysLittle: all documents of a day were replayed at a restart, and
-// a control node helped nobody meanwhile.
+// TestRestartReplaysLittle checks that ShouldCompact and CompactNow bound the entries that a
+// restart replays.
 func TestRestartReplaysLittle(t *testing.T) {
 	const documents = 60
 	disk := &memoryDisk{}
-	held := open(t, disk)
-	held.Raft.Tick(2 * time.Second)
-	process(t, held)
+	opened := open(t, disk)
+	opened.Raft.Tick(2 * time.Second)
+	process(t, opened)
 	for version := range documents {
 		command := &wirepb.Command{Body: &wirepb.Command_Declare{Declare: &wirepb.DeclareCommand{
 			Version: uint64(version + 1), Document: make([]byte, 8<<10),
 			Objects: []*wirepb.Object{{Kind: string(v1.KindPool), Name: "pool", Spec: []byte(fmt.Sprintf(`{"maxConnections":%d}`, version+1))}},
 		}}}
-		if _, _, err := held.Propose(2*time.Second, command); err != nil {
+		if _, _, err := opened.Propose(2*time.Second, command); err != nil {
 			t.Fatal(err)
 		}
-		process(t, held)
-		if held.ReplayIsLong() {
-			if err := held.CompactNow(); err != nil {
+		process(t, opened)
+		if opened.ReplayIsLong() {
+			if err := opened.CompactNow(); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	before, err := held.State.Snapshot()
+	before, err := opened.State.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,6 +87,6 @@
 	}
 	left, right := &wirepb.StateSnapshot{}, &wirepb.StateSnapshot{}
 	if proto.Unmarshal(before, left) != nil || proto.Unmarshal(after, right) != nil || !proto.Equal(left, right) {
-		t.Error("another state was restored")
+		t.Error("the restored state differs")
 	}
 }
--- a/internal/member/proposals.go
+++ b/internal/member/proposals.go
@@ -8,13 +8,12 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// Done takes the result of a proposed command, or an Unavailable error: then
-// it may or may not have been carried out.
+// Done receives the result of a proposed command. After an Unavailable error, the command may or
+// may not have been applied.
 type Done func(result *wirepb.CommandResult, err error)
 
-// Proposals are the commands that were proposed here and are not applied yet.
-// The index of an entry alone doesn't tell whose command was applied there:
-// another leader's may have taken its place, which its term shows.
+// Proposals tracks the commands proposed on this node that have not been applied. They are matched
+// by index and term: another leader's entry may have replaced one of the same index.
 type Proposals struct {
 	waiting map[uint64]proposal
 }
@@ -24,22 +23,22 @@
 	done Done
 }
 
-// NewProposals returns an empty set.
+// NewProposals returns an empty Proposals.
 func NewProposals() *Proposals {
 	return &Proposals{waiting: map[uint64]proposal{}}
 }
 
-// Add waits for the entry that Propose gave an index and a term. Done is
-// called once.
+// Add registers done, to be called once, for the entry with the index and term that Propose
+// returned.
 func (p *Proposals) Add(index, term uint64, done Done) {
-	older, replaced := p.waiting[index]
+	previous, replaced := p.waiting[index]
 	p.waiting[index] = proposal{term: term, done: done}
 	if replaced {
-		older.done(nil, fault.Unavailable.New("the leader changed before the command was committed"))
+		previous.done(nil, fault.Unavailable.New("the leader changed before the command was committed"))
 	}
 }
 
-// Complete hands out the results that an output holds.
+// Complete delivers the results in an output.
 func (p *Proposals) Complete(output Output) {
 	if output.Restored {
 		p.Fail("the command's outcome was lost with a snapshot")
@@ -51,15 +50,14 @@
 		}
 		delete(p.waiting, applied.Index)
 		if entry.term != applied.Term {
-			entry.done(nil, fault.Unavailable.New("another leader's command took its place"))
+			entry.done(nil, fault.Unavailable.New("another leader's command replaced it in the log"))
 			continue
 		}
 		entry.done(applied.Result, nil)
 	}
 }
 
-// Fail ends all, in order of the log: a simulation must take the same course
-// each time, and a map has no order.
+// Fail fails all pending proposals, in log order so that simulations are deterministic.
 func (p *Proposals) Fail(reason string) {
 	for _, index := range slices.Sorted(maps.Keys(p.waiting)) {
 		entry := p.waiting[index]
