--- a/internal/membership/formation_test.go
+++ b/internal/membership/formation_test.go
@@ -19,8 +19,7 @@
 	replaceAfter    = 2 * time.Second
 )
 
-// disk is a storage in memory; it outlives the process on it, but not its own
-// loss.
+// disk is an in-memory storage that survives a restart of the process.
 type disk struct {
 	recovered member.Recovered
 }
@@ -35,7 +34,7 @@
 	return nil
 }
 
-// machine is a control node at an address. Its identity belongs to its disk.
+// machine is a control node at an address.
 type machine struct {
 	address string
 	zone    string
@@ -47,8 +46,7 @@
 	cut     bool
 }
 
-// cluster runs control nodes in virtual time: what the processes do with a
-// clock, connections and the pure parts.
+// cluster runs control nodes in virtual time.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
@@ -56,16 +54,15 @@
 	seeds    []string
 	machines []*machine
 	voters   int
-	// zones is how many zones may be lost.
-	zones  int
-	nextID uint64
-	joins  map[string]*wirepb.MemberAddress
-	mail   []letter
-	// commits are the entries that were acknowledged, by value.
-	commits []string
+	zones    int
+	nextID   uint64
+	joins    map[string]*wirepb.MemberAddress
+	inFlight []delivery
+	// committed are the acknowledged values.
+	committed []string
 }
 
-type letter struct {
+type delivery struct {
 	to      uint64
 	message *wirepb.RaftMessage
 }
@@ -95,8 +92,7 @@
 	return added
 }
 
-// start starts the process of a machine: with the identity on its disk, or a
-// new one if the disk is empty.
+// start starts the process of a machine. If its disk is empty, the machine gets a new identity.
 func (c *cluster) start(target *machine, first bool) {
 	if target.disk == nil {
 		target.disk, target.first = &disk{}, nil
@@ -124,18 +120,18 @@
 
 func (c *cluster) kill(target *machine) { target.up = false }
 
-// wipe takes a machine's disk with its process.
+// wipe stops a machine and discards its disk.
 func (c *cluster) wipe(target *machine) {
 	target.up, target.disk = false, nil
 }
 
-// run lets time pass.
+// run advances the clock.
 func (c *cluster) run(span time.Duration) {
 	for end := c.now + span; c.now < end; {
 		c.now += tick
-		mail := c.mail
-		c.mail = nil
-		for _, sent := range mail {
+		deliveries := c.inFlight
+		c.inFlight = nil
+		for _, sent := range deliveries {
 			if target := c.byID(sent.to); target != nil && c.reachable(target) {
 				target.member.Raft.Step(c.now, sent.message)
 			}
@@ -173,12 +169,12 @@
 	}
 	for _, message := range output.Messages {
 		if !target.cut {
-			c.mail = append(c.mail, letter{to: message.GetTo(), message: message})
+			c.inFlight = append(c.inFlight, delivery{to: message.GetTo(), message: message})
 		}
 	}
 }
 
-// join passes the requests of nodes that are no members to the leader.
+// join collects the join requests of nodes that are not members.
 func (c *cluster) join() {
 	for _, target := range c.machines {
 		if !c.reachable(target) {
@@ -207,8 +203,8 @@
 }
 
 func (c *cluster) repair() {
-	leading := c.leader()
-	if leading == nil {
+	leader := c.leader()
+	if leader == nil {
 		return
 	}
 	var joins []*wirepb.MemberAddress
@@ -217,7 +213,7 @@
 			joins = append(joins, join)
 		}
 	}
-	node := leading.member.Raft
+	node := leader.member.Raft
 	next := membership.Next(membership.Input{
 		Status: node.Status(), Current: node.Membership(), Peers: node.Peers(), Joins: joins,
 		Policy: membership.Policy{Voters: c.voters, Zones: c.zones, ReplaceAfter: replaceAfter, ForgetAfter: 30 * time.Second},
@@ -227,15 +223,15 @@
 	}
 }
 
-// commit has the leader commit an entry, and notes it once it is acknowledged.
+// commit commits an entry through the leader and records it once it is acknowledged.
 func (c *cluster) commit() {
 	c.t.Helper()
-	leading := c.leader()
-	if leading == nil {
-		c.t.Fatalf("at %s there is no leader to commit", c.now)
+	leader := c.leader()
+	if leader == nil {
+		c.t.Fatalf("at %s: no leader", c.now)
 	}
-	value := "v" + strconv.Itoa(len(c.commits))
-	index, term, err := leading.member.Propose(c.now, &wirepb.Command{
+	value := "v" + strconv.Itoa(len(c.committed))
+	index, term, err := leader.member.Propose(c.now, &wirepb.Command{
 		RequestId: value, Body: &wirepb.Command_Register{Register: &wirepb.RegisterCommand{Machine: value}},
 	})
 	if err != nil {
@@ -243,41 +239,41 @@
 	}
 	for range 100 {
 		c.run(tick)
-		status := leading.member.Raft.Status()
+		status := leader.member.Raft.Status()
 		if status.Applied >= index && status.Term == term {
-			c.commits = append(c.commits, value)
+			c.committed = append(c.committed, value)
 			return
 		}
 	}
-	c.t.Fatalf("at %s %s is not committed", c.now, value)
+	c.t.Fatalf("at %s: %s is not committed", c.now, value)
 }
 
-// check checks that everything acknowledged is in the log of the leader, and
-// that the votes of the expected number of running nodes count.
+// check checks that the leader's log contains all acknowledged entries, and that there are as many
+// voters as expected, all of them running.
 func (c *cluster) check(voters int) {
 	c.t.Helper()
-	leading := c.leader()
-	if leading == nil {
-		c.t.Fatalf("at %s there is no leader", c.now)
+	leader := c.leader()
+	if leader == nil {
+		c.t.Fatalf("at %s: no leader", c.now)
 	}
 	held := map[string]bool{}
-	for _, record := range leading.disk.recovered.Records {
+	for _, record := range leader.disk.recovered.Records {
 		for _, entry := range record.GetEntries() {
 			held[requestOf(c.t, entry)] = true
 		}
 	}
-	for _, value := range c.commits {
+	for _, value := range c.committed {
 		if !held[value] {
-			c.t.Errorf("at %s the leader has lost %s", c.now, value)
+			c.t.Errorf("at %s: the leader has lost %s", c.now, value)
 		}
 	}
-	current := leading.member.Raft.Membership()
+	current := leader.member.Raft.Membership()
 	if len(current.GetVoters()) != voters {
-		c.t.Errorf("at %s there are %d voters, not %d", c.now, len(current.GetVoters()), voters)
+		c.t.Errorf("at %s: %d voters, want %d", c.now, len(current.GetVoters()), voters)
 	}
 	for _, id := range current.GetVoters() {
 		if c.byID(id) == nil {
-			c.t.Errorf("at %s voter %d is nobody's identity", c.now, id)
+			c.t.Errorf("at %s: voter %d is not running", c.now, id)
 		}
 	}
 }
@@ -286,11 +282,10 @@
 	return c.byID(c.leader().member.Raft.Membership().GetVoters()[position])
 }
 
-// follower returns a voter that does not lead.
 func (c *cluster) follower() *machine {
-	leading := c.leader()
-	for _, id := range leading.member.Raft.Membership().GetVoters() {
-		if id != leading.id {
+	leader := c.leader()
+	for _, id := range leader.member.Raft.Membership().GetVoters() {
+		if id != leader.id {
 			return c.byID(id)
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,21 +1,12 @@
-// Package membership decides who belongs to the replicated log where nobody
-// lists the members.
+// Package membership computes the membership of a replicated log that forms from seed addresses,
+// without a configured list of members. A node's identity belongs to its disk: with an empty disk
+// it takes a new identity and asks to join, and the previous identity at its address is removed.
+// Joining nodes become learners; a learner that has caught up replaces a voter that is gone or
+// unresponsive, or one in a badly placed zone.
 //
-// The problem: a control node is told a few addresses to begin with, not how
-// many others there are. Members restart, come back with empty disks, are
-// replaced at other addresses, or never return; each loss must be repaired
-// before the next one comes, and no vote may be counted that its voter has
-// forgotten.
-//
-// The mechanism: a member's identity lives and dies with its disk. A node
-// with an empty disk takes a new identity and asks to join; the old one at the
-// same address can never vote again and is removed. Joiners become learners. A
-// voter that is dead or has been silent too long gives its place to a learner
-// that has caught up, from the zone where it helps most. Where the voters could
-// not bear the loss of as many zones or regions as asked for, a learner takes
-// the place of one of them. Every step changes one voter, so quorums of the
-// sets before and after meet. The functions are pure: the leader proposes one
-// step at a time and asks again.
+// Invariant: each step changes at most one voter, so that quorums before and after it overlap, and
+// no vote of a lost identity is counted. The functions are pure; the leader proposes one step at a
+// time.
 package membership
 
 import (
@@ -28,39 +19,34 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// maxPromotionLag is by how many entries a learner may be behind to become a
-// voter.
+// maxPromotionLag is how many entries behind a learner may be promoted.
 const maxPromotionLag = 64
 
-// Policy tunes the repair.
+// Policy configures the membership.
 type Policy struct {
-	// Voters is how many voters are aimed at; what zones and regions must bear may ask for
-	// more.
+	// Voters is the minimum number of voters; tolerating zone or region losses may require more.
 	Voters int
-	// Zones and Regions are how many of each may be lost at once.
+	// Zones and Regions are how many of each may be lost at the same time.
 	Zones, Regions int
-	// Places tells the regions of zones.
+	// Places maps zones to regions.
 	Places places.Map
-	// ReplaceAfter is how long a voter may be silent before a learner takes
-	// its place.
+	// ReplaceAfter is how long a voter may be unresponsive before a learner replaces it.
 	ReplaceAfter time.Duration
-	// ForgetAfter is how long a learner may be silent before it is removed.
+	// RemoveLearnerAfter is how long a learner may be unresponsive before it is removed.
 	ForgetAfter time.Duration
 }
 
-// Input is everything that a step depends on.
+// Input is the input of a step.
 type Input struct {
-	// Status is the leader's.
 	Status  raft.Status
 	Current *wirepb.Membership
 	Peers   map[uint64]raft.PeerState
-	// Joins are the nodes that asked to join lately.
+	// Joins are the nodes that recently asked to join.
 	Joins  []*wirepb.MemberAddress
 	Policy Policy
 }
 
-// FirstID is the identity of a first voter: all nodes derive it alike from
-// its address, without asking each other.
+// SeedID returns the identity of an initial voter, which all nodes derive from its address.
 func FirstID(address string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(address))
@@ -71,7 +57,7 @@
 	return id
 }
 
-// First returns the membership of a system that starts for the first time.
+// InitialMembership returns the membership of a new cluster.
 func First(addresses []string) *wirepb.Membership {
 	first := &wirepb.Membership{}
 	for _, address := range addresses {
@@ -82,10 +68,10 @@
 	return first
 }
 
-// Next returns the next step, or nil if there is nothing to do.
+// Next returns the membership after the next step, or nil if there is nothing to change.
 func Next(input Input) *wirepb.Membership {
 	steps := []func(Input) *wirepb.Membership{
-		removeDead, admit, shrink, replaceSilent, grow, balance, forgetLearner,
+		removeReplaced, addLearners, removeExcessVoter, replaceUnresponsiveVoter, addVoter, rebalance, removeLearner,
 	}
 	for _, step := range steps {
 		if next := step(input); next != nil {
@@ -95,9 +81,9 @@
 	return nil
 }
 
-// removeDead removes a member whose disk is lost: another identity has asked
-// to join from its address.
-func removeDead(input Input) *wirepb.Membership {
+// removeReplaced removes a member whose disk is lost: another identity has asked to join from its
+// address.
+func removeReplaced(input Input) *wirepb.Membership {
 	for _, join := range input.Joins {
 		for _, held := range input.Current.GetAddresses() {
 			if held.GetAddress() != join.GetAddress() || held.GetId() == join.GetId() || held.GetId() == input.Status.ID {
@@ -106,22 +92,21 @@
 			if mustKeep(input, held.GetId()) {
 				continue
 			}
-			return without(input.Current, held.GetId())
+			return withoutMember(input.Current, held.GetId())
 		}
 	}
 	return nil
 }
 
-// mustKeep reports whether a voter may go only once another has been added:
-// a set of two would be left with one copy.
+// mustKeep reports whether a voter may be removed only after another has been added, because only
+// one copy of the log would be left.
 func mustKeep(input Input, id uint64) bool {
 	voters := input.Current.GetVoters()
 	return slices.Contains(voters, id) && len(voters) <= 2
 }
 
-// admit makes learners of the nodes that asked to join, and takes over
-// addresses that changed.
-func admit(input Input) *wirepb.Membership {
+// addLearners adds the joining nodes as learners and updates changed addresses.
+func addLearners(input Input) *wirepb.Membership {
 	next := clone(input.Current)
 	changed := false
 	for _, join := range input.Joins {
@@ -150,49 +135,48 @@
 	return left.GetAddress() == right.GetAddress() && left.GetNode() == right.GetNode() && left.GetZone() == right.GetZone()
 }
 
-// shrink removes a voter above the number aimed at: the most silent one, or the one without which
-// the others bear most; of those the newest.
-func shrink(input Input) *wirepb.Membership {
+// removeExcessVoter removes a voter above the target number: the one unresponsive the longest,
+// otherwise the one whose removal leaves the best placement, preferring the latest.
+func removeExcessVoter(input Input) *wirepb.Membership {
 	voters := input.Current.GetVoters()
-	if len(voters) <= input.voters() {
+	if len(voters) <= input.targetVoters() {
 		return nil
 	}
-	if silent := silentVoter(input); silent != raft.None {
-		return without(input.Current, silent)
+	if unresponsive := unresponsiveVoter(input); unresponsive != raft.None {
+		return withoutMember(input.Current, unresponsive)
 	}
-	chosen, best := raft.None, spread{}
+	chosen, best := raft.None, placementScore{}
 	for _, voter := range slices.Backward(voters) {
-		rest := input.spreadOf(removed(voters, voter))
-		if voter != input.Status.ID && (chosen == raft.None || rest.less(best)) {
+		rest := input.scoreOf(withoutID(voters, voter))
+		if voter != input.Status.ID && (chosen == raft.None || rest.betterThan(best)) {
 			chosen, best = voter, rest
 		}
 	}
 	if chosen == raft.None {
 		return nil
 	}
-	return without(input.Current, chosen)
+	return withoutMember(input.Current, chosen)
 }
 
-// replaceSilent takes out a voter that has been silent too long, if a learner
-// can take its place. In between, as many must stay up as before; adding the
-// learner first would ask for more.
-func replaceSilent(input Input) *wirepb.Membership {
-	silent := silentVoter(input)
-	if silent == raft.None || readyLearner(input) == raft.None {
+// replaceUnresponsiveVoter removes an unresponsive voter if a learner can replace it. Removing
+// before adding keeps the number of live voters needed for a quorum.
+func replaceUnresponsiveVoter(input Input) *wirepb.Membership {
+	unresponsive := unresponsiveVoter(input)
+	if unresponsive == raft.None || bestReadyLearner(input) == raft.None {
 		return nil
 	}
-	if mustKeep(input, silent) {
-		return promote(input, readyLearner(input))
+	if mustKeep(input, unresponsive) {
+		return promote(input, bestReadyLearner(input))
 	}
-	return without(input.Current, silent)
+	return withoutMember(input.Current, unresponsive)
 }
 
-// grow makes a voter of a learner while there are too few.
-func grow(input Input) *wirepb.Membership {
-	if len(input.Current.GetVoters()) >= input.voters() {
+// addVoter promotes a learner while there are too few voters.
+func addVoter(input Input) *wirepb.Membership {
+	if len(input.Current.GetVoters()) >= input.targetVoters() {
 		return nil
 	}
-	ready := readyLearner(input)
+	ready := bestReadyLearner(input)
 	if ready == raft.None {
 		return nil
 	}
@@ -202,44 +186,43 @@
 func promote(input Input, id uint64) *wirepb.Membership {
 	next := clone(input.Current)
 	next.Voters = append(next.Voters, id)
-	next.Learners = removed(next.Learners, id)
+	next.Learners = withoutID(next.Learners, id)
 	return next
 }
 
-// forgetLearner removes a learner that has been silent for long.
-func forgetLearner(input Input) *wirepb.Membership {
+// removeLearner removes a learner that has been unresponsive for too long.
+func removeLearner(input Input) *wirepb.Membership {
 	for _, id := range input.Current.GetLearners() {
 		if input.Peers[id].Silent > input.Policy.ForgetAfter {
-			return without(input.Current, id)
+			return withoutMember(input.Current, id)
 		}
 	}
 	return nil
 }
 
-func silentVoter(input Input) uint64 {
-	longest, silent := input.Policy.ReplaceAfter, raft.None
+func unresponsiveVoter(input Input) uint64 {
+	silence, chosen := input.Policy.ReplaceAfter, raft.None
 	for _, id := range input.Current.GetVoters() {
-		if id != input.Status.ID && input.Peers[id].Silent > longest {
-			longest, silent = input.Peers[id].Silent, id
+		if id != input.Status.ID && input.Peers[id].Silent > silence {
+			silence, chosen = input.Peers[id].Silent, id
 		}
 	}
-	return silent
+	return chosen
 }
 
-// readyLearner returns the learner that has caught up with which the live voters bear most.
-func readyLearner(input Input) uint64 {
+// bestReadyLearner returns the caught-up learner that gives the live voters the best placement.
+func bestReadyLearner(input Input) uint64 {
 	live := liveVoters(input)
-	chosen, best := raft.None, spread{}
+	chosen, best := raft.None, placementScore{}
 	for _, learner := range readyLearners(input) {
-		with := input.spreadOf(append(slices.Clone(live), learner))
-		if chosen == raft.None || with.less(best) {
+		with := input.scoreOf(append(slices.Clone(live), learner))
+		if chosen == raft.None || with.betterThan(best) {
 			chosen, best = learner, with
 		}
 	}
 	return chosen
 }
 
-// readyLearners returns the learners that have caught up.
 func readyLearners(input Input) []uint64 {
 	var ready []uint64
 	for _, id := range input.Current.GetLearners() {
@@ -251,7 +234,6 @@
 	return ready
 }
 
-// liveVoters returns the voters that are not silent for too long.
 func liveVoters(input Input) []uint64 {
 	var live []uint64
 	for _, id := range input.Current.GetVoters() {
@@ -279,15 +261,15 @@
 	}
 }
 
-func without(current *wirepb.Membership, id uint64) *wirepb.Membership {
+func withoutMember(current *wirepb.Membership, id uint64) *wirepb.Membership {
 	next := clone(current)
-	next.Voters = removed(next.Voters, id)
-	next.Learners = removed(next.Learners, id)
+	next.Voters = withoutID(next.Voters, id)
+	next.Learners = withoutID(next.Learners, id)
 	next.Addresses = slices.DeleteFunc(next.Addresses, func(held *wirepb.MemberAddress) bool { return held.GetId() == id })
 	return next
 }
 
-// removed returns the ids without one.
-func removed(ids []uint64, id uint64) []uint64 {
+// withoutID returns a copy of ids without id.
+func withoutID(ids []uint64, id uint64) []uint64 {
 	return slices.DeleteFunc(slices.Clone(ids), func(other uint64) bool { return other == id })
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -22,23 +22,23 @@
 	return command.GetRequestId()
 }
 
-// settle is more time than an election and a repair take.
-const settle = 6 * time.Second
+// settleTime exceeds the time for an election and a repair.
+const settleTime = 6 * time.Second
 
 const seeds = 20
 
-// eachSeed runs a story under several courses of chance.
-func eachSeed(t *testing.T, story func(t *testing.T, seed uint64)) {
+// forEachSeed runs a test with several random seeds.
+func forEachSeed(t *testing.T, run func(t *testing.T, seed uint64)) {
 	t.Helper()
 	for seed := uint64(1); seed <= seeds; seed++ {
-		story(t, seed)
+		run(t, seed)
 	}
 }
 
 func TestFormationFromSeeds(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
 		c := newCluster(t, seed, 3, 1, 3)
-		c.run(settle)
+		c.run(settleTime)
 		c.commit()
 		c.check(3)
 		if learners := c.leader().member.Raft.Membership().GetLearners(); len(learners) != 1 {
@@ -49,17 +49,17 @@
 
 func TestMoreVotersThanSeeds(t *testing.T) {
 	c := newCluster(t, 1, 3, 4, 5)
-	c.run(settle)
+	c.run(settleTime)
 	c.commit()
 	c.check(5)
 }
 
-// TestLostDisk: a node that comes back at its address with an empty disk does
-// not vote as the one that it was, and takes its place as another.
+// TestLostDisk checks that a node restarted with an empty disk joins under a new identity, which
+// replaces its previous one.
 func TestLostDisk(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
 		c := newCluster(t, seed, 3, 0, 3)
-		c.run(settle)
+		c.run(settleTime)
 		for range 3 {
 			c.commit()
 			victim := c.follower()
@@ -67,38 +67,37 @@
 			c.wipe(victim)
 			c.run(300 * time.Millisecond)
 			c.start(victim, false)
-			c.run(settle)
+			c.run(settleTime)
 			if victim.id == before {
-				t.Fatal("the identity outlived its disk")
+				t.Fatal("the node kept its identity without its disk")
 			}
 			c.check(3)
 		}
 	})
 }
 
-// TestLeaderLosesItsDisk right after it has acknowledged something.
+// TestLeaderLosesItsDisk wipes the leader right after it has acknowledged an entry.
 func TestLeaderLosesItsDisk(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
 		c := newCluster(t, seed, 3, 0, 3)
-		c.run(settle)
+		c.run(settleTime)
 		for range 3 {
 			c.commit()
 			victim := c.leader()
 			c.wipe(victim)
 			c.run(time.Second)
 			c.start(victim, false)
-			c.run(settle)
+			c.run(settleTime)
 			c.check(3)
 		}
 	})
 }
 
-// TestLostDiskWhileTheOthersLosePower: one disk is lost, the others come back
-// from power-off; nothing acknowledged is lost.
-func TestLostDiskWhileTheOthersLosePower(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
+// TestLostDiskDuringRestart restarts all nodes at once, the leader with an empty disk.
+func TestLostDiskDuringRestart(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
 		c := newCluster(t, seed, 3, int(seed%2), 3)
-		c.run(settle)
+		c.run(settleTime)
 		c.commit()
 		victim := c.leader()
 		for _, target := range c.machines {
@@ -112,18 +111,17 @@
 		for _, target := range c.machines {
 			c.start(target, false)
 		}
-		c.run(settle)
+		c.run(settleTime)
 		c.commit()
 		c.check(3)
 	})
 }
 
-// TestReplacedMachine: one is gone for good, an empty one comes at another
-// address; the next loss follows as soon as the repair had its time.
+// TestReplacedMachine replaces one machine after the other by an empty one at a new address.
 func TestReplacedMachine(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
 		c := newCluster(t, seed, 3, 0, 3)
-		c.run(settle)
+		c.run(settleTime)
 		for round := range 3 {
 			c.commit()
 			gone := c.voter(round % 3)
@@ -136,12 +134,12 @@
 	})
 }
 
-// TestLossRightAfterARepair: quorum and acknowledged entries survive a loss
-// just after the set of voters has changed, and a restart of all that follows.
-func TestLossRightAfterARepair(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
+// TestLossRightAfterRepair checks that a quorum and the acknowledged entries survive a loss just
+// after a change of voters, followed by a restart.
+func TestLossRightAfterRepair(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
 		c := newCluster(t, seed, 3, 1, 3)
-		c.run(settle)
+		c.run(settleTime)
 		c.commit()
 		c.kill(c.follower())
 		c.run(replaceAfter + time.Second)
@@ -152,7 +150,7 @@
 				c.kill(target)
 			}
 		}
-		// The first two by chance come back; the third is lost for good.
+		// The first three machines with disks restart; the others are lost.
 		back := 0
 		for _, target := range c.machines {
 			if target.disk != nil && back < 3 {
@@ -160,38 +158,38 @@
 				back++
 			}
 		}
-		c.run(settle)
+		c.run(settleTime)
 		c.commit()
 	})
 }
 
-// TestCutVoterReturns: a voter that was replaced while it was cut off becomes a
-// learner when it returns, and leads nobody meanwhile.
-func TestCutVoterReturns(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
+// TestPartitionedVoterReturns checks that a voter replaced during a partition returns as a learner
+// and holds no lease in the meantime.
+func TestPartitionedVoterReturns(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
 		c := newCluster(t, seed, 3, 1, 3)
-		c.run(settle)
+		c.run(settleTime)
 		cut := c.leader()
 		cut.cut = true
-		c.run(settle)
+		c.run(settleTime)
 		if cut.member.Raft.LeaseValid(c.now) {
-			t.Fatal("a leader that is cut off holds its lease")
+			t.Fatal("a partitioned leader holds its lease")
 		}
 		c.commit()
 		cut.cut = false
-		c.run(settle)
+		c.run(settleTime)
 		c.commit()
 		c.check(3)
 		if learners := c.leader().member.Raft.Membership().GetLearners(); len(learners) != 1 || learners[0] != cut.id {
-			t.Errorf("learners are %v, the returned node is %d", learners, cut.id)
+			t.Errorf("learners %v, want the returned node %d", learners, cut.id)
 		}
 	})
 }
 
-// TestZoneIsLost: where three of five first voters stand in one zone, the log would be lost with
-// it. The voters spread out, and what is committed outlives any zone.
-func TestZoneIsLost(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
+// TestZoneLoss checks that voters concentrated in one zone are redistributed, so that committed
+// entries survive the loss of any zone.
+func TestZoneLoss(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
 		c := newCluster(t, seed, 0, 0, 5)
 		c.zones = 1
 		for position := range 3 {
@@ -203,7 +201,7 @@
 		for _, target := range c.machines {
 			c.start(target, true)
 		}
-		c.run(2 * settle)
+		c.run(2 * settleTime)
 		c.commit()
 		c.check(5)
 		lost := []string{"a", "b", "c"}[seed%3]
@@ -217,7 +215,6 @@
 	})
 }
 
-// TestNext tables single steps.
 func TestNext(t *testing.T) {
 	address := func(id uint64, address string) *wirepb.MemberAddress {
 		return &wirepb.MemberAddress{Id: id, Address: address}
@@ -228,19 +225,19 @@
 	input := membership.Input{Current: current, Policy: membership.Policy{Voters: 3, ReplaceAfter: replaceAfter, ForgetAfter: time.Minute}}
 	input.Status.ID = 1
 	if next := membership.Next(input); next != nil {
-		t.Errorf("a whole set changes: %v", next)
+		t.Errorf("a complete membership changes: %v", next)
 	}
 	input.Joins = []*wirepb.MemberAddress{address(9, "c")}
 	if next := membership.Next(input); len(next.GetVoters()) != 2 || len(next.GetAddresses()) != 2 {
-		t.Errorf("a dead voter is not removed: %v", next)
+		t.Errorf("a replaced voter is not removed: %v", next)
 	}
 	input.Joins = []*wirepb.MemberAddress{address(9, "a")}
 	if next := membership.Next(input); len(next.GetVoters()) != 3 || len(next.GetLearners()) != 1 {
-		t.Errorf("the leader must not remove itself: %v", next)
+		t.Errorf("the leader removes itself: %v", next)
 	}
 	input.Current = &wirepb.Membership{Voters: []uint64{1, 2}, Addresses: []*wirepb.MemberAddress{address(1, "a"), address(2, "b")}}
 	input.Joins = []*wirepb.MemberAddress{address(9, "b")}
 	if next := membership.Next(input); len(next.GetVoters()) != 2 || len(next.GetLearners()) != 1 {
-		t.Errorf("of two voters one is removed before another is there: %v", next)
+		t.Errorf("one of two voters is removed before another is added: %v", next)
 	}
 }
--- a/internal/membership/spread_test.go
+++ b/internal/membership/placement_test.go
@@ -16,16 +16,16 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestSpread tables layouts: control nodes by zone, the first voters, and what is to be borne.
-// Steps are taken until there is none left. A node is named by its zone and a letter; the first
-// voter leads, and all keep up with it unless they are said to be silent.
-func TestSpread(t *testing.T) {
+// TestPlacement runs all steps for the layouts in testdata/spread: control nodes by zone, the
+// initial voters, and the required tolerance. A node is named by its zone and a suffix; the first
+// voter is the leader, and all nodes have caught up unless listed as silent.
+func TestPlacement(t *testing.T) {
 	datadriven.RunTest(t, "testdata/spread", func(t *testing.T, d *datadriven.TestData) string {
 		return newLayout(t, d).settle()
 	})
 }
 
-// layout is a membership under repair, without a log beneath it.
+// layout is a membership without a log.
 type layout struct {
 	t      *testing.T
 	input  membership.Input
@@ -34,7 +34,7 @@
 	out    strings.Builder
 }
 
-// newLayout reads lines "zone region node...", and the arguments voters, machines, zones, regions
+// newLayout parses lines "zone region node..." and the arguments voters, machines, zones, regions
 // and silent.
 func newLayout(t *testing.T, d *datadriven.TestData) *layout {
 	created := &layout{t: t, names: map[uint64]string{}, silent: map[string]bool{}}
@@ -74,7 +74,7 @@
 	return created
 }
 
-// settle takes steps until there is none left, and checks each.
+// settle runs steps until there is none left and checks each.
 func (l *layout) settle() string {
 	for range 20 {
 		l.input.Peers = map[uint64]raft.PeerState{}
@@ -87,17 +87,18 @@
 		}
 		next := membership.Next(l.input)
 		if next == nil {
-			return l.out.String() + l.verdict()
+			return l.out.String() + l.summary()
 		}
 		l.check(next)
 		l.input.Current = next
 		l.rejoin()
 	}
-	l.t.Error("the steps don't end")
+	l.t.Error("the steps do not terminate")
 	return l.out.String()
 }
 
-// check checks that a step changes one voter and leaves a quorum of live ones, and tells it.
+// check checks that a step changes one voter and leaves a quorum of live ones, and prints the
+// change.
 func (l *layout) check(next *wirepb.Membership) {
 	before, after := l.input.Current.GetVoters(), next.GetVoters()
 	live := 0
@@ -117,11 +118,11 @@
 		}
 	}
 	if changes+len(after)-len(before)+changes > 1 || live < len(after)/2+1 {
-		l.t.Errorf("from %v to %v, %d of them live", before, after, live)
+		l.t.Errorf("step from voters %v to %v, %d of them live", before, after, live)
 	}
 }
 
-// rejoin lets live nodes that were removed ask to join.
+// rejoin makes removed live nodes ask to join.
 func (l *layout) rejoin() {
 	l.input.Joins = nil
 	for id, name := range l.names {
@@ -133,8 +134,8 @@
 	}
 }
 
-// verdict tells the voters by zone, and what they bear.
-func (l *layout) verdict() string {
+// summary returns the voters by zone and their tolerance.
+func (l *layout) summary() string {
 	zones := map[string]int{}
 	for _, id := range l.input.Current.GetVoters() {
 		zone, _, _ := strings.Cut(l.names[id], ".")
@@ -148,7 +149,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		fmt.Fprintf(&out, " %s=%d", zone, zones[zone])
 	}
-	borne := membership.Bears(l.input.Current, l.input.Policy)
-	fmt.Fprintf(&out, "\nbears machines=%d zones=%d regions=%d\n", borne.Machines, borne.Zones, borne.Regions)
+	tolerance := membership.Bears(l.input.Current, l.input.Policy)
+	fmt.Fprintf(&out, "\nbears machines=%d zones=%d regions=%d\n", tolerance.Machines, tolerance.Zones, tolerance.Regions)
 	return out.String()
 }
