--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -267,6 +267,7 @@
 	return reply, nil
 }
 
+// NewServer returns the server of this node's feed.
 func (n *Node) NewServer() *feed.Server {
 	self := n.self
 	self.Refuse = n.levelRefusal
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -16,9 +16,9 @@
 	// joinLifetime is how long a join request is kept; a node repeats its request until it is a
 	// member.
 	joinLifetime = 2 * time.Second
-	// leaderTimeoutElections is the number of election timeouts without leader contact after which
-	// a member assumes that it may have been removed.
-	leaderTimeoutElections = 2
+	// leaderLostElectionTimeouts is the number of election timeouts without leader contact after
+	// which a member assumes that it may have been removed.
+	leaderLostElectionTimeouts = 2
 	removeLearnerAfter     = 30 * time.Second
 )
 
@@ -126,7 +126,7 @@
 // leader.
 func (n *Node) hasJoined() bool {
 	status := n.status.Load()
-	silent := n.now()-status.LastContact > leaderTimeoutElections*n.settings.Control.ElectionTimeout
+	silent := n.now()-status.LastContact > leaderLostElectionTimeouts*n.settings.Control.ElectionTimeout
 	if status.Leader == raft.None || status.Role != raft.Leader && silent {
 		return false
 	}
--- a/internal/control/operatorcalls.go
+++ b/internal/control/operatorcalls.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// Heartbeat handles a machine's report. An acknowledged report must not be lost: it returns an
-// error if no leader is known or this node's messages do not reach it, and a machine's leaving is
-// committed first.
+// Heartbeat handles a machine's report. An acknowledged report must not be lost, so Heartbeat fails
+// if no leader is known or this node's messages do not reach it. A machine's leaving is committed
+// before it is acknowledged.
 func (n *Node) Heartbeat(ctx context.Context, report *wirepb.InstanceReport) error {
 	if _, err := n.checkInstance(report); err != nil {
 		return err
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -21,9 +21,9 @@
 	// nonMemberLinkLifetime is how long a link to a node that is not a member is kept after that
 	// node last connected.
 	nonMemberLinkLifetime = 30 * time.Second
-	// linkTimeoutElections is the number of election timeouts without messages from a member after
+	// linkElectionTimeouts is the number of election timeouts without messages from a member after
 	// which its connection is replaced. It exceeds the duration of an election.
-	linkTimeoutElections = 2
+	linkElectionTimeouts = 2
 	// linkChecksPerTimeout is the number of checks for silent links per link timeout.
 	linkChecksPerTimeout = 8
 )
@@ -323,7 +323,7 @@
 // timeout. If only replies are lost, raft does not detect it: the leader receives this node's
 // messages and sends the log on its own connection.
 func (l *peerLink) reconnectIfUnanswered() {
-	limit := linkTimeoutElections * l.node.settings.Control.ElectionTimeout
+	limit := linkElectionTimeouts * l.node.settings.Control.ElectionTimeout
 	l.mutex.Lock()
 	overdue := l.unanswered && l.node.now()-l.unansweredSince >= limit
 	l.mutex.Unlock()
@@ -349,7 +349,7 @@
 // never behind a proxy. It must be called only by the loop.
 func (n *Node) replaceSilentLinks() {
 	now := n.now()
-	limit := linkTimeoutElections * n.settings.Control.ElectionTimeout
+	limit := linkElectionTimeouts * n.settings.Control.ElectionTimeout
 	if now-n.linksCheckedAt < limit/linkChecksPerTimeout {
 		return
 	}
--- a/internal/raft/contact.go
+++ b/internal/raft/contact.go
@@ -23,22 +23,22 @@
 
 // recordReply records the reply to a heartbeat round. The first reply of a term starts the
 // confirmation timeout.
-func (c *replyTracker) recordReply(now time.Duration, term, round uint64) {
-	if term != c.term {
-		*c = replyTracker{term: term, repliedAt: map[uint64]time.Duration{}, confirmedSentAt: now}
+func (t *replyTracker) recordReply(now time.Duration, term, round uint64) {
+	if term != t.term {
+		*t = replyTracker{term: term, repliedAt: map[uint64]time.Duration{}, confirmedSentAt: now}
 	}
-	c.repliedAt[round] = now
-	delete(c.repliedAt, round-maxTrackedRounds)
+	t.repliedAt[round] = now
+	delete(t.repliedAt, round-maxTrackedRounds)
 }
 
 // confirmRound records that the leader of a term has received the reply to a round. Heartbeats that
 // arrive out of order are ignored.
-func (c *replyTracker) confirmRound(term, round uint64) {
-	repliedAt, known := c.repliedAt[round]
-	if term != c.term || !known || round <= c.confirmedRound {
+func (t *replyTracker) confirmRound(term, round uint64) {
+	repliedAt, known := t.repliedAt[round]
+	if term != t.term || !known || round <= t.confirmedRound {
 		return
 	}
-	c.confirmedRound, c.confirmedSentAt = round, repliedAt
+	t.confirmedRound, t.confirmedSentAt = round, repliedAt
 }
 
 func (n *Node) reachableUntil() time.Duration {
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -13,6 +13,7 @@
 // Role is a node's role in its current term.
 type Role int
 
+// The roles of a node.
 const (
 	Follower Role = iota
 	PreCandidate
