--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -19,7 +19,7 @@
 	// leaderLostElectionTimeouts is the number of election timeouts without leader contact after
 	// which a member assumes that it may have been removed.
 	leaderLostElectionTimeouts = 2
-	removeLearnerAfter     = 30 * time.Second
+	removeLearnerAfter         = 30 * time.Second
 )
 
 // joinTable holds the latest join request from each address.
