--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -46,7 +46,7 @@
 
 // isIsolated reports whether a leader is known that this node's messages do not reach.
 func (n *Node) isIsolated() bool {
-	return n.status.Load().Unheard(n.now())
+	return n.status.Load().IsolatedFromLeader(n.now())
 }
 
 // ChangesAfter implements feed.Backend from this node's copy of the state.
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -347,7 +347,7 @@
 	}
 	n.wasIsolated = isolated
 	n.logger.Warn("leader_contact", "heard", !isolated, "leader", status.Leader, "term", status.Term,
-		"overdue_ms", (n.now() - status.HeardUntil).Milliseconds())
+		"overdue_ms", (n.now() - status.ReachableUntil).Milliseconds())
 }
 
 // stop transfers leadership, so that a planned stop needs no election timeout.
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -362,7 +362,7 @@
 				n.reconnectLink(id, limit)
 			}
 		}
-	case status.Unheard(now):
+	case status.IsolatedFromLeader(now):
 		n.reconnectLink(status.Leader, limit)
 	case status.Leader == raft.None && now-status.LastContact > limit:
 		for _, link := range n.peers.all() {
--- a/internal/raft/contact_test.go
+++ b/internal/raft/contact_test.go
@@ -16,7 +16,7 @@
 	tracker := &node.replyTracker
 	now := time.Duration(0)
 	status := func() Status {
-		return Status{ID: 2, Leader: 1, HeardUntil: node.reachableUntil(), LeaderHearsQuorum: true}
+		return Status{ID: 2, Leader: 1, ReachableUntil: node.reachableUntil(), LeaderHasQuorum: true}
 	}
 	heartbeat := func(term, round, confirmed uint64) {
 		now += interval
@@ -25,7 +25,7 @@
 	}
 	for round := uint64(1); round <= 100; round++ {
 		heartbeat(1, round, round-1)
-		if !status().Heard(now) {
+		if !status().ReachesLeader(now) {
 			t.Fatalf("does not reach the leader in round %d", round)
 		}
 	}
@@ -37,34 +37,34 @@
 	if tracker.confirmedSentAt != lastConfirmedAt {
 		t.Errorf("last confirmed reply sent at %s, want %s", tracker.confirmedSentAt, lastConfirmedAt)
 	}
-	if status().Heard(now) {
+	if status().ReachesLeader(now) {
 		t.Error("reaches the leader although its replies are lost")
 	}
-	if !status().Unheard(now) {
+	if !status().IsolatedFromLeader(now) {
 		t.Error("not isolated although the leader has a quorum and receives no replies")
 	}
-	if alone := (Status{ID: 2, Leader: 1, HeardUntil: node.reachableUntil()}); alone.Unheard(now) {
+	if alone := (Status{ID: 2, Leader: 1, ReachableUntil: node.reachableUntil()}); alone.IsolatedFromLeader(now) {
 		t.Error("isolated from a leader without a quorum")
 	}
 	// A new leader gets the confirmation timeout from its first heartbeat. Rounds of the previous
 	// term do not count.
 	heartbeat(2, 1, 0)
-	if !status().Heard(now) {
+	if !status().ReachesLeader(now) {
 		t.Error("does not reach a new leader within the confirmation timeout")
 	}
 	heartbeat(2, 2, 105)
 	for round := uint64(3); round <= 8; round++ {
 		heartbeat(2, round, 0)
 	}
-	if status().Heard(now) {
+	if status().ReachesLeader(now) {
 		t.Error("reaches a new leader that has confirmed nothing within the timeout")
 	}
 	heartbeat(2, 9, 8)
-	if !status().Heard(now) {
+	if !status().ReachesLeader(now) {
 		t.Error("does not reach the leader after a confirmation")
 	}
 	leaderless, leading := Status{ID: 2}, Status{ID: 2, Leader: 2}
-	if leaderless.Heard(0) || leaderless.Unheard(now) || !leading.Heard(now) {
+	if leaderless.ReachesLeader(0) || leaderless.IsolatedFromLeader(now) || !leading.ReachesLeader(now) {
 		t.Error("a node without a leader must reach none and be isolated from none; a leader must reach itself")
 	}
 }
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -334,31 +334,31 @@
 	// LastContact is the time of the last message from a leader, initially the start time.
 	LastContact time.Duration
 	// ReachableUntil is until when a follower may assume that its replies reach the leader.
-	HeardUntil time.Duration
+	ReachableUntil time.Duration
 	// ElectionTimeout is the timeout in force: as leader the requested one, otherwise the promised
 	// one.
 	ElectionTimeout time.Duration
 	// LeaderHasQuorum is whether the leader's latest heartbeat reported contact with a quorum.
-	LeaderHearsQuorum bool
+	LeaderHasQuorum bool
 }
 
 // ReachesLeader reports whether messages from this node reach the leader. It is false if no leader
 // is known and true on the leader itself.
-func (s Status) Heard(now time.Duration) bool {
+func (s Status) ReachesLeader(now time.Duration) bool {
 	switch s.Leader {
 	case None:
 		return false
 	case s.ID:
 		return true
 	}
-	return now < s.HeardUntil
+	return now < s.ReachableUntil
 }
 
 // IsolatedFromLeader reports whether the leader has a quorum but does not receive this node's
 // replies. If the leader has no quorum, the fault is on its side, and switching to another follower
 // does not help.
-func (s Status) Unheard(now time.Duration) bool {
-	return s.Leader != None && s.LeaderHearsQuorum && !s.Heard(now)
+func (s Status) IsolatedFromLeader(now time.Duration) bool {
+	return s.Leader != None && s.LeaderHasQuorum && !s.ReachesLeader(now)
 }
 
 // LeaseHeld reports whether the node may make decisions and serve reads at now: it is leader, has
@@ -381,7 +381,7 @@
 		Committed: n.log.committed, Applied: n.log.applied, Last: n.log.lastIndex(),
 		Voters: n.membership.GetVoters(), Learners: n.membership.GetLearners(),
 		LeaseUntil: n.leaseUntil(), CommittedOwnTerm: n.log.term(n.log.committed) == n.term, FirstHeld: n.log.offset + 1,
-		LastContact: n.lastContact, HeardUntil: n.reachableUntil(), LeaderHearsQuorum: n.replyTracker.leaderHasQuorum,
+		LastContact: n.lastContact, ReachableUntil: n.reachableUntil(), LeaderHasQuorum: n.replyTracker.leaderHasQuorum,
 		ElectionTimeout: n.activeElectionTimeout(),
 	}
 }
