--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -358,7 +358,7 @@
 	switch {
 	case status.Role == raft.Leader:
 		for id, peer := range n.member.Raft.Peers() {
-			if peer.Silent > limit {
+			if peer.InactiveFor > limit {
 				n.reconnectLink(id, limit)
 			}
 		}
@@ -442,7 +442,7 @@
 		}
 		n.logger.Info("member_gone", "member", replaced.ID, "address", replaced.Address, "successor", peer.GetControlId())
 		select {
-		case n.actions <- func() { n.member.Raft.NoteGone(n.now(), replaced.ID) }:
+		case n.actions <- func() { n.member.Raft.MarkTerminated(n.now(), replaced.ID) }:
 		case <-ctx.Done():
 		}
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -227,7 +227,7 @@
 func (m *Member) maybeCompact() error {
 	status := m.Raft.Status()
 	tail := m.compactEvery / compactTailDivisor
-	count := status.Applied - (status.FirstHeld - 1)
+	count := status.Applied - (status.FirstIndex - 1)
 	if m.logBytes >= maxLogBytes {
 		tail = min(tail, sizeCompactionTail)
 	} else if count < m.compactEvery+tail {
@@ -248,7 +248,7 @@
 // CompactNow replaces the applied entries by a snapshot. An error means that storage failed.
 func (m *Member) CompactNow() error {
 	status := m.Raft.Status()
-	return m.compact(min(idleCompactionTail, status.Applied-(status.FirstHeld-1)))
+	return m.compact(min(idleCompactionTail, status.Applied-(status.FirstIndex-1)))
 }
 
 // compact takes a snapshot of the applied state and keeps tail entries before its index for peers
@@ -259,7 +259,7 @@
 	if err != nil {
 		return err
 	}
-	snapshot := &wirepb.Snapshot{Meta: m.Raft.MetaAt(status.Applied), Data: data}
+	snapshot := &wirepb.Snapshot{Meta: m.Raft.SnapshotMetaAt(status.Applied), Data: data}
 	m.Raft.Compact(status.Applied - tail)
 	rest := &wirepb.WalRecord{HardState: m.Raft.HardState(), Entries: m.Raft.EntriesAfterSnapshot()}
 	if err := m.storage.SaveSnapshot(snapshot, rest); err != nil {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -193,7 +193,7 @@
 // removeLearner removes a learner that has been unresponsive for too long.
 func removeLearner(input Input) *wirepb.Membership {
 	for _, id := range input.Current.GetLearners() {
-		if input.Peers[id].Silent > input.Policy.ForgetAfter {
+		if input.Peers[id].InactiveFor > input.Policy.ForgetAfter {
 			return withoutMember(input.Current, id)
 		}
 	}
@@ -203,8 +203,8 @@
 func unresponsiveVoter(input Input) uint64 {
 	silence, chosen := input.Policy.ReplaceAfter, raft.None
 	for _, id := range input.Current.GetVoters() {
-		if id != input.Status.ID && input.Peers[id].Silent > silence {
-			silence, chosen = input.Peers[id].Silent, id
+		if id != input.Status.ID && input.Peers[id].InactiveFor > silence {
+			silence, chosen = input.Peers[id].InactiveFor, id
 		}
 	}
 	return chosen
@@ -227,7 +227,7 @@
 	var ready []uint64
 	for _, id := range input.Current.GetLearners() {
 		peer := input.Peers[id]
-		if peer.Silent < input.Policy.ReplaceAfter/2 && peer.Match+maxPromotionLag >= input.Status.Last && peer.Match > 0 {
+		if peer.InactiveFor < input.Policy.ReplaceAfter/2 && peer.Match+maxPromotionLag >= input.Status.Last && peer.Match > 0 {
 			ready = append(ready, id)
 		}
 	}
@@ -237,7 +237,7 @@
 func liveVoters(input Input) []uint64 {
 	var live []uint64
 	for _, id := range input.Current.GetVoters() {
-		if id == input.Status.ID || input.Peers[id].Silent <= input.Policy.ReplaceAfter {
+		if id == input.Status.ID || input.Peers[id].InactiveFor <= input.Policy.ReplaceAfter {
 			live = append(live, id)
 		}
 	}
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -81,7 +81,7 @@
 		for id, name := range l.names {
 			state := raft.PeerState{Match: 9}
 			if l.silent[name] {
-				state.Silent = 2 * replaceAfter
+				state.InactiveFor = 2 * replaceAfter
 			}
 			l.input.Peers[id] = state
 		}
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -136,7 +136,7 @@
 			lease = " lease"
 		}
 		snapshot := ""
-		if status.FirstHeld > 1 {
+		if status.FirstIndex > 1 {
 			snapshot = " compacted"
 		}
 		fmt.Fprintf(&out, "%d: %s term=%d leader=%d voters=%v learners=%v applied=%s%s%s\n",
@@ -212,7 +212,7 @@
 	case "gone":
 		var gone uint64
 		d.ScanArgs(t, "member", &gone)
-		c.members[node()].Raft.NoteGone(c.now, gone)
+		c.members[node()].Raft.MarkTerminated(c.now, gone)
 	case "lose-disk":
 		delete(c.disks, node())
 	case "start":
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -309,7 +309,7 @@
 }
 
 // SnapshotMetaAt returns the metadata of a snapshot up to index.
-func (n *Node) MetaAt(index uint64) *wirepb.SnapshotMeta {
+func (n *Node) SnapshotMetaAt(index uint64) *wirepb.SnapshotMeta {
 	return &wirepb.SnapshotMeta{Index: index, Term: n.log.term(index), Membership: n.membership}
 }
 
@@ -330,7 +330,7 @@
 	// knows every entry committed before its term.
 	CommittedOwnTerm bool
 	// FirstIndex is the index of the first entry that is not compacted.
-	FirstHeld uint64
+	FirstIndex uint64
 	// LastContact is the time of the last message from a leader, initially the start time.
 	LastContact time.Duration
 	// ReachableUntil is until when a follower may assume that its replies reach the leader.
@@ -380,7 +380,7 @@
 		ID: n.config.ID, Term: n.term, Leader: n.leader, Role: n.role,
 		Committed: n.log.committed, Applied: n.log.applied, Last: n.log.lastIndex(),
 		Voters: n.membership.GetVoters(), Learners: n.membership.GetLearners(),
-		LeaseUntil: n.leaseUntil(), CommittedOwnTerm: n.log.term(n.log.committed) == n.term, FirstHeld: n.log.offset + 1,
+		LeaseUntil: n.leaseUntil(), CommittedOwnTerm: n.log.term(n.log.committed) == n.term, FirstIndex: n.log.offset + 1,
 		LastContact: n.lastContact, ReachableUntil: n.reachableUntil(), LeaderHasQuorum: n.replyTracker.leaderHasQuorum,
 		ElectionTimeout: n.activeElectionTimeout(),
 	}
--- a/internal/raft/release.go
+++ b/internal/raft/release.go
@@ -138,7 +138,7 @@
 
 // MarkTerminated records that a member's process has ended permanently, because another identity
 // runs at its address.
-func (n *Node) NoteGone(now time.Duration, id uint64) {
+func (n *Node) MarkTerminated(now time.Duration, id uint64) {
 	n.advanceClock(now)
 	n.idleTerms[id] = terminated
 	if n.leader == id {
