--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -256,7 +256,7 @@
 // after a restart short.
 func (n *Node) compactWhenIdle() error {
 	now := n.now()
-	if !n.HasLeader() || now-n.idleSince < idleDelay || !n.member.ReplayIsLong() {
+	if !n.HasLeader() || now-n.idleSince < idleDelay || !n.member.ShouldCompact() {
 		return nil
 	}
 	n.idleSince = now
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -241,7 +241,7 @@
 
 // ShouldCompact reports whether a replay after a restart would be long compared with loading the
 // snapshot. The driver then calls CompactNow when it is idle.
-func (m *Member) ReplayIsLong() bool {
+func (m *Member) ShouldCompact() bool {
 	return m.logBytes >= max(minLongReplayBytes, longReplayFactor*len(m.snapshot.GetData()))
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -65,7 +65,7 @@
 			t.Fatal(err)
 		}
 		process(t, opened)
-		if opened.ReplayIsLong() {
+		if opened.ShouldCompact() {
 			if err := opened.CompactNow(); err != nil {
 				t.Fatal(err)
 			}
