--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -86,7 +86,7 @@
 	formation := n.settings.Formation
 	return membership.Policy{
 		Voters: formation.Voters(), Zones: formation.TolerateZones, Regions: formation.TolerateRegions,
-		Places: n.settings.Position().Map, ReplaceAfter: n.settings.Control.ReplaceAfter, ForgetAfter: removeLearnerAfter,
+		Places: n.settings.Position().Map, ReplaceAfter: n.settings.Control.ReplaceAfter, RemoveLearnerAfter: removeLearnerAfter,
 	}
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	formation := n.settings.Formation
-	tolerance := membership.Bears(current, n.membershipPolicy())
+	tolerance := membership.ToleranceOf(current, n.membershipPolicy())
 	n.metrics.observeTolerance(tolerance)
 	n.logger.Info("voters_bear", "voters", len(current.GetVoters()),
 		"machines", tolerance.Machines, "zones", tolerance.Zones, "regions", tolerance.Regions)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -51,8 +51,8 @@
 	Join bool
 	// FirstVoters are the addresses of the initial voters, including this node, in a cluster that
 	// formed from seeds.
-	First   []string
-	Metrics *Metrics
+	FirstVoters []string
+	Metrics     *Metrics
 	// Self is the identity that the node sends when it connects, including its ID.
 	Self wire.Identity
 	// Seeds returns the seed addresses from the current settings.
@@ -179,8 +179,8 @@
 	if options.Join {
 		return membership
 	}
-	if len(options.First) > 0 {
-		return members.First(options.First)
+	if len(options.FirstVoters) > 0 {
+		return members.InitialMembership(options.FirstVoters)
 	}
 	for _, entry := range options.Settings.Control.Members {
 		if entry.Learner {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -33,7 +33,7 @@
 	// ReplaceAfter is how long a voter may be unresponsive before a learner replaces it.
 	ReplaceAfter time.Duration
 	// RemoveLearnerAfter is how long a learner may be unresponsive before it is removed.
-	ForgetAfter time.Duration
+	RemoveLearnerAfter time.Duration
 }
 
 // Input is the input of a step.
@@ -47,7 +47,7 @@
 }
 
 // SeedID returns the identity of an initial voter, which all nodes derive from its address.
-func FirstID(address string) uint64 {
+func SeedID(address string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(address))
 	id := digest.Sum64()
@@ -58,10 +58,10 @@
 }
 
 // InitialMembership returns the membership of a new cluster.
-func First(addresses []string) *wirepb.Membership {
+func InitialMembership(addresses []string) *wirepb.Membership {
 	first := &wirepb.Membership{}
 	for _, address := range addresses {
-		id := FirstID(address)
+		id := SeedID(address)
 		first.Voters = append(first.Voters, id)
 		first.Addresses = append(first.Addresses, &wirepb.MemberAddress{Id: id, Address: address})
 	}
@@ -193,7 +193,7 @@
 // removeLearner removes a learner that has been unresponsive for too long.
 func removeLearner(input Input) *wirepb.Membership {
 	for _, id := range input.Current.GetLearners() {
-		if input.Peers[id].InactiveFor > input.Policy.ForgetAfter {
+		if input.Peers[id].InactiveFor > input.Policy.RemoveLearnerAfter {
 			return withoutMember(input.Current, id)
 		}
 	}
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -19,7 +19,7 @@
 }
 
 // ToleranceOf returns the tolerance of a membership's voters.
-func Bears(current *wirepb.Membership, policy Policy) Tolerance {
+func ToleranceOf(current *wirepb.Membership, policy Policy) Tolerance {
 	counts := countsOf(current, policy, current.GetVoters())
 	return Tolerance{Machines: counts.machineTolerance(), Zones: counts.groupTolerance(counts.zones), Regions: counts.groupTolerance(counts.regions)}
 }
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	policy := membership.Policy{ReplaceAfter: replaceAfter, ForgetAfter: time.Minute}
+	policy := membership.Policy{ReplaceAfter: replaceAfter, RemoveLearnerAfter: time.Minute}
 	d.ScanArgs(t, "machines", &machines)
 	d.MaybeScanArgs(t, "zones", &policy.Zones)
 	d.MaybeScanArgs(t, "regions", &policy.Regions)
@@ -149,7 +149,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		fmt.Fprintf(&out, " %s=%d", zone, zones[zone])
 	}
-	tolerance := membership.Bears(l.input.Current, l.input.Policy)
+	tolerance := membership.ToleranceOf(l.input.Current, l.input.Policy)
 	fmt.Fprintf(&out, "\nbears machines=%d zones=%d regions=%d\n", tolerance.Machines, tolerance.Zones, tolerance.Regions)
 	return out.String()
 }
