--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -18,70 +18,65 @@
 )
 
 const (
-	fleetInterval = 25 * time.Millisecond
-	// orderTimeout is how long an order may stay unanswered before it is given
-	// again under the same number.
+	dispatchInterval = 25 * time.Millisecond
+	// orderTimeout bounds an order; an unacknowledged one is sent again with the same number.
 	orderTimeout = 300 * time.Millisecond
-	// grantLifetime is for how long a machine may be given orders under one
-	// grant, from before it was proposed.
+	// grantLifetime is how long a grant permits orders to a machine, counted from before its
+	// proposal.
 	grantLifetime = 500 * time.Millisecond
 	pollTimeout   = time.Second
-	// lostAfterHeartbeats and goneAfterHeartbeats are how many heartbeats a
-	// machine may miss before it is taken to be lost, and gone.
+	// The following are the heartbeat intervals without a heartbeat after which a machine is lost
+	// or gone.
 	lostAfterHeartbeats = 4
 	goneAfterHeartbeats = 25
-	// suspectAfterHeartbeats is the same for a machine that routers can't
-	// connect to: one that it should have sent has not come.
+	// suspectAfterHeartbeats applies instead to a machine that routers can't connect to.
 	suspectAfterHeartbeats = 1.25
-	// deadAfterHeartbeats is the same for one that most routers can't connect to.
+	// deadAfterHeartbeats applies instead to a machine that most routers can't connect to.
 	deadAfterHeartbeats = 0.25
-	// forgetAfterHeartbeats is how long a record is kept of a machine that is
-	// gone, so that a late heartbeat can't bring it back.
+	// forgetAfterHeartbeats is how long the record of a gone machine is kept, so that a late
+	// heartbeat does not register it again.
 	forgetAfterHeartbeats = 100
 )
 
-// Engines gives orders to machines and asks them what they hold, in whatever
-// protocol they speak.
+// Engines sends orders to machines and queries their models, in the protocols of their engines.
 type Engines interface {
-	// Connect makes a connection for an order that is about to be given.
+	// Connect opens a connection for an imminent order.
 	Connect(ctx context.Context, machine, endpoint string) error
-	// Order sends an order. Permitted is asked once a connection stands, just
-	// before anything is written: a leader whose lease has run out meanwhile
-	// must not order any more.
+	// Order sends an order. It calls permitted once it is connected, just before it writes: the
+	// leader's lease may have expired in the meantime.
 	Order(ctx context.Context, order orders.Order, holder string, fence uint64, permitted func() bool) orders.Outcome
-	// Report asks an engine what it holds.
+	// Report queries the models that an engine has loaded.
 	Report(ctx context.Context, machine, endpoint string) (orders.Report, error)
 }
 
-// fleet gives the orders of one term of leadership.
-type fleet struct {
-	node    *Node
-	term    uint64
-	since   time.Duration
-	cancel  context.CancelFunc
-	workers sync.WaitGroup
-	nudge   chan struct{}
-	// registered is what the state holds of the machines.
+// orderDispatcher sends the orders of one leadership term.
+type orderDispatcher struct {
+	node       *Node
+	term       uint64
+	startedAt  time.Duration
+	cancel     context.CancelFunc
+	workers    sync.WaitGroup
+	wakeup     chan struct{}
 	registered controller.RegisteredCache
 
 	mutex sync.Mutex
 	core  *orders.Core
 	pacer *orders.Pacer
-	// taken is the report that the core took last, by machine.
-	taken map[string]takenReport
-	// granted is until when orders may be given, by machine.
-	granted map[string]time.Duration
+	// lastReport is the last report passed to core, by machine.
+	lastReport map[string]reportKey
+	// grantExpiry is until when orders are permitted, by machine.
+	grantExpiry map[string]time.Duration
 	// work is the rate of work by version, in tokens per second.
 	work map[string]float64
 }
 
-// newFleet starts giving orders; it does nothing on a node without Engines.
-func newFleet(ctx context.Context, node *Node, term uint64) *fleet {
+// newOrderDispatcher starts sending orders; without Engines it does nothing.
+func newOrderDispatcher(ctx context.Context, node *Node, term uint64) *orderDispatcher {
 	pacer := orders.NewPacer()
 	running, cancel := context.WithCancel(ctx)
-	created := &fleet{
-		node: node, term: term, since: node.now(), cancel: cancel, nudge: make(chan struct{}, 1),
-		core: orders.NewCore(pacer), pacer: pacer, taken: map[string]takenReport{}, granted: map[string]time.Duration{},
+	created := &orderDispatcher{
+		node: node, term: term, startedAt: node.now(), cancel: cancel, wakeup: make(chan struct{}, 1),
+		core: orders.NewCore(pacer), pacer: pacer, lastReport: map[string]reportKey{}, grantExpiry: map[string]time.Duration{},
 		registered: controller.RegisteredCache{Places: node.settings.Position().Map},
 	}
 	if node.engines != nil {
@@ -90,102 +85,100 @@
 	return created
 }
 
-func (f *fleet) stop() {
-	f.cancel()
-	f.workers.Wait()
+func (d *orderDispatcher) stop() {
+	d.cancel()
+	d.workers.Wait()
 }
 
-// setWork takes the rates of work by version, which must not be changed.
-func (f *fleet) setWork(work map[string]float64) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.work = work
+// setWork replaces the rates of work by version, which the caller must not modify afterwards.
+func (d *orderDispatcher) setWork(work map[string]float64) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.work = work
 }
 
-func (f *fleet) wake() {
+func (d *orderDispatcher) wake() {
 	select {
-	case f.nudge <- struct{}{}:
+	case d.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// follow brings the records of registered machines in step with what they
-// say, and the reports that placement works on with what is known of them.
-func (f *fleet) follow(ctx context.Context, current *leader) {
-	if f.node.engines == nil {
+// syncMachines updates the records of registered machines from their heartbeats, and the engine
+// reports used for placement.
+func (d *orderDispatcher) syncMachines(ctx context.Context, current *leader) {
+	if d.node.engines == nil {
 		return
 	}
-	commands := f.node.instances.Reconcile(f.instancesInput(f.read()))
+	commands := d.node.instances.Reconcile(d.instancesInput(d.read()))
 	recorded := false
-	current.awaitLog(func() { recorded = f.record(ctx, current, commands) })
+	current.timeCommit(func() { recorded = d.record(ctx, current, commands) })
 	if !recorded {
 		return
 	}
-	registered := f.read()
-	f.observe(registered)
-	current.write(ctx, f.adopt(registered))
-	f.passOn(f.read())
+	registered := d.read()
+	d.observeHeartbeats(registered)
+	current.write(ctx, d.adoptionWrites(registered))
+	d.publishReports(d.read())
 }
 
-// read returns what the state holds of registered machines. The state is held for the reading
-// only; see leader.pass.
-func (f *fleet) read() *controller.Registered {
+// read returns the registered machines. It holds the state lock only while reading.
+func (d *orderDispatcher) read() *controller.Registered {
 	var registered *controller.Registered
-	f.node.Read(func(machine *state.Machine) { registered = f.registered.Read(machine) })
+	d.node.Read(func(machine *state.Machine) { registered = d.registered.Read(machine) })
 	return registered
 }
 
-// adopt returns the writes that make records of what engines hold without one.
-func (f *fleet) adopt(registered *controller.Registered) []*wirepb.ObjectWrite {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return registered.Adopt(f.stateOf())
+// adoptionWrites returns writes that create records for models that engines hold without one.
+func (d *orderDispatcher) adoptionWrites(registered *controller.Registered) []*wirepb.ObjectWrite {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return registered.Adopt(d.engineStates())
 }
 
-// withAdapters adds the writes that bring the adapters of records up to date; see
-// controller.Registered.
-func (f *fleet) withAdapters(writes []*wirepb.ObjectWrite) []*wirepb.ObjectWrite {
-	if f.node.engines == nil {
+// withAdapters adds the writes that update the adapters of records.
+func (d *orderDispatcher) withAdapters(writes []*wirepb.ObjectWrite) []*wirepb.ObjectWrite {
+	if d.node.engines == nil {
 		return writes
 	}
-	registered := f.read()
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return registered.WithAdapters(writes, f.stateOf())
+	registered := d.read()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return registered.WithAdapters(writes, d.engineStates())
 }
 
-// passOn tells placement what engines hold, and the pacer what the weight stores admit.
-func (f *fleet) passOn(registered *controller.Registered) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	for _, report := range registered.Reports(f.stateOf()) {
-		f.node.reports.TakeMachine(f.node.now(), report)
+// publishReports passes engine reports to placement, and the load rates of weight stores to the
+// pacer.
+func (d *orderDispatcher) publishReports(registered *controller.Registered) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for _, report := range registered.Reports(d.engineStates()) {
+		d.node.reports.TakeMachine(d.node.now(), report)
 	}
-	f.pacer.Limit(registered.StoreLoadsPerSecond)
+	d.pacer.Limit(registered.StoreLoadsPerSecond)
 }
 
-// record commits what changed about machines, and reports whether all of it is. At a first start
-// that is every machine: one commit after the other would take a sync and a round trip for each,
-// and the leader does nothing else meanwhile. Proposed together they share both. There is one
-// command for a machine at most, so their order means nothing.
-func (f *fleet) record(ctx context.Context, current *leader, commands []*wirepb.RegisterCommand) bool {
+// record commits changes of machines and reports whether all were committed. The commands are
+// proposed concurrently, so that they share disk syncs and round trips; each is for a different
+// machine, so their order does not matter.
+func (d *orderDispatcher) record(ctx context.Context, current *leader, commands []*wirepb.RegisterCommand) bool {
 	var failed atomic.Bool
 	var commits errgroup.Group
 	commits.SetLimit(maxBatch)
 	for _, command := range commands {
 		commits.Go(func() error {
 			if failed.Load() {
-				return nil // The next pass tries again.
+				return nil // The next pass retries.
 			}
-			f.node.logger.Info("machine_"+command.GetPhase(), "machine", command.GetMachine(), "reason", command.GetReason(), "forget", command.GetForget())
+			d.node.logger.Info("machine_"+command.GetPhase(), "machine", command.GetMachine(), "reason", command.GetReason(), "forget", command.GetForget())
 			result, err := current.commit(ctx, &wirepb.Command{Body: &wirepb.Command_Register{Register: command}})
 			if err != nil {
 				failed.Store(true)
-				f.node.logger.Warn("machine_not_recorded", "machine", command.GetMachine(), "error", fault.Message(err))
+				d.node.logger.Warn("machine_not_recorded", "machine", command.GetMachine(), "error", fault.Message(err))
 				return err
 			}
 			if result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
-				f.node.logger.Warn("machine_not_recorded", "machine", command.GetMachine(), "error", result.GetMessage())
+				d.node.logger.Warn("machine_not_recorded", "machine", command.GetMachine(), "error", result.GetMessage())
 			}
 			return nil
 		})
@@ -193,19 +186,19 @@
 	return commits.Wait() == nil
 }
 
-// stateOf returns what is known of engines now; the mutex must be held.
-func (f *fleet) stateOf() controller.StateOf {
-	now := f.node.now()
-	return func(machine string) (orders.State, bool) { return f.core.State(now, machine) }
+// engineStates returns the current engine states; the mutex must be held.
+func (d *orderDispatcher) engineStates() controller.StateOf {
+	now := d.node.now()
+	return func(machine string) (orders.State, bool) { return d.core.State(now, machine) }
 }
 
-func (f *fleet) instancesInput(registered *controller.Registered) instances.Input {
-	interval := f.node.settings.Machines.HeartbeatInterval
+func (d *orderDispatcher) instancesInput(registered *controller.Registered) instances.Input {
+	interval := d.node.settings.Machines.HeartbeatInterval
 	return instances.Input{
-		Unreachable: f.node.reports.Unreachable(f.node.now()), Routers: f.node.reports.Routers(f.node.now()),
-		Leaving: f.node.reports.Leaving(f.node.now()),
-		Now:     f.node.now(), Since: f.since, Declared: registered.Machines, Pools: registered.Pools,
-		RecordStarts: f.node.recordsStarts(),
+		Unreachable: d.node.reports.Unreachable(d.node.now()), Routers: d.node.reports.Routers(d.node.now()),
+		Leaving: d.node.reports.Leaving(d.node.now()),
+		Now:     d.node.now(), Since: d.startedAt, Declared: registered.Machines, Pools: registered.Pools,
+		RecordStarts: d.node.recordsStarts(),
 		Policy: instances.Policy{
 			LostAfter:    lostAfterHeartbeats * interval,
 			SuspectAfter: time.Duration(suspectAfterHeartbeats * float64(interval)),
@@ -216,76 +209,75 @@
 	}
 }
 
-// takenReport tells a machine's reports apart: each start counts its own.
-type takenReport struct {
+// reportKey identifies a report of a machine. Each start of a machine has its own sequence.
+type reportKey struct {
 	startedMs int64
 	sequence  uint64
 }
 
-// observe passes new heartbeats on to the core.
-func (f *fleet) observe(registered *controller.Registered) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+// observeHeartbeats passes new heartbeats to the core.
+func (d *orderDispatcher) observeHeartbeats(registered *controller.Registered) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	listed := map[string]bool{}
 	for name := range registered.Machines {
 		listed[name] = true
 	}
-	for name, entry := range f.node.instances.Entries() {
+	for name, entry := range d.node.instances.Entries() {
 		if _, known := registered.Machines[name]; !known {
 			continue
 		}
-		report := takenReport{startedMs: entry.Report.GetStartedMs(), sequence: entry.Report.GetSequence()}
-		if report == f.taken[name] || entry.Received < f.since {
+		report := reportKey{startedMs: entry.Report.GetStartedMs(), sequence: entry.Report.GetSequence()}
+		if report == d.lastReport[name] || entry.Received < d.startedAt {
 			continue
 		}
-		f.taken[name] = report
-		f.core.Take(f.node.now(), name, reportOf(entry.Report))
+		d.lastReport[name] = report
+		d.core.Take(d.node.now(), name, reportOf(entry.Report))
 	}
-	f.core.Forget(listed)
+	d.core.Forget(listed)
 }
 
 func reportOf(report *wirepb.InstanceReport) orders.Report {
-	taken := orders.Report{Models: map[string][]string{}}
+	converted := orders.Report{Models: map[string][]string{}}
 	for _, model := range report.GetModels() {
-		taken.Models[model.GetModel()] = model.GetAdapters()
+		converted.Models[model.GetModel()] = model.GetAdapters()
 	}
 	for _, checkpoint := range report.GetCheckpoints() {
 		if checkpoint.GetTier() == controller.TierMemory {
-			taken.Memory = append(taken.Memory, checkpoint.GetCheckpoint())
+			converted.Memory = append(converted.Memory, checkpoint.GetCheckpoint())
 		} else {
-			taken.Disk = append(taken.Disk, checkpoint.GetCheckpoint())
+			converted.Disk = append(converted.Disk, checkpoint.GetCheckpoint())
 		}
 	}
-	return taken
+	return converted
 }
 
-func (f *fleet) run(ctx context.Context) {
-	ticker := time.NewTicker(fleetInterval)
+func (d *orderDispatcher) run(ctx context.Context) {
+	ticker := time.NewTicker(dispatchInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-f.nudge:
+		case <-d.wakeup:
 		}
-		if !f.leads() {
+		if !d.leads() {
 			continue
 		}
 		started := time.Now()
-		f.pass(ctx)
-		pause(ctx, restAfter(time.Since(started)))
+		d.pass(ctx)
+		sleepContext(ctx, pauseAfter(time.Since(started)))
 	}
 }
 
-// leads reports whether the lease of this term is held.
-func (f *fleet) leads() bool {
-	status := f.node.status.Load()
-	return status.Term == f.term && status.LeaseHeld(f.node.now())
+func (d *orderDispatcher) leads() bool {
+	status := d.node.status.Load()
+	return status.Term == d.term && status.LeaseHeld(d.node.now())
 }
 
-// noteGrants remembers what the log tells of grants.
-func (n *Node) noteGrants(output member.Output) {
+// recordGrants records the grants committed in the log.
+func (n *Node) recordGrants(output member.Output) {
 	if output.Restored {
 		n.grants.Forget(n.now())
 	}
@@ -296,63 +288,63 @@
 	}
 }
 
-func (f *fleet) pass(ctx context.Context) {
-	registered := f.read()
-	wanted := f.wanted(registered)
+func (d *orderDispatcher) pass(ctx context.Context) {
+	registered := d.read()
+	wanted := d.wanted(registered)
 	names := make([]string, 0, len(wanted))
 	for _, entry := range wanted {
 		names = append(names, entry.Machine)
 	}
-	free := f.freeOf(names)
+	free := d.grantable(names)
 	for position := range wanted {
 		wanted[position].Held = !free[wanted[position].Machine]
 	}
-	f.mutex.Lock()
-	plan := f.core.Plan(f.node.now(), wanted)
-	f.mutex.Unlock()
+	d.mutex.Lock()
+	plan := d.core.Plan(d.node.now(), wanted)
+	d.mutex.Unlock()
 	endpoints := map[string]string{}
 	for _, entry := range wanted {
 		endpoints[entry.Machine] = entry.Endpoint
 	}
 	for _, machine := range plan.Polls {
-		f.workers.Go(func() { f.poll(ctx, machine, endpoints[machine]) })
+		d.workers.Go(func() { d.poll(ctx, machine, endpoints[machine]) })
 	}
 	for _, order := range plan.Orders {
-		f.workers.Go(func() { f.order(ctx, order) })
+		d.workers.Go(func() { d.order(ctx, order) })
 	}
 }
 
-// wanted returns what the engines should hold.
-func (f *fleet) wanted(registered *controller.Registered) []orders.Wanted {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return registered.Wanted(f.stateOf(), f.node.reports.AdapterDemand(f.node.now()), f.work)
+// wanted returns the models that the engines should hold.
+func (d *orderDispatcher) wanted(registered *controller.Registered) []orders.Wanted {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return registered.Wanted(d.engineStates(), d.node.reports.AdapterDemand(d.node.now()), d.work)
 }
 
-func (f *fleet) poll(ctx context.Context, machine, endpoint string) {
+func (d *orderDispatcher) poll(ctx context.Context, machine, endpoint string) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	report, err := f.node.engines.Report(ctx, machine, endpoint)
+	report, err := d.node.engines.Report(ctx, machine, endpoint)
 	if err == nil {
-		err = f.checkStart(machine, report)
+		err = d.checkStart(machine, report)
 	}
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	if err != nil {
-		f.node.logger.Info("engine_not_polled", "machine", machine, "error", fault.Message(err))
-		f.core.PollFailed(f.node.now(), machine)
+		d.node.logger.Info("engine_not_polled", "machine", machine, "error", fault.Message(err))
+		d.core.PollFailed(d.node.now(), machine)
 		return
 	}
-	f.core.Take(f.node.now(), machine, report)
-	f.node.wakeLeader()
+	d.core.Take(d.node.now(), machine, report)
+	d.node.wakeLeader()
 }
 
-// checkStart returns an error where another start than the recorded one has answered: it has the
-// same id, and another record.
-func (f *fleet) checkStart(machine string, report orders.Report) error {
-	record, known := f.read().Machines[machine]
-	if !known || record.Spec.StartedMs == 0 || report.StartedMs == 0 || record.Spec.StartedMs == report.StartedMs {
+// checkStart returns an error if the report comes from another start of the machine than the
+// recorded one.
+func (d *orderDispatcher) checkStart(machine string, report orders.Report) error {
+	record, registered := d.read().Machines[machine]
+	if !registered || record.Spec.StartedMs == 0 || report.StartedMs == 0 || record.Spec.StartedMs == report.StartedMs {
 		return nil
 	}
-	return fault.Engine.New("machine %s has started again", machine)
+	return fault.Engine.New("machine %s has been restarted", machine)
 }
