--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -12,62 +12,61 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// AdapterDemand is what all routers together ask of one adapter.
+// AdapterDemand is the demand of all routers for one adapter.
 type AdapterDemand struct {
 	Version, Adapter string
-	// Allowed binds the requests that wait. What waits under a constraint counts there only.
+	// Allowed is the region constraint of the waiting requests. Requests waiting under a constraint are
+	// counted only in the entry for that constraint.
 	Allowed    places.Constraint
 	Waiting    int
 	OldestWait time.Duration
-	// LastUsed is when a router last reported a request for it.
+	// LastUsed is when a router last reported a request for the adapter.
 	LastUsed time.Duration
-	// Now is when the demand was read.
-	Now time.Duration
+	Now      time.Duration
 }
 
-// adapterIdle is for how long an adapter must not have been asked for before it
-// makes room: an engine that is to drop one in use waits for its runs, and
-// takes no other order meanwhile.
-const adapterIdle = 2500 * time.Millisecond
+// adapterEvictionIdle is the minimum time since the last request before an adapter may be evicted. An
+// engine waits for the runs that use an adapter before it drops it, and accepts no other order in the
+// meantime.
+const adapterEvictionIdle = 2500 * time.Millisecond
 
-// boundUse is the use of an adapter under one constraint, named by its key, which is empty where
-// any region may serve.
-type boundUse struct {
-	adapterUse
+// constrainedAdapterKey identifies the demand for an adapter under a region constraint, given by its
+// key. The key is empty for requests without a constraint.
+type constrainedAdapterKey struct {
+	adapterKey
 	constraint string
 }
 
-// adapterUse remembers when adapters were last asked for.
-type adapterUse struct {
+type adapterKey struct {
 	version, adapter string
 }
 
-// AdapterDemand adds up what live routers report of adapters.
+// AdapterDemand sums the adapter demand reported by live routers, longest wait first.
 func (t *ReportTable) AdapterDemand(now time.Duration) []AdapterDemand {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	total := map[boundUse]*AdapterDemand{}
-	for use, last := range t.adapterUsed {
-		total[boundUse{use, ""}] = &AdapterDemand{Version: use.version, Adapter: use.adapter, LastUsed: last, Now: now}
+	total := map[constrainedAdapterKey]*AdapterDemand{}
+	for key, last := range t.adapterLastUsed {
+		total[constrainedAdapterKey{key, ""}] = &AdapterDemand{Version: key.version, Adapter: key.adapter, LastUsed: last, Now: now}
 	}
 	for _, entry := range t.nodes {
 		if !entry.isLive(now) {
 			continue
 		}
 		for _, reported := range entry.report.GetDemand() {
-			use := adapterUse{reported.GetVersion(), reported.GetAdapter()}
-			whole := total[boundUse{use, ""}]
-			if reported.GetAdapter() == "" || whole == nil {
+			key := adapterKey{reported.GetVersion(), reported.GetAdapter()}
+			unconstrained := total[constrainedAdapterKey{key, ""}]
+			if reported.GetAdapter() == "" || unconstrained == nil {
 				continue
 			}
-			demand := whole
+			demand := unconstrained
 			if allowed := places.Only(reported.GetRegions()...); allowed.IsBound() {
-				key := boundUse{use, allowed.Key()}
-				if total[key] == nil {
-					total[key] = &AdapterDemand{Version: use.version, Adapter: use.adapter, Allowed: allowed, LastUsed: whole.LastUsed, Now: now}
+				constrainedKey := constrainedAdapterKey{key, allowed.Key()}
+				if total[constrainedKey] == nil {
+					total[constrainedKey] = &AdapterDemand{Version: key.version, Adapter: key.adapter, Allowed: allowed, LastUsed: unconstrained.LastUsed, Now: now}
 				}
-				demand = total[key]
-				whole.Waiting -= int(reported.GetWaiting()) // The report's entry for the adapter counts these, too.
+				demand = total[constrainedKey]
+				unconstrained.Waiting -= int(reported.GetWaiting()) // The unconstrained entry includes these requests.
 			}
 			demand.Waiting += int(reported.GetWaiting())
 			demand.OldestWait = max(demand.OldestWait, time.Duration(reported.GetOldestWaitMs())*time.Millisecond)
@@ -93,47 +92,46 @@
 	return d.Allowed.Key() < other.Allowed.Key()
 }
 
-// noteAdapters remembers which adapters a report asks for; the mutex must be
-// held.
-func (t *ReportTable) noteAdapters(now time.Duration, report *wirepb.NodeReport) {
+// recordAdapterUse updates the time of last use of the adapters in a report. The caller must hold the
+// mutex.
+func (t *ReportTable) recordAdapterUse(now time.Duration, report *wirepb.NodeReport) {
 	for _, demand := range report.GetDemand() {
 		if demand.GetAdapter() != "" {
-			t.adapterUsed[adapterUse{demand.GetVersion(), demand.GetAdapter()}] = now
+			t.adapterLastUsed[adapterKey{demand.GetVersion(), demand.GetAdapter()}] = now
 		}
 	}
-	for use, last := range t.adapterUsed {
-		if now-last > forgetAfter {
-			delete(t.adapterUsed, use)
+	for key, last := range t.adapterLastUsed {
+		if now-last > entryRetention {
+			delete(t.adapterLastUsed, key)
 		}
 	}
 }
 
-// adapterTasks chooses, for each adapter that requests wait for and no ready
-// replica holds, a replica to load it, and what must go where all places are
-// taken: the adapter that was asked for longest ago. Engines that are left with
-// nothing to do load adapters ahead of demand.
-func (r *Registered) adapterTasks(stateOf StateOf, demand []AdapterDemand, work map[string]float64) map[string][]orders.AdapterTask {
-	lastUsed := map[adapterUse]time.Duration{}
+// adapterTasks selects a replica to load each adapter that has waiting requests and is not loaded by a
+// ready replica. Where all adapter slots are in use, the least recently used adapter is dropped first.
+// Engines without such a task prefetch adapters.
+func (r *Registered) adapterTasks(engineState StateOf, demand []AdapterDemand, work map[string]float64) map[string][]orders.AdapterTask {
+	lastUsed := map[adapterKey]time.Duration{}
 	for _, entry := range demand {
-		lastUsed[adapterUse{entry.Version, entry.Adapter}] = entry.LastUsed
+		lastUsed[adapterKey{entry.Version, entry.Adapter}] = entry.LastUsed
 	}
-	places := r.adapterPlaces(stateOf)
+	hosts := r.adapterHosts(engineState)
 	tasks := map[string][]orders.AdapterTask{}
 	for _, entry := range demand {
 		if entry.Waiting <= 0 {
 			continue
 		}
-		chosen := chooseAdapterPlace(places, entry, lastUsed)
-		if chosen == nil {
+		host := selectAdapterHost(hosts, entry, lastUsed)
+		if host == nil {
 			continue
 		}
-		for _, task := range chosen.take(entry, lastUsed) {
-			if !slices.Contains(tasks[chosen.machine], task) { // Else another constraint asked for it.
-				tasks[chosen.machine] = append(tasks[chosen.machine], task)
+		for _, task := range host.assign(entry, lastUsed) {
+			if !slices.Contains(tasks[host.machine], task) { // Another constraint may have led to the same task.
+				tasks[host.machine] = append(tasks[host.machine], task)
 			}
 		}
 	}
-	for machine, task := range r.prefetchTasks(places, lastUsed, work) {
+	for machine, task := range r.prefetchTasks(hosts, lastUsed, work) {
 		if len(tasks[machine]) == 0 {
 			tasks[machine] = []orders.AdapterTask{task}
 		}
@@ -141,115 +139,114 @@
 	return tasks
 }
 
-// adapterPlace is the room for adapters on one machine.
-type adapterPlace struct {
+// adapterHost is a machine that can hold adapters.
+type adapterHost struct {
 	machine string
 	region  string
 	slots   int
-	// models maps a ready version to the name of its model and its adapters.
-	models map[string]adapterHolder
-	held   int
-	// busy machines take no orders for adapters for now.
+	// versions has an entry for each version with a ready replica on the machine.
+	versions  map[string]hostedVersion
+	usedSlots int
+	// busy is set while the engine accepts no adapter orders.
 	busy bool
 }
 
-type adapterHolder struct {
+type hostedVersion struct {
 	model    string
 	adapters []string
-	// coming are on their way.
-	coming []string
+	// loading has the adapters that are being loaded.
+	loading []string
 }
 
-func (r *Registered) adapterPlaces(stateOf StateOf) []*adapterPlace {
-	var places []*adapterPlace
-	for _, name := range r.names() {
+func (r *Registered) adapterHosts(engineState StateOf) []*adapterHost {
+	var hosts []*adapterHost
+	for _, name := range r.engineNames() {
 		machine := r.Machines[name]
-		known, heard := stateOf(name)
+		engine, known := engineState(name)
 		pool := r.Pools[machine.Spec.Pool]
-		if !heard || machine.Status.Phase != v1.MachineLive || pool == nil || pool.Engine == nil {
+		if !known || machine.Status.Phase != v1.MachineLive || pool == nil || pool.Engine == nil {
 			continue
 		}
 		if r.drained[machine.Spec.Zone] {
-			continue // An adapter that is there serves nobody, and is wanted elsewhere.
+			continue // Machines in a drained zone serve no requests, so their adapters don't count.
 		}
-		place := &adapterPlace{machine: name, region: r.places.Region(machine.Spec.Zone), slots: pool.Engine.AdapterSlots, busy: known.Busy, models: map[string]adapterHolder{}}
-		for _, adapters := range known.Models {
-			place.held += len(adapters)
+		host := &adapterHost{machine: name, region: r.places.Region(machine.Spec.Zone), slots: pool.Engine.AdapterSlots, busy: engine.Busy, versions: map[string]hostedVersion{}}
+		for _, adapters := range engine.Models {
+			host.usedSlots += len(adapters)
 		}
-		for _, coming := range known.Coming {
-			place.held += len(coming)
+		for _, loading := range engine.Coming {
+			host.usedSlots += len(loading)
 		}
 		for _, replica := range r.replicas[name] {
-			adapters, held := known.Models[replica.spec.Checkpoint]
+			adapters, held := engine.Models[replica.spec.Checkpoint]
 			if held && replica.spec.Phase == v1.ReplicaReady {
-				place.models[replica.spec.Version] = adapterHolder{
-					model: replica.spec.Checkpoint, adapters: adapters, coming: known.Coming[replica.spec.Checkpoint],
+				host.versions[replica.spec.Version] = hostedVersion{
+					model: replica.spec.Checkpoint, adapters: adapters, loading: engine.Coming[replica.spec.Checkpoint],
 				}
 			}
 		}
-		places = append(places, place)
+		hosts = append(hosts, host)
 	}
-	return places
+	return hosts
 }
 
-// chooseAdapterPlace returns the machine with the fewest adapters that holds the version and may
-// serve the requests, or nil where one of these holds the adapter already.
-func chooseAdapterPlace(places []*adapterPlace, demand AdapterDemand, lastUsed map[adapterUse]time.Duration) *adapterPlace {
-	var best *adapterPlace
-	for _, place := range places {
-		holder, held := place.models[demand.Version]
-		if !held || place.slots == 0 || !demand.Allowed.Allows(place.region) {
+// selectAdapterHost returns the machine with the fewest adapters among those that hold the version and
+// may serve the requests. It returns nil if one of these already holds or loads the adapter.
+func selectAdapterHost(hosts []*adapterHost, demand AdapterDemand, lastUsed map[adapterKey]time.Duration) *adapterHost {
+	var best *adapterHost
+	for _, host := range hosts {
+		version, held := host.versions[demand.Version]
+		if !held || host.slots == 0 || !demand.Allowed.Allows(host.region) {
 			continue
 		}
-		if slices.Contains(holder.adapters, demand.Adapter) || slices.Contains(holder.coming, demand.Adapter) {
+		if slices.Contains(version.adapters, demand.Adapter) || slices.Contains(version.loading, demand.Adapter) {
 			return nil
 		}
-		if place.held >= place.slots {
-			if _, idle := place.oldest(demand.Now, lastUsed); idle == "" {
+		if host.usedSlots >= host.slots {
+			if _, idle := host.leastRecentlyUsed(demand.Now, lastUsed); idle == "" {
 				continue
 			}
 		}
-		if best == nil || place.better(best) {
-			best = place
+		if best == nil || host.isPreferredTo(best) {
+			best = host
 		}
 	}
 	return best
 }
 
-func (p *adapterPlace) better(other *adapterPlace) bool {
+func (p *adapterHost) isPreferredTo(other *adapterHost) bool {
 	if p.busy != other.busy {
 		return !p.busy
 	}
-	return p.held < other.held
+	return p.usedSlots < other.usedSlots
 }
 
-// take returns the tasks that load an adapter here, after one that makes room
-// for it where all places are taken.
-func (p *adapterPlace) take(demand AdapterDemand, lastUsed map[adapterUse]time.Duration) []orders.AdapterTask {
-	load := orders.AdapterTask{Model: p.models[demand.Version].model, Adapter: demand.Adapter}
-	if p.held < p.slots {
-		p.held++
+// assign returns the tasks that make the adapter available on the host. Without a free slot, this is
+// only the eviction of another adapter.
+func (p *adapterHost) assign(demand AdapterDemand, lastUsed map[adapterKey]time.Duration) []orders.AdapterTask {
+	load := orders.AdapterTask{Model: p.versions[demand.Version].model, Adapter: demand.Adapter}
+	if p.usedSlots < p.slots {
+		p.usedSlots++
 		return []orders.AdapterTask{load}
 	}
-	version, adapter := p.oldest(demand.Now, lastUsed)
-	// The place is free once the engine has dropped the other; the next pass
-	// loads.
-	return []orders.AdapterTask{{Model: p.models[version].model, Adapter: adapter, Drop: true}}
+	version, adapter := p.leastRecentlyUsed(demand.Now, lastUsed)
+	// The load follows in a later pass, when the slot is free.
+	return []orders.AdapterTask{{Model: p.versions[version].model, Adapter: adapter, Drop: true}}
 }
 
-// oldest returns the adapter that was asked for longest ago, if that is long
-// enough; no name if none may go.
-func (p *adapterPlace) oldest(now time.Duration, lastUsed map[adapterUse]time.Duration) (version, adapter string) {
+// leastRecentlyUsed returns the least recently used adapter that may be evicted, or empty strings if
+// there is none.
+func (p *adapterHost) leastRecentlyUsed(now time.Duration, lastUsed map[adapterKey]time.Duration) (version, adapter string) {
 	first := true
 	var oldest time.Duration
-	for _, name := range slices.Sorted(maps.Keys(p.models)) {
-		for _, candidate := range p.models[name].adapters {
-			used, known := lastUsed[adapterUse{name, candidate}]
-			if known && now-used < adapterIdle {
+	for _, name := range slices.Sorted(maps.Keys(p.versions)) {
+		for _, candidate := range p.versions[name].adapters {
+			lastUse, found := lastUsed[adapterKey{name, candidate}]
+			if found && now-lastUse < adapterEvictionIdle {
 				continue
 			}
-			if first || used < oldest {
-				first, oldest, version, adapter = false, used, name, candidate
+			if first || lastUse < oldest {
+				first, oldest, version, adapter = false, lastUse, name, candidate
 			}
 		}
 	}
--- a/internal/controller/answers.go
+++ b/internal/controller/answers.go
@@ -7,25 +7,23 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// answerMemory is the time over which answers of machines are counted: long enough to
-// see a few of each machine, short enough that one that has recovered is trusted again
-// soon.
-const answerMemory = 5 * time.Second
+// answerDecayTime is the time constant with which answer counts decay.
+const answerDecayTime = 5 * time.Second
 
-// answerTable counts how machines answered all routers lately. Each router alone sees
-// too few answers of each machine: of a hundred routers, one in some tens of seconds.
+// answerTable counts the recent answers of each machine to all routers. A single router sees too few
+// answers of each machine to detect failures.
 type answerTable struct {
 	machines map[string]*answerCount
-	// reported are the running totals of each node, by machine.
+	// reported holds the counters last reported by each node, by machine.
 	reported nodeTotals[answerTotals]
 }
 
-// answerTotals are a node's counts for one machine since the node started.
+// answerTotals are a node's counters for one machine since the node started.
 type answerTotals struct {
 	answered, errors uint64
 }
 
-// answerCount decays with answerMemory.
+// answerCount decays exponentially with answerDecayTime.
 type answerCount struct {
 	answered, errors float64
 	updated          time.Duration
@@ -35,14 +33,14 @@
 	return &answerTable{machines: map[string]*answerCount{}, reported: nodeTotals[answerTotals]{}}
 }
 
-// take adds what is new in a report.
-func (t *answerTable) take(now time.Duration, held, report *wirepb.NodeReport) {
-	totals, isNews := t.reported.of(held, report)
+// update adds the increments of a report's counters over the earlier ones.
+func (t *answerTable) update(now time.Duration, previous, report *wirepb.NodeReport) {
+	totals, hasBaseline := t.reported.totalsFor(previous, report)
 	for _, entry := range report.GetAnswers() {
 		before := totals[entry.GetMachine()]
 		current := answerTotals{answered: max(before.answered, entry.GetAnswered()), errors: max(before.errors, entry.GetErrors())}
 		totals[entry.GetMachine()] = current
-		if isNews {
+		if hasBaseline {
 			t.add(now, entry.GetMachine(), current.answered-before.answered, current.errors-before.errors)
 		}
 	}
@@ -60,9 +58,9 @@
 }
 
 func (c *answerCount) decay(now time.Duration) {
-	keep := math.Exp(-max(0, (now-c.updated).Seconds()) / answerMemory.Seconds())
-	c.answered *= keep
-	c.errors *= keep
+	factor := math.Exp(-max(0, (now-c.updated).Seconds()) / answerDecayTime.Seconds())
+	c.answered *= factor
+	c.errors *= factor
 	c.updated = now
 }
 
@@ -70,8 +68,8 @@
 	delete(t.reported, name)
 }
 
-// Answers returns how many requests ended at each machine lately, and how many of them
-// as errors, rounded; machines without either are left out, and forgotten.
+// Answers returns the decayed, rounded numbers of answers and of errors by machine. Entries that have
+// decayed to 0 are dropped.
 func (t *ReportTable) Answers(now time.Duration) (answered, errors map[string]uint32) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,13 +1,8 @@
-// Package controller holds the decisions of the leading control node.
+// Package controller implements the decisions of the leading control node.
 //
-// The problem: the leader must turn declared resources, lagging reports and
-// demand into replica records, again and again, and nothing that it believes
-// may matter unless the replicated log accepts it.
-//
-// The mechanism: Controller is level-triggered and pure. Each pass looks at
-// the whole state and the newest reports and returns conditional writes. The
-// control node proposes them; the simulator drives the same code in virtual
-// time. What a controller remembers is soft and begins anew with each term.
+// A Controller is level-triggered and does no I/O: each pass reads the whole state and the newest
+// reports, and returns conditional writes that take effect only if the replicated log accepts them. All
+// other state of a controller is soft and is lost when its term ends.
 package controller
 
 import (
@@ -30,39 +25,35 @@
 )
 
 const (
-	// SettleTime is how long a new leader waits for reports before it places
-	// replicas: until then silence is no sign.
+	// SettleTime is the default of Config.SettleTime.
 	SettleTime = 1500 * time.Millisecond
-	// digestInterval is how often soft state is spread without a reason.
+	// digestInterval is the interval of digests without urgent changes.
 	digestInterval = 500 * time.Millisecond
-	// urgentDigestInterval is how often at most it is spread because a tenant's share changes
-	// fast, or a machine begins to warm up: a link of a router carries a digest in a fraction of
-	// that.
+	// urgentDigestInterval is the minimum interval between digests with urgent changes: of a tenant's
+	// share, a machine's warm-up or a machine's rate limit.
 	urgentDigestInterval = 100 * time.Millisecond
-	// historyInterval is how often control nodes are told of past demand.
-	historyInterval = time.Second
-	// sweepInterval is how often abandoned claims are looked for.
+	historyInterval      = time.Second
+	// sweepInterval is the interval between searches for abandoned claims.
 	sweepInterval = 2 * time.Second
 )
 
-// Config is fixed for one term of leadership.
+// Config holds the settings of a Controller, which are fixed for a term of leadership.
 type Config struct {
 	Node           string
 	Term           uint64
 	MachineTimeout time.Duration
-	// SettleTime is how long a new leader waits for reports before it places
-	// replicas; 0 stands for the package's.
+	// SettleTime is how long a new leader waits for reports before it decides on replicas. 0 selects
+	// the default.
 	SettleTime time.Duration
 	Planner    placement.Config
-	// Quota is by how much tenants may exceed their limits.
-	Quota quota.Bound
-	// Places tells in which regions machines and routers stand.
+	// Quota bounds by how much tenants may exceed their limits.
+	Quota  quota.Bound
 	Places places.Map
-	// Routers is how many the term before had, as far as that is known.
+	// Routers is the number of routers known in the preceding term, if known.
 	Routers int
 }
 
-// Controller decides for one term. It is not safe for concurrent use.
+// Controller makes the decisions of one term of leadership. It is not safe for concurrent use.
 type Controller struct {
 	config    Config
 	since     time.Duration
@@ -71,27 +62,27 @@
 	estimates []placement.Estimate
 	stored    *storedView
 	warming   *warming.Watch
-	// limits are those that machines name, as digests tell of them; limited are those in force.
-	limits  []ratelimit.Observation
-	limited map[string]ratelimit.Limit
-	// urgent is set while routers have not heard of a machine that began to warm up or is warm, or
-	// whose limit is another one.
+	// limitObservations are the rate limits reported for machines, including those that were lifted;
+	// activeLimits are the limits in force.
+	limitObservations []ratelimit.Observation
+	activeLimits      map[string]ratelimit.Limit
+	// urgent is set if the next digest has a change in a machine's warm-up or rate limit.
 	urgent bool
 
-	// control are the control nodes.
 	control        []*wirepb.MemberAddress
 	digestSequence uint64
-	// roster is what the digests carry, since rosterSequence.
+	// roster is the roster sent in digests; rosterSequence is the sequence number of the first digest
+	// that contained it.
 	roster         *wirepb.Roster
 	rosterSequence uint64
 	lastDigest     time.Duration
 	lastHistory    time.Duration
 	lastSweep      time.Duration
-	// decidedAt is the time of day of the last decision.
+	// decidedAt is the wall-clock time of the last decision.
 	decidedAt time.Time
 }
 
-// New returns a controller that begins its term at now.
+// New returns a controller for a term that begins at now.
 func New(now time.Duration, config Config, reports *ReportTable) *Controller {
 	reports.BeginQuotas(quota.NewLedger(now, config.Quota, config.Routers))
 	return &Controller{
@@ -100,21 +91,20 @@
 	}
 }
 
-// Term is the term that the controller decides for.
 func (c *Controller) Term() uint64 {
 	return c.config.Term
 }
 
-// Observe reads the state, unless it is as it was. The caller must hold the state for the call,
-// and need not hold it for those that decide: what was read is never written to.
+// Observe reads the state if its revision has changed. The caller must hold the state's lock during the
+// call, but not while it calls other methods.
 func (c *Controller) Observe(machine *state.Machine) {
 	if c.stored == nil || c.stored.revision != machine.Revision() {
 		c.stored = readState(machine)
 	}
 }
 
-// MachineWrites keeps the Machine resources in step with the machine list and
-// the reports, by the state observed last. The list is nil while it has never been read.
+// MachineWrites returns the writes that reconcile the Machine resources with the machine list and the
+// reports. The list is nil before it was first read.
 func (c *Controller) MachineWrites(now time.Duration, list *platform.MachineList) []*wirepb.ObjectWrite {
 	_, reports := c.reports.snapshot(now)
 	return machines.Reconcile(machines.Input{
@@ -130,17 +120,17 @@
 	return SettleTime
 }
 
-// ReplicaDecision is what a pass decided about replicas.
+// ReplicaDecision is the outcome of a placement pass.
 type ReplicaDecision struct {
 	Actions []placement.Action
 	Writes  []*wirepb.ObjectWrite
-	// Commands record what came of loads; they go before the writes, which drop what tells.
+	// Commands record the outcomes of loads. They must be proposed before Writes, which delete the
+	// replica records that they refer to.
 	Commands []*wirepb.Command
 }
 
-// DecideReplicas returns the next changes of replica records, by the state observed last. The
-// caller must observe the outcome before the next call. Wall is the time of day, for what is
-// learned of it.
+// DecideReplicas returns the next changes of replica records. The caller must observe their outcome
+// before the next call. Wall is the wall-clock time, used for demand history.
 func (c *Controller) DecideReplicas(now time.Duration, wall time.Time) ReplicaDecision {
 	if now-c.since < c.settleTime() {
 		return ReplicaDecision{}
@@ -157,21 +147,20 @@
 	}
 }
 
-// placementInput is what placement decides on.
 func (c *Controller) placementInput(view *clusterView, wall time.Time) *placement.Input {
 	input := view.placementInput(wall)
-	c.addWarming(view.now, input.Machines)
-	c.addLimits(input.Machines)
+	c.applyWarming(view.now, input.Machines)
+	c.applyLimits(input.Machines)
 	return input
 }
 
-// Work returns the averaged rate of work of each version, in tokens per second.
+// Work returns the average rate of work of each version, in tokens per second.
 func (c *Controller) Work() map[string]float64 {
 	return c.planner.Work()
 }
 
-// SweepDue reports whether abandoned claims should be looked for. It stands
-// behind the owners' own resolution; see the state package.
+// SweepDue reports whether abandoned claims should be searched for. The sweep only covers claims that
+// their owners failed to resolve.
 func (c *Controller) SweepDue(now time.Duration, machine *state.Machine) bool {
 	if now-c.lastSweep < sweepInterval {
 		return false
@@ -181,7 +170,7 @@
 	return held > 0
 }
 
-// Digest returns the soft state to spread, or nil if none is due.
+// Digest returns the soft state to broadcast, or nil if no digest is due.
 func (c *Controller) Digest(now time.Duration, revision uint64) *wirepb.ClusterDigest {
 	limits := c.tenantLimits()
 	urgent := c.reports.UpdateQuotas(now, limits)
@@ -195,7 +184,7 @@
 	c.lastDigest, c.urgent = now, false
 	c.digestSequence++
 	nodes, reports := c.reports.snapshot(now)
-	loads := loadsOf(now, nodes, reports)
+	loads := machineLoads(now, nodes, reports)
 	digest := &wirepb.ClusterDigest{
 		Term: c.config.Term, Sequence: c.digestSequence, Leader: c.config.Node, Revision: revision,
 	}
@@ -211,20 +200,19 @@
 		c.roster, c.rosterSequence = roster, c.digestSequence
 	}
 	digest.Roster, digest.RosterSequence = c.roster, c.rosterSequence
-	digest.MachineLoads = packed(c.roster, loads)
-	digest.MachineWork = packed(c.roster, workOf(now, nodes))
-	digest.MachineWarming = packed(c.roster, c.warming.Units(now))
-	digest.Limits = nodeview.LimitMessages(c.limits)
+	digest.MachineLoads = packByRoster(c.roster, loads)
+	digest.MachineWork = packByRoster(c.roster, outstandingWork(now, nodes))
+	digest.MachineWarming = packByRoster(c.roster, c.warming.Units(now))
+	digest.Limits = nodeview.LimitMessages(c.limitObservations)
 	digest.History = c.history(now)
 	digest.Tenants, digest.TenantsKnown = c.reports.allowances(now, limits)
 	if answered, errors := c.reports.Answers(now); len(errors) > 0 {
-		digest.MachineAnswers, digest.MachineErrors = packed(c.roster, answered), packed(c.roster, errors)
+		digest.MachineAnswers, digest.MachineErrors = packByRoster(c.roster, answered), packByRoster(c.roster, errors)
 	}
 	return digest
 }
 
-// history returns what the next leader should know of demand, once in
-// historyInterval.
+// history returns the demand history to hand over to the next leader, at most once per historyInterval.
 func (c *Controller) history(now time.Duration) []*wirepb.DemandHistory {
 	if c.lastHistory != 0 && now-c.lastHistory < historyInterval {
 		return nil
@@ -239,7 +227,7 @@
 	return messages
 }
 
-// HistoryOf returns what a digest hands on of demand; nil if it hands on nothing.
+// HistoryOf returns the demand history in a digest, or nil if it has none.
 func HistoryOf(digest *wirepb.ClusterDigest) []placement.VersionHistory {
 	var history []placement.VersionHistory
 	for _, entry := range digest.GetHistory() {
@@ -262,9 +250,9 @@
 
 func (c *Controller) rosterOf(now time.Duration, nodes map[string]nodeEntry, reports map[string]machineEntry) *wirepb.Roster {
 	roster := &wirepb.Roster{}
-	watched := c.hasListedMachines()
+	listNodes := c.hasListedMachines()
 	for name, entry := range nodes {
-		if watched && entry.isLive(now) {
+		if listNodes && entry.isLive(now) {
 			roster.Nodes = append(roster.Nodes, &wirepb.NodeEntry{
 				Name: name, Zone: entry.report.GetZone(), Draining: entry.report.GetDraining(),
 			})
@@ -289,9 +277,9 @@
 	return roster
 }
 
-// hasListedMachines reports whether agents have machines to watch. Only they need to know of
-// the other nodes; where all machines register, a roster that lists nodes would be sent anew
-// to every node, with the names of all machines, for each that comes.
+// hasListedMachines reports whether there are machines that agents have to poll. Only agents need the
+// roster's list of nodes. Leaving it out otherwise avoids sending a new roster for each node that
+// joins.
 func (c *Controller) hasListedMachines() bool {
 	if c.stored == nil {
 		return true
@@ -304,9 +292,9 @@
 	return false
 }
 
-// loadsOf returns the requests at each machine: by its engine's report, or by
-// what the routers have in flight there.
-func loadsOf(now time.Duration, nodes map[string]nodeEntry, reports map[string]machineEntry) map[string]uint32 {
+// machineLoads returns the number of requests at each machine, from engine reports and from the
+// requests that routers have in flight.
+func machineLoads(now time.Duration, nodes map[string]nodeEntry, reports map[string]machineEntry) map[string]uint32 {
 	loads := make(map[string]uint32, len(reports))
 	for name, entry := range reports {
 		loads[name] = entry.report.GetRunning() + entry.report.GetQueued()
@@ -322,13 +310,13 @@
 	return loads
 }
 
-// SetControl sets the control nodes that digests tell nodes of.
+// SetControl sets the control nodes published in digests.
 func (c *Controller) SetControl(control []*wirepb.MemberAddress) {
 	c.control = control
 }
 
-// workOf returns the outstanding work at each machine, in units of a digest.
-func workOf(now time.Duration, nodes map[string]nodeEntry) map[string]uint32 {
+// outstandingWork returns the outstanding work at each machine, in units of nodeview.WorkUnit.
+func outstandingWork(now time.Duration, nodes map[string]nodeEntry) map[string]uint32 {
 	tokens := map[string]uint32{}
 	for _, entry := range nodes {
 		if !entry.isLive(now) {
@@ -344,9 +332,8 @@
 	return tokens
 }
 
-// packed lists a number for each machine in the roster's order, without the
-// zeros at its end.
-func packed(roster *wirepb.Roster, reported map[string]uint32) []byte {
+// packByRoster lists a value for each machine in the roster's order, without trailing zeros.
+func packByRoster(roster *wirepb.Roster, reported map[string]uint32) []byte {
 	loads := make([]byte, len(roster.GetMachines()))
 	used := 0
 	for position, name := range roster.GetMachines() {
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestMachinesOfADrainedZoneAcceptNothing: they are neither lost nor leaving.
-func TestMachinesOfADrainedZoneAcceptNothing(t *testing.T) {
+// Machines in a drained zone must not receive loads, but are neither lost nor leaving.
+func TestDrainedZoneAcceptsNoLoads(t *testing.T) {
 	machine := fleetState(t)
 	for _, drained := range []bool{false, true, false} {
 		drainZone(t, machine, "z", drained)
@@ -38,22 +38,23 @@
 		view := &clusterView{storedView: readState(machine), reports: map[string]machineEntry{"m": {report: &wirepb.MachineReport{}}}}
 		listed := view.placementMachines()["m"]
 		if listed.Accepts == drained || listed.Drained != drained || listed.Lost {
-			t.Errorf("drained is %t, and the machine is %+v", drained, listed)
+			t.Errorf("drained %t: machine %+v", drained, listed)
 		}
 	}
 }
 
-// TestAdaptersOfADrainedZone: one that is held there only is wanted, and none is loaded there.
-func TestAdaptersOfADrainedZone(t *testing.T) {
+// An adapter that is only loaded in a drained zone is still missing, and must not be loaded in such a
+// zone.
+func TestAdaptersInDrainedZoneDontCount(t *testing.T) {
 	machine := fleetState(t)
 	drainZone(t, machine, "z", true)
 	waiting := []AdapterDemand{{Version: "red@1", Adapter: "a9", Waiting: 1, LastUsed: time.Minute, Now: time.Minute}}
 	known := orders.State{Models: map[string][]string{"red": {"a1"}}}
-	if tasks := ReadRegistered(machine).adapterTasks(knows(known), waiting, nil); len(tasks) != 0 {
-		t.Errorf("with the zone drained: %v", tasks)
+	if tasks := ReadRegistered(machine).adapterTasks(engineStateOf(known), waiting, nil); len(tasks) != 0 {
+		t.Errorf("tasks in a drained zone: %v", tasks)
 	}
 	drainZone(t, machine, "z", false)
-	if tasks := ReadRegistered(machine).adapterTasks(knows(known), waiting, nil); len(tasks["m"]) != 1 {
-		t.Errorf("after the drain: %v", tasks)
+	if tasks := ReadRegistered(machine).adapterTasks(engineStateOf(known), waiting, nil); len(tasks["m"]) != 1 {
+		t.Errorf("tasks after the drain: %v", tasks)
 	}
 }
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -9,10 +9,10 @@
 	"github.com/weldline/weldline/internal/ratelimit"
 )
 
-// openEnd is the assumed duration of a limit: its end is not known in advance.
-const openEnd = time.Duration(math.MaxInt64)
+// unlimitedTime is the assumed duration of a limit: its end is not known in advance.
+const unlimitedTime = time.Duration(math.MaxInt64)
 
-// SetLimits replaces the stated limits. A change is published in a digest at once.
+// SetLimits replaces the observed rate limits. A change is published in a digest at once.
 func (c *Controller) SetLimits(observed []ratelimit.Observation) {
 	limited := map[string]ratelimit.Limit{}
 	for _, each := range observed {
@@ -20,13 +20,13 @@
 			limited[each.Machine] = each.Limit
 		}
 	}
-	c.urgent = c.urgent || !maps.Equal(limited, c.limited)
-	c.limits, c.limited = observed, limited
+	c.urgent = c.urgent || !maps.Equal(limited, c.activeLimits)
+	c.limitObservations, c.activeLimits = observed, limited
 }
 
-// addLimits reduces the capacity of limited machines for placement.
-func (c *Controller) addLimits(placed map[string]*placement.Machine) {
-	for name, limit := range c.limited {
+// applyLimits reduces the capacity of rate-limited machines in the placement input.
+func (c *Controller) applyLimits(placed map[string]*placement.Machine) {
+	for name, limit := range c.activeLimits {
 		machine := placed[name]
 		if machine == nil {
 			continue
@@ -34,6 +34,6 @@
 		if machine.ReducedFor > 0 {
 			limit.PerSecond = min(limit.PerSecond, machine.ReducedRate)
 		}
-		machine.ReducedFor, machine.ReducedRate = openEnd, limit.PerSecond
+		machine.ReducedFor, machine.ReducedRate = unlimitedTime, limit.PerSecond
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -9,9 +9,9 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestDigestTellsOfLimits: at once where one has changed; and placement hears of them, of the lower rate
-// where the machine warms up besides.
-func TestDigestTellsOfLimits(t *testing.T) {
+// A changed rate limit must be published in the next digest. Placement uses the lower rate if the
+// machine is also warming up.
+func TestLimitsReachDigestAndPlacement(t *testing.T) {
 	stored := warmingFleet(t)
 	leader := New(0, Config{}, NewReportTable())
 	leader.Observe(stored)
@@ -35,15 +35,15 @@
 		})
 		digest := leader.Digest(now, 1)
 		if digest == nil {
-			t.Fatalf("%+v is not told at once", test.limit)
+			t.Fatalf("limit %+v is not published at once", test.limit)
 		}
 		limits := digest.GetLimits()
 		if len(limits) != 1 || limits[0].GetLimited() != test.limit.IsSet || limits[0].GetPerSecond() != test.limit.PerSecond {
-			t.Errorf("of %+v the digest tells %v", test.limit, limits)
+			t.Errorf("limit %+v: digest has %v", test.limit, limits)
 		}
 		machine := leader.placementInput(leader.view(now), time.Unix(60, 0)).Machines["m"]
-		if machine.ReducedRate != test.rate || (machine.ReducedFor == openEnd) != test.limit.IsSet {
-			t.Errorf("of %+v placement is told %s at %g a second", test.limit, machine.ReducedFor, machine.ReducedRate)
+		if machine.ReducedRate != test.rate || (machine.ReducedFor == unlimitedTime) != test.limit.IsSet {
+			t.Errorf("limit %+v: placement has a reduction for %s to %g requests per second", test.limit, machine.ReducedFor, machine.ReducedRate)
 		}
 	}
 }
--- a/internal/controller/loadcrash.go
+++ b/internal/controller/loadcrash.go
@@ -9,25 +9,25 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// loadRoute, before the name of a version, is the route of a record that is about its loads.
-const loadRoute = "load of "
+// loadRoutePrefix precedes the version in the route of suspect records that are about loads.
+const loadRoutePrefix = "load of "
 
-// crashesUnderLoads returns the versions under whose loads machines ended. The records name
-// their versions, so that their cost grows with the crashes and not with the versions.
-func (v *storedView) crashesUnderLoads() map[string]placement.LoadCrashes {
+// countLoadCrashes returns, by version, the machine crashes during loads of that version. Suspect
+// records name their versions, so the cost depends on the number of records and not of versions.
+func (v *storedView) countLoadCrashes() map[string]placement.LoadCrashes {
 	crashes := map[string]placement.LoadCrashes{}
 	for name, suspect := range v.suspects {
-		version, isLoad := strings.CutPrefix(suspect.Route, loadRoute)
-		if isLoad && v.placed[version] != nil && quarantine.LoadIdentity(version).String() == name {
+		version, isLoad := strings.CutPrefix(suspect.Route, loadRoutePrefix)
+		if isLoad && v.loadable[version] != nil && quarantine.LoadIdentity(version).String() == name {
 			crashes[version] = placement.LoadCrashes{Count: len(suspect.Machines), Last: suspect.LastCrash}
 		}
 	}
 	return crashes
 }
 
-// loadCommands returns what has to be recorded of loads: the machines that ended under them,
-// and the versions that were loaded after all. It goes through the log, so that the next leader
-// does not begin anew.
+// loadCommands returns the commands that record load outcomes: machines that crashed during a load, and
+// successful loads of versions with earlier crashes. They are written to the log so that they survive a
+// change of leader.
 func (v *storedView) loadCommands(actions []placement.Action) []*wirepb.Command {
 	var commands []*wirepb.Command
 	for _, action := range actions {
@@ -37,11 +37,11 @@
 		spec := action.Replica.Spec
 		switch {
 		case action.EndedUnderLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonSaidSo:
-			// A planned end.
+			// The machine announced its shutdown.
 		case action.EndedUnderLoad:
 			run := quarantine.Run{
 				Machine: spec.Machine, Life: quarantine.LifeOf(spec.Machine, spec.Incarnation),
-				Identity: quarantine.LoadIdentity(spec.Version), Route: loadRoute + spec.Version,
+				Identity: quarantine.LoadIdentity(spec.Version), Route: loadRoutePrefix + spec.Version,
 			}
 			commands = append(commands, quarantine.RecordCommand(run.Life, []quarantine.Run{run}))
 		case action.Kind == placement.ActionReady && v.loadCrashes[spec.Version].Count > 0:
--- a/internal/controller/loadcrash_test.go
+++ b/internal/controller/loadcrash_test.go
@@ -24,43 +24,43 @@
 	}
 }
 
-func loading(machine string) *placement.Replica {
+func loadingReplica(machine string) *placement.Replica {
 	return &placement.Replica{Name: "r-" + machine, Spec: &v1.ReplicaSpec{
 		Model: "blue", Version: "blue@1", Machine: machine, Incarnation: state.RegisteredIncarnation, Phase: v1.ReplicaLoading,
 	}}
 }
 
-// TestNextLeaderKnowsLoadsThatEndedMachines: what the log has, a new term begins with.
-func TestNextLeaderKnowsLoadsThatEndedMachines(t *testing.T) {
+// Load crashes must be counted across changes of leader, until a load succeeds.
+func TestLoadCrashesSurviveLeaderChange(t *testing.T) {
 	machine := fleetState(t)
 	declareDefault(t, machine, "blue")
 	gone := func(name string) placement.Action {
-		return placement.Action{Kind: placement.ActionRemove, Replica: loading(name), Reason: "machine-gone", EndedUnderLoad: true}
+		return placement.Action{Kind: placement.ActionRemove, Replica: loadingReplica(name), Reason: "machine-gone", EndedUnderLoad: true}
 	}
 	view := readState(machine)
-	commands := view.loadCommands([]placement.Action{gone("i-1"), gone("i-2"), {Kind: placement.ActionUnload, Replica: loading("i-3")}})
+	commands := view.loadCommands([]placement.Action{gone("i-1"), gone("i-2"), {Kind: placement.ActionUnload, Replica: loadingReplica("i-3")}})
 	if len(commands) != 2 {
-		t.Fatalf("%d commands for two machines that ended", len(commands))
+		t.Fatalf("%d commands for two crashes, want 2", len(commands))
 	}
 	apply(t, machine, commands)
-	apply(t, machine, commands) // Sent again after a lost answer.
+	apply(t, machine, commands) // Repeated, as after a lost response.
 	next := readState(machine)
 	if crashes := next.loadCrashes["blue@1"]; crashes.Count != 2 {
-		t.Errorf("the next leader knows of %d crashes, not 2", crashes.Count)
+		t.Errorf("next leader has %d crashes, want 2", crashes.Count)
 	}
 	if crashes := next.loadCrashes["red@1"]; crashes.Count != 0 {
-		t.Errorf("the other version has %d crashes", crashes.Count)
+		t.Errorf("other version has %d crashes, want 0", crashes.Count)
 	}
-	apply(t, machine, next.loadCommands([]placement.Action{{Kind: placement.ActionReady, Replica: loading("i-4")}}))
+	apply(t, machine, next.loadCommands([]placement.Action{{Kind: placement.ActionReady, Replica: loadingReplica("i-4")}}))
 	if crashes := readState(machine).loadCrashes["blue@1"]; crashes.Count != 0 {
-		t.Errorf("%d crashes are left once it was loaded", crashes.Count)
+		t.Errorf("%d crashes after a successful load, want 0", crashes.Count)
 	}
-	if commands := readState(machine).loadCommands([]placement.Action{{Kind: placement.ActionReady, Replica: loading("i-5")}}); len(commands) != 0 {
-		t.Errorf("%d commands for a load like any other", len(commands))
+	if commands := readState(machine).loadCommands([]placement.Action{{Kind: placement.ActionReady, Replica: loadingReplica("i-5")}}); len(commands) != 0 {
+		t.Errorf("%d commands for a load without earlier crashes, want 0", len(commands))
 	}
 }
 
-// declareDefault makes the one version of a model its default, so that it is placed.
+// declareDefault makes the version of a model its default, so that it may be placed.
 func declareDefault(t *testing.T, machine *state.Machine, model string) {
 	t.Helper()
 	spec := []byte(`{"defaultVersion":"` + model + `@1"}`)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -8,19 +8,16 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// maxPromotionLag is by how many entries a learner may be behind to take a
-// voter's place.
+// maxPromotionLag is the maximum number of log entries that a learner may lag behind when it is
+// promoted.
 const maxPromotionLag = 128
 
-// NextMembership returns the next step of repair, or nil. A voter that has
-// been silent for replaceAfter gives its place to a learner that has caught
-// up: the learner becomes a voter first, then the silent one a learner. Each
-// step changes one voter, so quorums of the sets before and after meet. Should
-// the silent one return, it is the new standby; should it return between the
-// two steps, the newest voter goes back to being one.
+// NextMembership returns the next change of membership needed to replace a voter that has been silent
+// for replaceAfter, or nil. First a learner that is up to date becomes a voter, then the silent voter
+// becomes a learner. Each step changes one voter, so that quorums before and after it intersect. If the
+// silent voter returns between the two steps, the newest voter becomes a learner instead.
 //
-// Without a learner nothing is changed: a smaller set of voters would survive
-// fewer losses than the operator asked for.
+// Without such a learner, the voters are left as they are: fewer voters would tolerate fewer failures.
 func NextMembership(status raft.Status, peers map[uint64]raft.PeerState, target int, replaceAfter time.Duration) *wirepb.Membership {
 	silent := silentVoter(status, peers, replaceAfter)
 	if len(status.Voters) > target {
@@ -39,7 +36,7 @@
 	}
 }
 
-// demote makes a learner of the silent voter, or of the newest one.
+// demote makes the silent voter a learner, or the newest voter if none is silent.
 func demote(status raft.Status, silent uint64) *wirepb.Membership {
 	demoted := silent
 	for position := len(status.Voters) - 1; demoted == raft.None && position >= 0; position-- {
--- a/internal/controller/near_test.go
+++ b/internal/controller/near_test.go
@@ -17,14 +17,14 @@
 	return leader.view(time.Second)
 }
 
-// TestNewLeaderLearnsDisksBeforeItLoads: a leader that does not know yet what is on a machine's
-// disk would load from the store what is there.
-func TestNewLeaderLearnsDisksBeforeItLoads(t *testing.T) {
+// A new leader must not load models on a machine before it knows which checkpoints the machine has
+// cached.
+func TestNoLoadsBeforeFirstEngineReport(t *testing.T) {
 	reports := NewReportTable()
 	if machine := viewOf(t, reports).placementMachines()["m"]; machine.Accepts {
-		t.Error("a machine that was not heard of in this term gets loads")
+		t.Error("a machine without a report in this term accepts loads")
 	}
-	known := knows(orders.State{Disk: []string{"blue"}, Memory: []string{"red"}})
+	known := engineStateOf(orders.State{Disk: []string{"blue"}, Memory: []string{"red"}})
 	for _, report := range ReadRegistered(fleetState(t)).Reports(known) {
 		reports.TakeMachine(time.Second, report)
 	}
@@ -33,20 +33,19 @@
 		t.Errorf("accepts: %v, tiers: %v", machine.Accepts, machine.Tiers)
 	}
 	if machine.Region != "north" {
-		t.Errorf("in region %q", machine.Region)
+		t.Errorf("region %q, want north", machine.Region)
 	}
 }
 
-// TestDemandByRegion: requests count for the region of their router; where that is not known, for
-// none.
+// Requests count for the region of their router, and for none if that is unknown.
 func TestDemandByRegion(t *testing.T) {
 	reports := NewReportTable()
-	asked := []*wirepb.ModelDemand{{Version: "red@1", Waiting: 1, Running: 2}}
+	demands := []*wirepb.ModelDemand{{Version: "red@1", Waiting: 1, Running: 2}}
 	for node, zone := range map[string]string{"a": "z", "b": "y", "c": "nowhere"} {
-		reports.Take(time.Second, &wirepb.NodeReport{Node: node, Zone: zone, Incarnation: 1, Sequence: 1, Router: true, Demand: asked})
+		reports.Take(time.Second, &wirepb.NodeReport{Node: node, Zone: zone, Incarnation: 1, Sequence: 1, Router: true, Demand: demands})
 	}
 	demand := viewOf(t, reports).demand()["red@1"]
 	if demand.Waiting != 3 || len(demand.Regions) != 2 || demand.Regions["north"] != 3 || demand.Regions["south"] != 3 {
-		t.Errorf("%d wait, by region %v", demand.Waiting, demand.Regions)
+		t.Errorf("%d waiting, by region %v", demand.Waiting, demand.Regions)
 	}
 }
--- a/internal/controller/pass_bench_test.go
+++ b/internal/controller/pass_bench_test.go
@@ -18,18 +18,16 @@
 )
 
 const (
-	benchModels = 334
-	// benchReplicas is how many models each machine has loaded.
-	benchReplicas = 2
-	// benchMachinesPerRouter is as on the users' sweep.
+	benchModels            = 334
+	benchReplicas          = 2
 	benchMachinesPerRouter = 10
-	// benchWritesPerCommand is below what a command may hold.
+	// benchWritesPerCommand stays below the size limit of a command.
 	benchWritesPerCommand = 500
-	// benchDemand is how many versions a router reports on.
+	// benchDemand is the number of versions in a router's report.
 	benchDemand = 30
 )
 
-// benchFleet is a fleet of registered machines, all loaded, with the reports of its routers.
+// benchFleet is a fleet of registered machines with loaded models, and the reports of its routers.
 type benchFleet struct {
 	state      *state.Machine
 	controller *Controller
@@ -118,12 +116,12 @@
 }
 
 func (f *benchFleet) stateOf(machine string) (orders.State, bool) {
-	known, heard := f.engines[machine]
-	return known, heard
+	engine, known := f.engines[machine]
+	return engine, known
 }
 
-// wait makes requests wait for versions of which nothing is loaded.
-func (f *benchFleet) wait(b *testing.B, versions int) {
+// addWaitingRequests adds versions that are not loaded and have waiting requests.
+func (f *benchFleet) addWaitingRequests(b *testing.B, versions int) {
 	b.Helper()
 	var writes []*wirepb.ObjectWrite
 	report := &wirepb.NodeReport{Node: "router-waiting", Zone: "z0", Incarnation: 1, Sequence: 1, Router: true}
@@ -143,13 +141,13 @@
 	f.controller.reports.Take(time.Minute, report)
 }
 
-// BenchmarkDecideWaiting is a pass while requests wait for versions of which nothing is loaded,
-// on a fleet whose places are all taken.
+// BenchmarkDecideWaiting measures a pass on a full fleet while requests wait for versions that are not
+// loaded.
 func BenchmarkDecideWaiting(b *testing.B) {
 	for _, machines := range []int{300, 1000, 3000, 10_000} {
 		for _, waiting := range []int{10, 100, 200} {
 			fleet := newBenchFleet(b, machines)
-			fleet.wait(b, waiting)
+			fleet.addWaitingRequests(b, waiting)
 			for _, report := range ReadRegistered(fleet.state).Reports(fleet.stateOf) {
 				fleet.controller.reports.TakeMachine(time.Minute, report)
 			}
@@ -164,8 +162,7 @@
 	}
 }
 
-// BenchmarkPass times the parts of a leader's pass by the number of machines. What is read
-// after a change of the state and what is looked at in each pass are apart.
+// BenchmarkPass measures the parts of a pass by the number of machines.
 func BenchmarkPass(b *testing.B) {
 	for _, machines := range []int{300, 1000, 3000, 10_000} {
 		fleet := newBenchFleet(b, machines)
@@ -202,7 +199,7 @@
 	}
 }
 
-// BenchmarkObserveWarming is what each pass spends on machines that warm up where no pool has any.
+// BenchmarkObserveWarming measures the cost per pass in a fleet without warming pools.
 func BenchmarkObserveWarming(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -8,34 +8,30 @@
 	"github.com/weldline/weldline/internal/orders"
 )
 
-// A request for an adapter that no replica holds waits for a report to the leader, an
-// order, and the spread of the new state: 0.3 s at best, and until the next leader may
-// give orders where there is none. So free places are filled ahead of demand.
+// Adapters are prefetched into free slots because loading on demand adds the latency of a report, an
+// order and a digest to the first request, and needs a leader.
 
 const (
-	// spareAdapterPlaces stay free on each engine for adapters that are asked for:
-	// dropping another first would take a second order.
-	spareAdapterPlaces = 1
-	// minPrefetches is how many adapters may be on their way in a small fleet when another is
-	// loaded ahead of demand: the store is slower for all when many load, and adapters that
-	// requests wait for come first.
-	minPrefetches = 4
-	// enginesPerPrefetch is for how many engines one more may be: stores are built for the fleets
-	// that load from them, and a leader of many engines has fewer passes a second to load in.
+	// reservedAdapterSlots is the number of slots per engine left free for loads on demand, which would
+	// otherwise have to evict an adapter first.
+	reservedAdapterSlots = 1
+	// minConcurrentPrefetches is the limit of adapters being loaded, above which no prefetch starts, in
+	// a small fleet. It leaves bandwidth of the weight store to loads on demand.
+	minConcurrentPrefetches = 4
+	// enginesPerPrefetch is the number of engines for which the limit grows by one.
 	enginesPerPrefetch = 100
 )
 
-// prefetch is an adapter that could be loaded ahead of demand.
-type prefetch struct {
+// prefetchCandidate is an adapter that could be prefetched.
+type prefetchCandidate struct {
 	version, adapter string
-	// used is set for an adapter that was asked for lately.
+	// used is set if the adapter was requested recently.
 	used bool
-	// work is the rate of work of the version for each of its adapters, in tokens per
-	// second.
+	// work is the version's rate of work per adapter, in tokens per second.
 	work float64
 }
 
-func (p prefetch) before(other prefetch) bool {
+func (p prefetchCandidate) before(other prefetchCandidate) bool {
 	switch {
 	case p.used != other.used:
 		return p.used
@@ -47,46 +43,46 @@
 	return p.adapter < other.adapter
 }
 
-// prefetchTasks chooses at most one adapter for each engine that has free places and
-// nothing on its way: adapters that no replica of their version holds, first those that
-// were asked for lately, then those of the versions with the most work.
-func (r *Registered) prefetchTasks(places []*adapterPlace, lastUsed map[adapterUse]time.Duration, work map[string]float64) map[string]orders.AdapterTask {
-	open := openPlaces(places)
-	if len(open) == 0 {
+// prefetchTasks selects at most one adapter for each idle engine with free slots. Candidates are the
+// adapters that no replica of their version holds: recently used ones first, then by the version's rate
+// of work.
+func (r *Registered) prefetchTasks(hosts []*adapterHost, lastUsed map[adapterKey]time.Duration, work map[string]float64) map[string]orders.AdapterTask {
+	free := hostsWithFreeSlots(hosts)
+	if len(free) == 0 {
 		return nil
 	}
-	missing, onTheirWay := r.missingAdapters(places, lastUsed, work)
-	most := max(minPrefetches, len(places)/enginesPerPrefetch)
+	missing, loading := r.missingAdapters(hosts, lastUsed, work)
+	limit := max(minConcurrentPrefetches, len(hosts)/enginesPerPrefetch)
 	tasks := map[string]orders.AdapterTask{}
 	for _, candidate := range missing {
-		if onTheirWay >= most {
+		if loading >= limit {
 			break
 		}
-		place := prefetchPlace(open, candidate.version, tasks)
-		if place == nil {
+		host := selectPrefetchHost(free, candidate.version, tasks)
+		if host == nil {
 			continue
 		}
-		tasks[place.machine] = orders.AdapterTask{Model: place.models[candidate.version].model, Adapter: candidate.adapter}
-		onTheirWay++
+		tasks[host.machine] = orders.AdapterTask{Model: host.versions[candidate.version].model, Adapter: candidate.adapter}
+		loading++
 	}
 	return tasks
 }
 
-// missingAdapters lists the declared adapters that no ready replica of their version
-// holds or loads, the most wanted first, and counts all that are on their way.
-func (r *Registered) missingAdapters(places []*adapterPlace, lastUsed map[adapterUse]time.Duration, work map[string]float64) (missing []prefetch, onTheirWay int) {
+// missingAdapters returns the declared adapters that no ready replica of their version holds or loads,
+// in order of priority, and the number of adapters being loaded.
+func (r *Registered) missingAdapters(hosts []*adapterHost, lastUsed map[adapterKey]time.Duration, work map[string]float64) (missing []prefetchCandidate, loading int) {
 	present := map[string]map[string]bool{}
-	for _, place := range places {
-		for version, holder := range place.models {
+	for _, host := range hosts {
+		for version, hosted := range host.versions {
 			if present[version] == nil {
 				present[version] = map[string]bool{}
 			}
-			for _, adapters := range [][]string{holder.adapters, holder.coming} {
+			for _, adapters := range [][]string{hosted.adapters, hosted.loading} {
 				for _, adapter := range adapters {
 					present[version][adapter] = true
 				}
 			}
-			onTheirWay += len(holder.coming)
+			loading += len(hosted.loading)
 		}
 	}
 	for _, declared := range r.versions {
@@ -98,43 +94,43 @@
 			if held[adapter] {
 				continue
 			}
-			_, used := lastUsed[adapterUse{declared.name, adapter}]
-			missing = append(missing, prefetch{
+			_, used := lastUsed[adapterKey{declared.name, adapter}]
+			missing = append(missing, prefetchCandidate{
 				version: declared.name, adapter: adapter, used: used, work: workPerAdapter(declared.spec, work[declared.name]),
 			})
 		}
 	}
 	sort.Slice(missing, func(i, j int) bool { return missing[i].before(missing[j]) })
-	return missing, onTheirWay
+	return missing, loading
 }
 
 func workPerAdapter(spec *v1.ModelVersionSpec, work float64) float64 {
 	return work / float64(len(spec.Adapters))
 }
 
-// openPlaces returns the engines that have places to spare and no order under way.
-func openPlaces(places []*adapterPlace) []*adapterPlace {
-	var open []*adapterPlace
-	for _, place := range places {
-		if !place.busy && place.held+spareAdapterPlaces < place.slots {
-			open = append(open, place)
+// hostsWithFreeSlots returns the idle engines that have more than the reserved slots free.
+func hostsWithFreeSlots(hosts []*adapterHost) []*adapterHost {
+	var free []*adapterHost
+	for _, host := range hosts {
+		if !host.busy && host.usedSlots+reservedAdapterSlots < host.slots {
+			free = append(free, host)
 		}
 	}
-	return open
+	return free
 }
 
-// prefetchPlace returns the engine with the fewest adapters among those that hold the
-// version and load none of its adapters; nil if there is none.
-func prefetchPlace(places []*adapterPlace, version string, taken map[string]orders.AdapterTask) *adapterPlace {
-	var best *adapterPlace
-	for _, place := range places {
-		holder, held := place.models[version]
-		_, isTaken := taken[place.machine]
-		if !held || isTaken || len(holder.coming) > 0 {
+// selectPrefetchHost returns the engine with the fewest adapters among those that hold the version and
+// are loading none of its adapters, or nil.
+func selectPrefetchHost(hosts []*adapterHost, version string, assigned map[string]orders.AdapterTask) *adapterHost {
+	var best *adapterHost
+	for _, host := range hosts {
+		hosted, held := host.versions[version]
+		_, isAssigned := assigned[host.machine]
+		if !held || isAssigned || len(hosted.loading) > 0 {
 			continue
 		}
-		if best == nil || place.held < best.held {
-			best = place
+		if best == nil || host.usedSlots < best.usedSlots {
+			best = host
 		}
 	}
 	return best
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -7,14 +7,14 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// BeginQuotas starts a new term's account of what tenants use.
+// BeginQuotas sets the quota ledger of a new term.
 func (t *ReportTable) BeginQuotas(ledger *quota.Ledger) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.quotas = ledger
 }
 
-// quotaReport is the part of a router's report that is about tenants.
+// quotaReport extracts the tenants' usage from a router's report.
 func quotaReport(report *wirepb.NodeReport) quota.Report {
 	taken := quota.Report{
 		Node: report.GetNode(), Incarnation: report.GetIncarnation(),
@@ -32,15 +32,14 @@
 	return taken
 }
 
-// UpdateQuotas brings the account up to date. It returns whether routers should hear of it
-// at once.
+// UpdateQuotas updates the ledger. It returns whether the allowances should be published at once.
 func (t *ReportTable) UpdateQuotas(now time.Duration, limits map[string]quota.Limit) (urgent bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.quotas != nil && t.quotas.Update(now, limits)
 }
 
-// allowances are what routers are told of tenants near their limits.
+// allowances returns the allowances of tenants near their limits, for the next digest.
 func (t *ReportTable) allowances(now time.Duration, limits map[string]quota.Limit) (messages []*wirepb.TenantAllowance, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -56,7 +55,6 @@
 	return messages, known
 }
 
-// tenantLimits are those of the declared tenants.
 func (c *Controller) tenantLimits() map[string]quota.Limit {
 	if c.stored == nil {
 		return nil
--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -10,9 +10,9 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestBoundDemandIsPartOfItsVersions: what routers tell of constraints is added up by constraint,
-// whatever the order of the regions, and counts once in the version's demand.
-func TestBoundDemandIsPartOfItsVersions(t *testing.T) {
+// Constrained demand is summed by constraint, regardless of the order of regions, and counts only once
+// in the demand of its version.
+func TestConstrainedDemandIsCountedOnce(t *testing.T) {
 	table := NewReportTable()
 	take := func(node string, received time.Duration, regions ...string) {
 		taken := report(node, 1, 1, 7)
@@ -30,36 +30,35 @@
 	view := &clusterView{now: 10 * time.Second, nodes: nodes, reports: reports, arrivals: table.arrivalCounts()}
 	demand := view.demand()["v"]
 	if demand.Waiting != 12 || demand.Running != 6 || demand.Arrivals != 28 {
-		t.Errorf("%+v", demand)
+		t.Errorf("demand %+v", demand)
 	}
 	found := map[string]int{}
 	for _, bound := range demand.Bound {
 		found[bound.Allowed.Key()] = bound.Waiting
 		if bound.Allowed.Key() == places.Only("a", "b").Key() {
 			if bound.Waiting != 4 || bound.Running != 2 || bound.OldestWait != 1500*time.Millisecond || bound.Priority != 9 {
-				t.Errorf("%+v", bound)
+				t.Errorf("constrained demand %+v", bound)
 			}
 		}
 	}
 	if len(found) != 2 || found[places.Only("c").Key()] != 2 {
-		t.Errorf("%v", found)
+		t.Errorf("waiting by constraint: %v", found)
 	}
 }
 
-// TestBoundWaitIsNoNewsBesideItsVersions: a part that is told beside the whole must not make each
-// report look as if more waited.
-func TestBoundWaitIsNoNewsBesideItsVersions(t *testing.T) {
+// The constrained part of a demand must not be taken for additional waiting requests.
+func TestRepeatedConstrainedDemandIsNotGrowth(t *testing.T) {
 	waiting := report("one", 1, 1, 7)
 	waiting.Demand[0].Waiting = 4
 	waiting.Demand = append(waiting.Demand, &wirepb.ModelDemand{Version: "v", Regions: []string{"a"}, Waiting: 1})
 	if demandGrew(waiting, waiting) {
-		t.Error("the same report again is news")
+		t.Error("demand grew with a repeated report")
 	}
 }
 
-// TestAdapterGoesWhereItsRequestsMayBeServed: one that is held elsewhere does not help requests
-// that are bound, and is not loaded elsewhere for them.
-func TestAdapterGoesWhereItsRequestsMayBeServed(t *testing.T) {
+// An adapter loaded outside the allowed regions must not satisfy constrained requests, and must be
+// loaded within these regions.
+func TestAdapterHostHonorsRegionConstraint(t *testing.T) {
 	const now = time.Minute
 	table := NewReportTable()
 	table.Take(now, &wirepb.NodeReport{Node: "one", Incarnation: 1, Sequence: 1, Demand: []*wirepb.ModelDemand{
@@ -68,36 +67,35 @@
 		{Version: "red@1", Adapter: "y", Waiting: 3, OldestWaitMs: 50},
 		{Version: "red@1", Adapter: "y", Waiting: 3, OldestWaitMs: 50, Regions: []string{"b"}},
 	}})
-	red := func(region string, adapters ...string) *adapterPlace {
-		return &adapterPlace{
-			machine: "m-" + region, region: region, slots: 4, held: len(adapters),
-			models: map[string]adapterHolder{"red@1": {model: "red", adapters: adapters}},
+	red := func(region string, adapters ...string) *adapterHost {
+		return &adapterHost{
+			machine: "m-" + region, region: region, slots: 4, usedSlots: len(adapters),
+			versions: map[string]hostedVersion{"red@1": {model: "red", adapters: adapters}},
 		}
 	}
-	chosen := map[string]string{}
+	hosts := map[string]string{}
 	for _, demand := range table.AdapterDemand(now) {
 		if demand.Waiting <= 0 {
 			continue
 		}
-		place := chooseAdapterPlace([]*adapterPlace{red("a", "x"), red("b", "p", "q")}, demand, nil)
+		host := selectAdapterHost([]*adapterHost{red("a", "x"), red("b", "p", "q")}, demand, nil)
 		name := demand.Adapter + " " + demand.Allowed.Key()
-		chosen[name] = ""
-		if place != nil {
-			chosen[name] = place.machine
+		hosts[name] = ""
+		if host != nil {
+			hosts[name] = host.machine
 		}
 	}
-	wanted := map[string]string{"x ": "", "x only b": "m-b", "y only b": "m-b"}
-	if !maps.Equal(chosen, wanted) {
-		t.Errorf("%v, not %v", chosen, wanted)
+	want := map[string]string{"x ": "", "x only b": "m-b", "y only b": "m-b"}
+	if !maps.Equal(hosts, want) {
+		t.Errorf("hosts %v, want %v", hosts, want)
 	}
 }
 
-// TestAdapterPlacesStandInRegions: by the table that the cache was given.
-func TestAdapterPlacesStandInRegions(t *testing.T) {
+func TestAdapterHostsHaveRegions(t *testing.T) {
 	cache := RegisteredCache{Places: places.NewMap(map[string]string{"z": "a"})}
 	known := orders.State{Models: map[string][]string{"red": {}}}
-	found := cache.Read(fleetState(t)).adapterPlaces(func(string) (orders.State, bool) { return known, true })
+	found := cache.Read(fleetState(t)).adapterHosts(func(string) (orders.State, bool) { return known, true })
 	if len(found) != 1 || found[0].region != "a" {
-		t.Errorf("the places are %+v", found)
+		t.Errorf("hosts %+v, want one in region a", found)
 	}
 }
--- a/internal/controller/registered.go
+++ b/internal/controller/registered.go
@@ -17,31 +17,28 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TierMemory and TierDisk are where a machine has weights at hand.
+// Tiers of cached weights.
 const (
 	TierMemory = string(placement.TierMemory)
 	TierDisk   = string(placement.TierDisk)
 )
 
-// Registered is what the state holds of machines that registered by
-// themselves.
+// RegisteredFleet is a snapshot of the self-registered machines, their pools, versions and replicas.
 type Registered struct {
 	Machines map[string]instances.Declared
 	Pools    map[string]*v1.PoolSpec
-	// StoreLoadsPerSecond is the rate that the weight stores admit.
+	// StoreLoadsPerSecond is the total load rate of the pools' weight stores.
 	StoreLoadsPerSecond float64
 	revision            uint64
-	// drained has the zones whose machines are to get no requests.
-	drained map[string]bool
-	// versions maps pool and checkpoint to the declared version.
+	// drained has the drained zones.
+	drained  map[string]bool
 	versions map[versionKey]declaredVersion
-	// replicas are the records, by machine.
+	// replicas has the replica records by machine.
 	replicas map[string][]storedReplica
-	// places tells in which regions the machines stand.
-	places places.Map
-	// engines are the machines with engines that are not gone, sorted; see names.
+	places   places.Map
+	// engines caches the result of engineNames.
 	engines     []string
-	listEngines sync.Once
+	enginesOnce sync.Once
 }
 
 type versionKey struct {
@@ -53,10 +50,10 @@
 	spec *v1.ModelVersionSpec
 }
 
-// StateOf tells what an engine holds; false if nothing is known.
+// EngineStateFunc returns the known state of a machine's engine, and false if none is known.
 type StateOf func(machine string) (orders.State, bool)
 
-// ReadRegistered reads the state. The caller must hold it.
+// ReadRegisteredFleet takes a snapshot of the state. The caller must hold the state's lock.
 func ReadRegistered(machine *state.Machine) *Registered {
 	registered := &Registered{
 		Machines: map[string]instances.Declared{}, Pools: map[string]*v1.PoolSpec{}, revision: machine.Revision(),
@@ -68,16 +65,14 @@
 	return registered
 }
 
-// RegisteredCache reads the state once for each revision of it. Every change of
-// an object has a revision of its own, and what was read is never written to.
+// RegisteredFleetCache keeps the snapshot of the newest revision. Snapshots are not modified.
 type RegisteredCache struct {
-	// Places tells in which regions machines stand.
 	Places places.Map
 	mutex  sync.Mutex
 	held   *Registered
 }
 
-// Read is ReadRegistered, read anew only where the revision is another.
+// Read returns a snapshot of the state's revision. The caller must hold the state's lock.
 func (c *RegisteredCache) Read(machine *state.Machine) *Registered {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -108,10 +103,9 @@
 	}
 }
 
-// names returns the machines with engines that are not gone, sorted. They are listed once for what was
-// read: each part of a pass goes through them.
-func (r *Registered) names() []string {
-	r.listEngines.Do(func() {
+// engineNames returns the sorted names of the machines that have engines and are not gone.
+func (r *Registered) engineNames() []string {
+	r.enginesOnce.Do(func() {
 		for name, machine := range r.Machines {
 			if machine.Status.Phase != v1.MachineGone && machine.Spec.Accelerators > 0 {
 				r.engines = append(r.engines, name)
@@ -122,17 +116,17 @@
 	return r.engines
 }
 
-// Adopt returns the writes that make records of what engines hold without one. A machine
-// holds models before anything was decided; they are used, not unloaded.
-func (r *Registered) Adopt(stateOf StateOf) []*wirepb.ObjectWrite {
+// Adopt returns the writes that create records for models that engines hold without a record. Such
+// models are used and not unloaded.
+func (r *Registered) Adopt(engineState StateOf) []*wirepb.ObjectWrite {
 	var writes []*wirepb.ObjectWrite
-	for _, name := range r.names() {
-		known, heard := stateOf(name)
-		if !heard {
+	for _, name := range r.engineNames() {
+		engine, known := engineState(name)
+		if !known {
 			continue
 		}
-		for _, model := range slices.Sorted(maps.Keys(known.Models)) {
-			if write := r.adoptModel(name, model, known.Models[model]); write != nil {
+		for _, model := range slices.Sorted(maps.Keys(engine.Models)) {
+			if write := r.adoptModel(name, model, engine.Models[model]); write != nil {
 				writes = append(writes, write)
 			}
 		}
@@ -141,7 +135,7 @@
 }
 
 func (r *Registered) adoptModel(machine, model string, adapters []string) *wirepb.ObjectWrite {
-	if r.hasRecord(machine, model) {
+	if r.hasReplica(machine, model) {
 		return nil
 	}
 	version, declared := r.versions[versionKey{r.Machines[machine].Spec.Pool, model}]
@@ -172,27 +166,25 @@
 	}
 }
 
-func (r *Registered) hasRecord(machine, model string) bool {
+func (r *Registered) hasReplica(machine, model string) bool {
 	return slices.ContainsFunc(r.replicas[machine], func(replica storedReplica) bool { return replica.spec.Checkpoint == model })
 }
 
-// WithAdapters returns the writes, followed by those that bring the adapters of records up to
-// date. Nothing is decided by what records say of adapters, so these share a commit with the
-// decisions: with voters in several regions a commit takes tens of milliseconds, and adapters
-// come and go many times a second. A record that is written to anyway is left for the next
-// time, since the two writes would name different revisions of it.
-func (r *Registered) WithAdapters(writes []*wirepb.ObjectWrite, stateOf StateOf) []*wirepb.ObjectWrite {
+// WithAdapters appends the writes that update the adapters in replica records. Decisions don't depend
+// on these, so they share a commit with the decisions instead of delaying them by one of their own. A
+// record that is already written to is skipped, since both writes would expect the same revision.
+func (r *Registered) WithAdapters(writes []*wirepb.ObjectWrite, engineState StateOf) []*wirepb.ObjectWrite {
 	written := make(map[string]bool, len(writes))
 	for _, write := range writes {
 		written[write.GetObject().GetName()] = true
 	}
-	for _, name := range r.names() {
-		known, heard := stateOf(name)
-		if !heard {
+	for _, name := range r.engineNames() {
+		engine, known := engineState(name)
+		if !known {
 			continue
 		}
 		for _, replica := range r.replicas[name] {
-			adapters, held := known.Models[replica.spec.Checkpoint]
+			adapters, held := engine.Models[replica.spec.Checkpoint]
 			if !held || written[replica.object.GetName()] {
 				continue
 			}
@@ -219,59 +211,58 @@
 	}
 }
 
-// Reports returns what engines hold as the reports that placement reads.
-func (r *Registered) Reports(stateOf StateOf) []*wirepb.MachineReport {
+// Reports converts engine states to the machine reports used by placement.
+func (r *Registered) Reports(engineState StateOf) []*wirepb.MachineReport {
 	var reports []*wirepb.MachineReport
-	for _, name := range r.names() {
-		known, heard := stateOf(name)
-		if !heard {
+	for _, name := range r.engineNames() {
+		engine, known := engineState(name)
+		if !known {
 			continue
 		}
-		reports = append(reports, r.report(name, known))
+		reports = append(reports, r.report(name, engine))
 	}
 	return reports
 }
 
-func (r *Registered) report(machine string, known orders.State) *wirepb.MachineReport {
+func (r *Registered) report(machine string, engine orders.State) *wirepb.MachineReport {
 	report := &wirepb.MachineReport{Machine: machine, Incarnation: state.RegisteredIncarnation, Reachable: true, Fence: r.revision}
 	for _, replica := range r.replicas[machine] {
-		_, held := known.Models[replica.spec.Checkpoint]
+		_, held := engine.Models[replica.spec.Checkpoint]
 		phase := ""
 		switch {
 		case held:
 			phase = placement.EngineReady
-		case known.Loading == replica.spec.Checkpoint:
+		case engine.Loading == replica.spec.Checkpoint:
 			phase = placement.EngineLoading
-		case !known.Settled && replica.spec.Phase != v1.ReplicaLoading:
-			// The record is the better guide: the report may be from before
-			// the load was done.
+		case !engine.Settled && replica.spec.Phase != v1.ReplicaLoading:
+			// The report may predate the completed load, so the record takes precedence.
 			phase = placement.EngineReady
 		default:
 			continue
 		}
 		report.Replicas = append(report.Replicas, &wirepb.EngineReplica{Id: replica.object.GetName(), Version: replica.spec.Version, Phase: phase})
 	}
-	for _, checkpoint := range known.Disk {
+	for _, checkpoint := range engine.Disk {
 		report.Checkpoints = append(report.Checkpoints, &wirepb.CachedCheckpoint{Checkpoint: checkpoint, Tier: TierDisk})
 	}
-	for _, checkpoint := range known.Memory {
+	for _, checkpoint := range engine.Memory {
 		report.Checkpoints = append(report.Checkpoints, &wirepb.CachedCheckpoint{Checkpoint: checkpoint, Tier: TierMemory})
 	}
 	return report
 }
 
-// Wanted returns what the engines of live machines should hold. Work is the rate
-// of work by version: what serves most is loaded first.
-func (r *Registered) Wanted(stateOf StateOf, demand []AdapterDemand, work map[string]float64) []orders.Wanted {
-	var wanted []orders.Wanted
-	adapters := r.adapterTasks(stateOf, demand, work)
-	for _, name := range r.names() {
+// DesiredStates returns the desired states of the engines of live machines. Work is the rate of work by
+// version, which determines the order of loads.
+func (r *Registered) Wanted(engineState StateOf, demand []AdapterDemand, work map[string]float64) []orders.Wanted {
+	var desired []orders.Wanted
+	adapters := r.adapterTasks(engineState, demand, work)
+	for _, name := range r.engineNames() {
 		machine := r.Machines[name]
 		if machine.Status.Phase != v1.MachineLive {
 			continue
 		}
 		entry := orders.Wanted{Machine: name, Endpoint: machine.Spec.Endpoint, Adapters: adapters[name]}
-		for _, replica := range sortedReplicas(r.changing(name)) {
+		for _, replica := range sortedReplicas(r.transitioning(name)) {
 			task := orders.Task{
 				Model: replica.spec.Checkpoint, FromStore: replica.spec.Tier == string(placement.TierRemote),
 				Work: work[replica.spec.Version],
@@ -283,14 +274,13 @@
 				entry.Unload = append(entry.Unload, task)
 			}
 		}
-		wanted = append(wanted, entry)
+		desired = append(desired, entry)
 	}
-	return wanted
+	return desired
 }
 
-// changing returns the replicas of a machine that are being loaded or unloaded: few, of many that are
-// ready.
-func (r *Registered) changing(machine string) []storedReplica {
+// transitioning returns the replicas of a machine that are being loaded or unloaded.
+func (r *Registered) transitioning(machine string) []storedReplica {
 	var found []storedReplica
 	for _, replica := range r.replicas[machine] {
 		if replica.spec.Phase == v1.ReplicaLoading || replica.spec.Phase == v1.ReplicaUnloading {
--- a/internal/controller/registered_test.go
+++ b/internal/controller/registered_test.go
@@ -15,8 +15,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// fleetState returns a state with a pool, one machine and two model versions, of
-// which the machine has a ready replica of one.
+// fleetState returns a state with a pool, two model versions and one machine, which has a ready replica
+// of one of them.
 func fleetState(t *testing.T) *state.Machine {
 	t.Helper()
 	machine := state.New()
@@ -59,14 +59,13 @@
 	return machine
 }
 
-func knows(known orders.State) StateOf {
+func engineStateOf(known orders.State) StateOf {
 	return func(string) (orders.State, bool) { return known, true }
 }
 
-// TestEarlyReportDoesNotUnload: a new leader asked an engine whose answer was
-// from before a load had been done. It took the model to be gone, freed its
-// room, and ordered another into it.
-func TestEarlyReportDoesNotUnload(t *testing.T) {
+// An engine report that predates a completed load must not lead to the removal of the replica: its
+// memory would be assigned twice.
+func TestUnsettledReportDoesNotUnload(t *testing.T) {
 	registered := ReadRegistered(fleetState(t))
 	tests := []struct {
 		name  string
@@ -74,25 +73,25 @@
 		phase string
 	}{
 		{"held", orders.State{Models: map[string][]string{"red": nil}}, placement.EngineReady},
-		{"not named yet", orders.State{Models: map[string][]string{}}, placement.EngineReady},
-		{"not named for long enough", orders.State{Models: map[string][]string{}, Settled: true}, ""},
+		{"missing, not settled", orders.State{Models: map[string][]string{}}, placement.EngineReady},
+		{"missing, settled", orders.State{Models: map[string][]string{}, Settled: true}, ""},
 	}
 	for _, test := range tests {
 		phase := ""
-		for _, replica := range registered.Reports(knows(test.known))[0].GetReplicas() {
+		for _, replica := range registered.Reports(engineStateOf(test.known))[0].GetReplicas() {
 			phase = replica.GetPhase()
 		}
 		if phase != test.phase {
-			t.Errorf("%s: the replica is reported as %q, not %q", test.name, phase, test.phase)
+			t.Errorf("%s: replica reported as %q, want %q", test.name, phase, test.phase)
 		}
 	}
 }
 
-// TestAdoption: what an engine holds gets a record, room or not; what has one
-// gets no second; what nobody declared is left alone.
-func TestAdoption(t *testing.T) {
+// A held model without a record gets one regardless of capacity; recorded and undeclared models are
+// ignored.
+func TestAdoptUnrecordedModels(t *testing.T) {
 	registered := ReadRegistered(fleetState(t))
-	writes := registered.Adopt(knows(orders.State{Models: map[string][]string{"red": nil, "blue": {"a1"}, "unknown": nil}}))
+	writes := registered.Adopt(engineStateOf(orders.State{Models: map[string][]string{"red": nil, "blue": {"a1"}, "unknown": nil}}))
 	if len(writes) != 1 {
 		t.Fatalf("%d writes: %v", len(writes), writes)
 	}
@@ -113,11 +112,10 @@
 		t.Fatal(err)
 	}
 	if result := machine.Apply(data); result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
-		t.Errorf("a fact is refused: %s", result.GetMessage())
+		t.Errorf("adoption rejected: %s", result.GetMessage())
 	}
 }
 
-// TestAdapterTasks tables where an adapter goes that requests wait for.
 func TestAdapterTasks(t *testing.T) {
 	now := time.Minute
 	waiting := []AdapterDemand{
@@ -129,31 +127,30 @@
 		known orders.State
 		tasks []orders.AdapterTask
 	}{
-		{"room", orders.State{Models: map[string][]string{"red": {"a1"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a9"}}},
+		{"free slot", orders.State{Models: map[string][]string{"red": {"a1"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a9"}}},
 		{"held", orders.State{Models: map[string][]string{"red": {"a9"}}}, nil},
-		{"on its way", orders.State{Models: map[string][]string{"red": nil}, Coming: map[string][]string{"red": {"a9"}}}, nil},
+		{"loading", orders.State{Models: map[string][]string{"red": nil}, Coming: map[string][]string{"red": {"a9"}}}, nil},
 		{"full", orders.State{Models: map[string][]string{"red": {"a1", "a2"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a1", Drop: true}}},
 		{
-			"full with what is on its way",
+			"full including loads in progress",
 			orders.State{Models: map[string][]string{"red": {"a2"}}, Coming: map[string][]string{"red": {"a3"}}},
 			[]orders.AdapterTask{{Model: "red", Adapter: "a2", Drop: true}},
 		},
-		{"full with one in use", orders.State{Models: map[string][]string{"red": {"a7", "a2"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a2", Drop: true}}},
-		{"full with what is in use", orders.State{Models: map[string][]string{"red": {"a7"}}, Coming: map[string][]string{"red": {"a3"}}}, nil},
-		{"not held", orders.State{Models: map[string][]string{}}, nil},
+		{"full, one in use", orders.State{Models: map[string][]string{"red": {"a7", "a2"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a2", Drop: true}}},
+		{"full, all in use or loading", orders.State{Models: map[string][]string{"red": {"a7"}}, Coming: map[string][]string{"red": {"a3"}}}, nil},
+		{"version not loaded", orders.State{Models: map[string][]string{}}, nil},
 	}
 	for _, test := range tests {
 		registered := ReadRegistered(fleetState(t))
-		tasks := registered.adapterTasks(knows(test.known), waiting, nil)["m"]
+		tasks := registered.adapterTasks(engineStateOf(test.known), waiting, nil)["m"]
 		if len(tasks) != len(test.tasks) || len(tasks) == 1 && tasks[0] != test.tasks[0] {
-			t.Errorf("%s: %v, wanted %v", test.name, tasks, test.tasks)
+			t.Errorf("%s: tasks %v, want %v", test.name, tasks, test.tasks)
 		}
 	}
 }
 
-// TestCacheFollowsRevisions: the state is read once for a revision, and what a
-// new one changed is seen at once.
-func TestCacheFollowsRevisions(t *testing.T) {
+// A snapshot is reused for the same revision, and replaced after a change.
+func TestCacheReadsEachRevisionOnce(t *testing.T) {
 	machine, cache := fleetState(t), RegisteredCache{}
 	first := cache.Read(machine)
 	if cache.Read(machine) != first {
@@ -172,40 +169,39 @@
 		t.Fatal(result.GetMessage())
 	}
 	if held := cache.Read(machine).replicas["m"]; len(held) != 0 {
-		t.Errorf("a deleted record is still seen: %v", held)
+		t.Errorf("deleted record is still in the snapshot: %v", held)
 	}
 }
 
-// prefetchFleet is two engines with places for five adapters each; both hold "red", one
-// holds "blue" too.
-func prefetchFleet(adapters map[string][]string) (*Registered, []*adapterPlace) {
+// prefetchFleet returns two engines with five adapter slots each. Both hold "red", one also holds
+// "blue".
+func prefetchFleet(adapters map[string][]string) (*Registered, []*adapterHost) {
 	registered := &Registered{versions: map[versionKey]declaredVersion{}}
 	for model, names := range adapters {
 		registered.versions[versionKey{"pool", model}] = declaredVersion{name: model + "@1", spec: &v1.ModelVersionSpec{Adapters: names}}
 	}
-	return registered, []*adapterPlace{
-		{machine: "m1", slots: 5, models: map[string]adapterHolder{"red@1": {model: "red"}, "blue@1": {model: "blue"}}},
-		{machine: "m2", slots: 5, models: map[string]adapterHolder{"red@1": {model: "red"}}},
+	return registered, []*adapterHost{
+		{machine: "m1", slots: 5, versions: map[string]hostedVersion{"red@1": {model: "red"}, "blue@1": {model: "blue"}}},
+		{machine: "m2", slots: 5, versions: map[string]hostedVersion{"red@1": {model: "red"}}},
 	}
 }
 
-// TestPrefetchFillsPlaces: places are filled ahead of demand, each adapter once, the
-// versions with the most work first, and one place stays free on each engine.
-func TestPrefetchFillsPlaces(t *testing.T) {
-	registered, places := prefetchFleet(map[string][]string{"red": {"a1", "a2", "a3", "a4"}, "blue": {"a1", "a2"}, "none": {"a1"}})
+// Each adapter is prefetched once, by priority of its version, and the reserved slots stay free.
+func TestPrefetchFillsFreeSlots(t *testing.T) {
+	registered, hosts := prefetchFleet(map[string][]string{"red": {"a1", "a2", "a3", "a4"}, "blue": {"a1", "a2"}, "none": {"a1"}})
 	work := map[string]float64{"red@1": 100, "blue@1": 10}
 	loaded := map[string]int{}
 	for range 10 {
-		for machine, task := range registered.prefetchTasks(places, nil, work) {
-			for _, place := range places {
-				if place.machine != machine {
+		for machine, task := range registered.prefetchTasks(hosts, nil, work) {
+			for _, host := range hosts {
+				if host.machine != machine {
 					continue
 				}
 				version := task.Model + "@1"
-				holder := place.models[version]
-				holder.adapters = append(holder.adapters, task.Adapter)
-				place.models[version] = holder
-				place.held++
+				hosted := host.versions[version]
+				hosted.adapters = append(hosted.adapters, task.Adapter)
+				host.versions[version] = hosted
+				host.usedSlots++
 			}
 			loaded[task.Model+"/"+task.Adapter]++
 		}
@@ -215,16 +211,15 @@
 			t.Errorf("%s was loaded %d times", wanted, loaded[wanted])
 		}
 	}
-	for _, place := range places {
-		if place.held > place.slots-spareAdapterPlaces {
-			t.Errorf("%s holds %d adapters and has %d places", place.machine, place.held, place.slots)
+	for _, host := range hosts {
+		if host.usedSlots > host.slots-reservedAdapterSlots {
+			t.Errorf("%s holds %d adapters and has %d slots", host.machine, host.usedSlots, host.slots)
 		}
 	}
 }
 
-// TestPrefetchesGrowWithTheFleet: a leader of many engines has fewer passes a second. The adapters
-// that one pass begins to load ahead of demand grow with the engines, so the passes it takes don't.
-func TestPrefetchesGrowWithTheFleet(t *testing.T) {
+// The number of passes needed to prefetch a share of the adapters must not grow with the fleet.
+func TestPrefetchPassesDontGrowWithFleet(t *testing.T) {
 	passes := func(engines int) int {
 		var adapters []string
 		for number := range engines / 10 {
@@ -233,56 +228,55 @@
 		registered := &Registered{versions: map[versionKey]declaredVersion{
 			{"pool", "red"}: {name: "red@1", spec: &v1.ModelVersionSpec{Adapters: adapters}},
 		}}
-		var places []*adapterPlace
-		byName := map[string]*adapterPlace{}
+		var hosts []*adapterHost
+		byName := map[string]*adapterHost{}
 		for number := range engines {
-			place := &adapterPlace{machine: strconv.Itoa(number), slots: 5, models: map[string]adapterHolder{"red@1": {model: "red"}}}
-			places, byName[place.machine] = append(places, place), place
+			host := &adapterHost{machine: strconv.Itoa(number), slots: 5, versions: map[string]hostedVersion{"red@1": {model: "red"}}}
+			hosts, byName[host.machine] = append(hosts, host), host
 		}
 		for pass := 0; ; pass++ {
-			tasks := registered.prefetchTasks(places, nil, nil)
+			tasks := registered.prefetchTasks(hosts, nil, nil)
 			if len(tasks) == 0 {
 				return pass
 			}
 			for machine, task := range tasks {
-				place := byName[machine]
-				place.models["red@1"] = adapterHolder{model: "red", adapters: append(place.models["red@1"].adapters, task.Adapter)}
-				place.held++
+				host := byName[machine]
+				host.versions["red@1"] = hostedVersion{model: "red", adapters: append(host.versions["red@1"].adapters, task.Adapter)}
+				host.usedSlots++
 			}
 		}
 	}
 	if small, large := passes(1000), passes(10_000); large > small {
-		t.Errorf("to load an adapter for each tenth engine takes %d passes with 1,000 engines, %d with 10,000", small, large)
+		t.Errorf("prefetching takes %d passes with 1,000 engines, %d with 10,000", small, large)
 	}
 }
 
-// TestPrefetchStaysBehindDemand: nothing is loaded ahead of demand by an engine at
-// another order, or while as many as may be are on their way; what was asked for lately
-// comes first.
-func TestPrefetchStaysBehindDemand(t *testing.T) {
-	registered, places := prefetchFleet(map[string][]string{"red": {"a1", "a2", "a3"}})
-	used := map[adapterUse]time.Duration{{"red@1", "a3"}: time.Second}
-	if tasks := registered.prefetchTasks(places, used, nil); tasks["m1"].Adapter != "a3" || tasks["m2"].Adapter != "a1" {
+// Engines with an order in progress don't prefetch, the number of concurrent loads is limited, and
+// recently used adapters come first.
+func TestPrefetchYieldsToDemand(t *testing.T) {
+	registered, hosts := prefetchFleet(map[string][]string{"red": {"a1", "a2", "a3"}})
+	used := map[adapterKey]time.Duration{{"red@1", "a3"}: time.Second}
+	if tasks := registered.prefetchTasks(hosts, used, nil); tasks["m1"].Adapter != "a3" || tasks["m2"].Adapter != "a1" {
 		t.Errorf("tasks %v", tasks)
 	}
-	places[0].busy, places[1].busy = true, true
-	if tasks := registered.prefetchTasks(places, used, nil); len(tasks) != 0 {
-		t.Errorf("busy engines got %v", tasks)
+	hosts[0].busy, hosts[1].busy = true, true
+	if tasks := registered.prefetchTasks(hosts, used, nil); len(tasks) != 0 {
+		t.Errorf("busy engines have tasks %v", tasks)
 	}
-	places[0].busy = false
-	places[1].models["red@1"] = adapterHolder{model: "red", coming: []string{"a4", "a5", "a6", "a7"}}
-	if tasks := registered.prefetchTasks(places, used, nil); len(tasks) != 0 {
-		t.Errorf("with %d on their way: %v", minPrefetches, tasks)
+	hosts[0].busy = false
+	hosts[1].versions["red@1"] = hostedVersion{model: "red", loading: []string{"a4", "a5", "a6", "a7"}}
+	if tasks := registered.prefetchTasks(hosts, used, nil); len(tasks) != 0 {
+		t.Errorf("with %d loads in progress: tasks %v", minConcurrentPrefetches, tasks)
 	}
 }
 
-// TestAdaptersShareACommit: the decisions of a pass wait for no commit of changed adapters.
-func TestAdaptersShareACommit(t *testing.T) {
+// Adapter updates must share a commit with the decisions of a pass.
+func TestAdapterUpdatesShareDecisionCommit(t *testing.T) {
 	machine := fleetState(t)
 	registered := ReadRegistered(machine)
-	held := knows(orders.State{Models: map[string][]string{"red": {"a1"}}})
+	held := engineStateOf(orders.State{Models: map[string][]string{"red": {"a1"}}})
 	if writes := registered.Adopt(held); len(writes) != 0 {
-		t.Errorf("adapters of a known replica are written apart: %v", writes)
+		t.Errorf("separate writes for the adapters of a recorded replica: %v", writes)
 	}
 	other := &wirepb.ObjectWrite{Object: &wirepb.Object{Kind: string(v1.KindModel), Name: "green", Spec: []byte("{}")}}
 	writes := registered.WithAdapters([]*wirepb.ObjectWrite{other}, held)
@@ -297,16 +291,16 @@
 		t.Error(result.GetMessage())
 	}
 	if writes = ReadRegistered(machine).WithAdapters(nil, held); len(writes) != 0 {
-		t.Errorf("written again: %v", writes)
+		t.Errorf("unchanged adapters are written again: %v", writes)
 	}
 }
 
-// TestAdaptersWaitForTheDecision: two writes to one record would name the same revision of it,
-// and the log would refuse all writes of the pass.
-func TestAdaptersWaitForTheDecision(t *testing.T) {
+// A second write to a record would conflict with the first one, and the log would reject all writes of
+// the pass.
+func TestAdapterUpdateSkipsWrittenRecord(t *testing.T) {
 	registered := ReadRegistered(fleetState(t))
 	unload := &wirepb.ObjectWrite{Object: &wirepb.Object{Kind: string(v1.KindReplica), Name: "record"}}
-	writes := registered.WithAdapters([]*wirepb.ObjectWrite{unload}, knows(orders.State{Models: map[string][]string{"red": {"a1"}}}))
+	writes := registered.WithAdapters([]*wirepb.ObjectWrite{unload}, engineStateOf(orders.State{Models: map[string][]string{"red": {"a1"}}}))
 	if len(writes) != 1 {
 		t.Errorf("%d writes to one record: %v", len(writes), writes)
 	}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -12,111 +12,105 @@
 )
 
 const (
-	// NodeTimeout is how long a silent node counts as live.
+	// NodeTimeout is the time after the last report during which a node counts as live.
 	NodeTimeout = 2 * time.Second
-	// levelMemory is for how long a node that has fallen silent counts where what all nodes
-	// understand is asked: one of an earlier release that is cut off for a while could not come
-	// back.
-	levelMemory = 30 * time.Second
-	// forgetAfter bounds the table where nodes and machines come and go.
-	forgetAfter = 10 * time.Minute
+	// levelRetention is how long a silent node still limits the feature level of the cluster, so that a
+	// node of an earlier release can return after a partition.
+	levelRetention = 30 * time.Second
+	// entryRetention is how long entries of silent nodes and machines are kept.
+	entryRetention = 10 * time.Minute
 )
 
-// nodeEntry is the newest report of a node.
 type nodeEntry struct {
 	report   *wirepb.NodeReport
 	received time.Duration
 }
 
-// isLive reports whether the node was heard of lately enough.
 func (e nodeEntry) isLive(now time.Duration) bool {
 	return now-e.received <= NodeTimeout
 }
 
-// machineEntry is the newest report on a machine, by whichever agent.
+// machineEntry is the newest report on a machine from any agent.
 type machineEntry struct {
 	report   *wirepb.MachineReport
 	received time.Duration
-	// lastReachable is when the engine last answered an agent.
+	// lastReachable is when the engine last responded to an agent.
 	lastReachable time.Duration
 }
 
-// ReportTable is the leader's soft state about nodes and machines. Times are
-// monotonic, since the control node started. It is safe for concurrent use.
+// ReportTable holds the leader's soft state about nodes and machines. Times are monotonic and relative
+// to the start of the control node. It is safe for concurrent use.
 type ReportTable struct {
 	mutex    sync.Mutex
 	nodes    map[string]nodeEntry
 	machines map[string]machineEntry
-	// arrivals counts the requests for each version in the whole fleet;
-	// counted is how many of a node's are in it.
+	// arrivals counts the requests for each version in the whole fleet; counted holds the counters last
+	// reported by each node.
 	arrivals map[string]uint64
-	counted  nodeTotals[runningTotals]
-	// work adds up what requests asked of machines, like arrivals.
+	counted  nodeTotals[versionTotals]
+	// work is the total work requested, by version.
 	work map[string]uint64
-	// targets are the shortest targets reported of each version.
-	targets map[string]uint32
-	// adapterUsed is when each adapter was last asked for.
-	adapterUsed map[adapterUse]time.Duration
-	// answers is how machines have answered all routers lately.
-	answers *answerTable
-	// quotas is the ledger of the present term; nil before one has begun.
+	// targets has the shortest latency target reported for each version.
+	targets         map[string]uint32
+	adapterLastUsed map[adapterKey]time.Duration
+	answers         *answerTable
+	// quotas is the ledger of the current term, or nil before the first.
 	quotas *quota.Ledger
 }
 
-// NewReportTable returns an empty table.
 func NewReportTable() *ReportTable {
 	return &ReportTable{
 		nodes: map[string]nodeEntry{}, machines: map[string]machineEntry{},
-		arrivals: map[string]uint64{}, counted: nodeTotals[runningTotals]{}, work: map[string]uint64{}, targets: map[string]uint32{},
-		adapterUsed: map[adapterUse]time.Duration{}, answers: newAnswerTable(),
+		arrivals: map[string]uint64{}, counted: nodeTotals[versionTotals]{}, work: map[string]uint64{}, targets: map[string]uint32{},
+		adapterLastUsed: map[adapterKey]time.Duration{}, answers: newAnswerTable(),
 	}
 }
 
-// Take keeps a report unless a newer one is held. It returns whether the
-// leader should look at once.
+// Add stores a report unless it is older than the stored one. It returns whether the change needs
+// immediate attention.
 func (t *ReportTable) Take(now time.Duration, report *wirepb.NodeReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	held := t.nodes[report.GetNode()].report
-	if held != nil && (report.GetIncarnation() < held.GetIncarnation() ||
-		report.GetIncarnation() == held.GetIncarnation() && report.GetSequence() <= held.GetSequence()) {
+	previous := t.nodes[report.GetNode()].report
+	if previous != nil && (report.GetIncarnation() < previous.GetIncarnation() ||
+		report.GetIncarnation() == previous.GetIncarnation() && report.GetSequence() <= previous.GetSequence()) {
 		return false
 	}
 	t.nodes[report.GetNode()] = nodeEntry{report: report, received: now}
-	t.countArrivals(held, report)
-	t.answers.take(now, held, report)
-	t.noteAdapters(now, report)
+	t.countArrivals(previous, report)
+	t.answers.update(now, previous, report)
+	t.recordAdapterUse(now, report)
 	if t.quotas != nil && report.GetRouter() {
 		t.quotas.Take(now, quotaReport(report))
 	}
-	urgent := held == nil || demandGrew(held, report) || len(report.GetUnreachable()) > len(held.GetUnreachable()) ||
-		len(report.GetLeaving()) > len(held.GetLeaving())
+	urgent := previous == nil || demandGrew(previous, report) || len(report.GetUnreachable()) > len(previous.GetUnreachable()) ||
+		len(report.GetLeaving()) > len(previous.GetLeaving())
 	for _, machine := range report.GetMachines() {
-		urgent = t.takeMachine(machine, now) || urgent
+		urgent = t.addMachine(machine, now) || urgent
 	}
 	return urgent
 }
 
-// runningTotals are a node's counts for one version since it started.
-type runningTotals struct {
+// versionTotals are a node's counters for one version since the node started.
+type versionTotals struct {
 	arrivals, work uint64
-	// targetMs is the shortest target reported.
+	// targetMs is the shortest reported latency target.
 	targetMs uint32
 }
 
-// isPart reports whether an entry tells of a part of its version's demand, which is told as a whole
-// beside it.
-func isPart(demand *wirepb.ModelDemand) bool {
+// isPartialDemand reports whether an entry covers only an adapter or a region constraint of its
+// version. The entry of the version includes it.
+func isPartialDemand(demand *wirepb.ModelDemand) bool {
 	return demand.GetAdapter() != "" || len(demand.GetRegions()) > 0
 }
 
-// countArrivals adds what is new to the fleet's counts. Reports leave out versions
-// without news.
+// countArrivals adds the increments of a report's counters to the fleet's. Reports omit versions with
+// unchanged counters.
 func (t *ReportTable) countArrivals(held, report *wirepb.NodeReport) {
-	counted, isNews := t.counted.of(held, report)
+	counted, hasBaseline := t.counted.totalsFor(held, report)
 	for _, demand := range report.GetDemand() {
-		if isPart(demand) {
-			continue // Counted with its version.
+		if isPartialDemand(demand) {
+			continue // Included in the version's entry.
 		}
 		if target := demand.GetTargetMs(); target > 0 {
 			held := t.targets[demand.GetVersion()]
@@ -127,31 +121,29 @@
 		version, before := demand.GetVersion(), counted[demand.GetVersion()]
 		if demand.GetArrivals() > before.arrivals {
 			t.arrivals[version] += demand.GetArrivals() - before.arrivals
-			if isNews {
+			if hasBaseline {
 				t.work[version] += max(demand.GetWork(), before.work) - before.work
 			}
-			counted[version] = runningTotals{arrivals: demand.GetArrivals(), work: demand.GetWork()}
+			counted[version] = versionTotals{arrivals: demand.GetArrivals(), work: demand.GetWork()}
 		}
 	}
 }
 
-// arrivalCounts copies the fleet's counts.
-func (t *ReportTable) arrivalCounts() map[string]runningTotals {
+func (t *ReportTable) arrivalCounts() map[string]versionTotals {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	counts := make(map[string]runningTotals, len(t.arrivals))
+	counts := make(map[string]versionTotals, len(t.arrivals))
 	for version, count := range t.arrivals {
-		counts[version] = runningTotals{arrivals: count, work: t.work[version], targetMs: t.targets[version]}
+		counts[version] = versionTotals{arrivals: count, work: t.work[version], targetMs: t.targets[version]}
 	}
 	return counts
 }
 
-// demandGrew reports whether requests wait for a version that none waited
-// for in the earlier report.
-func demandGrew(held, report *wirepb.NodeReport) bool {
+// demandGrew reports whether more requests wait for some version than in the earlier report.
+func demandGrew(previous, report *wirepb.NodeReport) bool {
 	waiting := map[string]uint32{}
-	for _, demand := range held.GetDemand() {
-		if len(demand.GetRegions()) == 0 { // Else they count with their version's.
+	for _, demand := range previous.GetDemand() {
+		if len(demand.GetRegions()) == 0 { // Other entries are included in this one.
 			waiting[demand.GetVersion()] = demand.GetWaiting()
 		}
 	}
@@ -163,7 +155,7 @@
 	return false
 }
 
-func (t *ReportTable) takeMachine(report *wirepb.MachineReport, now time.Duration) bool {
+func (t *ReportTable) addMachine(report *wirepb.MachineReport, now time.Duration) bool {
 	entry := t.machines[report.GetMachine()]
 	observed := now - time.Duration(report.GetAgeMs())*time.Millisecond
 	if entry.report != nil && observed < entry.received {
@@ -181,16 +173,15 @@
 	return changed
 }
 
-// TakeMachine keeps a report on a machine that the leader itself looked at. It
-// returns whether the controllers should look at once.
+// AddMachine stores a report on a machine that the leader polled itself. It returns whether the change
+// needs immediate attention.
 func (t *ReportTable) TakeMachine(now time.Duration, report *wirepb.MachineReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.takeMachine(report, now)
+	return t.addMachine(report, now)
 }
 
-// Unreachable counts, for each machine, the live routers that can't connect to
-// it.
+// Unreachable returns the number of live routers that can't connect to each machine.
 func (t *ReportTable) Unreachable(now time.Duration) map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -206,7 +197,6 @@
 	return counts
 }
 
-// Leaving returns the machines that live routers report as leaving.
 func (t *ReportTable) Leaving(now time.Duration) map[string]bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -222,40 +212,40 @@
 	return leaving
 }
 
-// Routers returns how many routers are live and take requests.
+// Routers returns the number of live routers that accept requests.
 func (t *ReportTable) Routers(now time.Duration) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return int(liveRouters(now, t.nodes))
 }
 
-// Levels returns the levels that the nodes heard of lately understand.
+// Levels returns the feature levels of the nodes that reported recently.
 func (t *ReportTable) Levels(now time.Duration) []level.Level {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var levels []level.Level
 	for _, entry := range t.nodes {
-		if now-entry.received <= levelMemory {
+		if now-entry.received <= levelRetention {
 			levels = append(levels, level.Level(entry.report.GetLevel()))
 		}
 	}
 	return levels
 }
 
-// ForgetMachines drops what an earlier term learned of machines.
+// ForgetMachines removes the machine reports of an earlier term.
 func (t *ReportTable) ForgetMachines() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.machines = map[string]machineEntry{}
 }
 
-// snapshot copies the tables and forgets who is long gone.
+// snapshot copies the tables and removes expired entries.
 func (t *ReportTable) snapshot(now time.Duration) (map[string]nodeEntry, map[string]machineEntry) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	nodes := make(map[string]nodeEntry, len(t.nodes))
 	for name, entry := range t.nodes {
-		if now-entry.received > forgetAfter {
+		if now-entry.received > entryRetention {
 			delete(t.nodes, name)
 			delete(t.counted, name)
 			t.answers.forgetNode(name)
@@ -265,8 +255,8 @@
 	}
 	machines := make(map[string]machineEntry, len(t.machines))
 	for name, entry := range t.machines {
-		if now-entry.received > forgetAfter {
-			delete(t.machines, name) // No agent has it any more.
+		if now-entry.received > entryRetention {
+			delete(t.machines, name) // No agent reports it any longer.
 			continue
 		}
 		machines[name] = entry
@@ -274,7 +264,7 @@
 	return nodes, machines
 }
 
-// States lists the nodes for an operator.
+// States lists the nodes for the operator API.
 func (t *ReportTable) States(now time.Duration) []*wirepb.NodeState {
 	nodes, _ := t.snapshot(now)
 	states := make([]*wirepb.NodeState, 0, len(nodes))
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -14,8 +14,7 @@
 	}
 }
 
-// TestArrivalsAreCountedOnce over lost, late and repeated reports, and over a
-// node that starts anew.
+// Counters must be summed correctly over lost, late and repeated reports and over restarts of a node.
 func TestArrivalsAreCountedOnce(t *testing.T) {
 	table := NewReportTable()
 	for _, step := range []struct {
@@ -24,22 +23,21 @@
 	}{
 		{report("a", 1, 1, 5), 5},
 		{report("b", 1, 1, 2), 7},
-		{report("a", 1, 3, 9), 11}, // The second was lost.
-		{report("a", 1, 2, 7), 11}, // It comes late.
+		{report("a", 1, 3, 9), 11}, // The second report was lost.
+		{report("a", 1, 2, 7), 11}, // It arrives late.
 		{report("a", 1, 3, 9), 11},
-		{report("a", 2, 1, 1), 12}, // The node started anew.
+		{report("a", 2, 1, 1), 12}, // The node restarted.
 		{report("a", 1, 9, 50), 12},
 	} {
 		table.Take(0, step.report)
 		if total := table.arrivalCounts()["v"]; total.arrivals != step.total {
-			t.Errorf("after %v: %d arrivals, expected %d", step.report, total, step.total)
+			t.Errorf("after %v: %d arrivals, want %d", step.report, total, step.total)
 		}
 	}
 }
 
-// TestWorkFromBeforeIsNotNews: a router that had served for long came over from a
-// leader that was cut off, and all its work so far looked like the work of a moment.
-func TestWorkFromBeforeIsNotNews(t *testing.T) {
+// The first report of a long-running router must not count its total work as new.
+func TestFirstReportSetsBaseline(t *testing.T) {
 	table := NewReportTable()
 	for _, step := range []struct {
 		incarnation, sequence, arrivals, work, total uint64
@@ -47,19 +45,19 @@
 		{1, 70, 500, 90_000, 0},
 		{1, 71, 501, 90_300, 300},
 		{1, 73, 504, 91_000, 1000},
-		{2, 1, 2, 400, 1400}, // It started anew.
+		{2, 1, 2, 400, 1400}, // The node restarted.
 	} {
 		taken := report("a", step.incarnation, step.sequence, step.arrivals)
 		taken.Demand[0].Work = step.work
 		table.Take(0, taken)
 		if total := table.arrivalCounts()["v"].work; total != step.total {
-			t.Errorf("after %v: work %d, expected %d", taken, total, step.total)
+			t.Errorf("after %v: work %d, want %d", taken, total, step.total)
 		}
 	}
 }
 
-// TestNewestReportOnAMachineCounts whichever agent it comes from.
-func TestNewestReportOnAMachineCounts(t *testing.T) {
+// The newest observation of a machine wins, regardless of the reporting agent.
+func TestNewestMachineReportWins(t *testing.T) {
 	table := NewReportTable()
 	fresh := &wirepb.MachineReport{Machine: "m", Reachable: true, Incarnation: 2}
 	stale := &wirepb.MachineReport{Machine: "m", Reachable: true, Incarnation: 1, AgeMs: 5000}
@@ -73,28 +71,27 @@
 	table.Take(20*time.Second, report("a", 1, 2, 0, silent))
 	_, machines = table.snapshot(20 * time.Second)
 	if held := machines["m"]; held.report.GetIncarnation() != 2 || held.lastReachable != 10*time.Second {
-		t.Errorf("a report without an answer replaced what the engine had said: %+v", held)
+		t.Errorf("a report on an unreachable engine replaced its last report: %+v", held)
 	}
 }
 
-// TestForgetsWhoIsLongGone bounds the tables.
-func TestForgetsWhoIsLongGone(t *testing.T) {
+func TestExpiredEntriesAreRemoved(t *testing.T) {
 	table := NewReportTable()
 	table.Take(0, report("a", 1, 1, 0, &wirepb.MachineReport{Machine: "m", Reachable: true}))
-	if nodes, machines := table.snapshot(forgetAfter); len(nodes) != 1 || len(machines) != 1 {
-		t.Errorf("forgotten too soon: %v, %v", nodes, machines)
+	if nodes, machines := table.snapshot(entryRetention); len(nodes) != 1 || len(machines) != 1 {
+		t.Errorf("entries expired too soon: %v, %v", nodes, machines)
 	}
-	if nodes, machines := table.snapshot(forgetAfter + time.Second); len(nodes) != 0 || len(machines) != 0 {
-		t.Errorf("still there: %v, %v", nodes, machines)
+	if nodes, machines := table.snapshot(entryRetention + time.Second); len(nodes) != 0 || len(machines) != 0 {
+		t.Errorf("entries did not expire: %v, %v", nodes, machines)
 	}
 	if len(table.machines)+len(table.nodes)+len(table.counted) != 0 {
-		t.Error("the tables still hold them")
+		t.Error("expired entries remain in the tables")
 	}
 }
 
-// TestAnswersOfAllRouters: the counts of many routers add up, whatever reports are lost,
-// come twice or begin anew, and fade.
-func TestAnswersOfAllRouters(t *testing.T) {
+// Answers are summed over routers despite lost, repeated and late reports and restarts, and decay over
+// time.
+func TestAnswersAreSummedOverRouters(t *testing.T) {
 	table := NewReportTable()
 	now := time.Second
 	report := func(node string, incarnation, sequence, answered, errors uint64) {
@@ -107,11 +104,11 @@
 		t.Helper()
 		total, failed := table.Answers(now)
 		if total["m"] != answered || failed["m"] != errors {
-			t.Errorf("%s: %d answers and %d errors, wanted %d and %d", what, total["m"], failed["m"], answered, errors)
+			t.Errorf("%s: %d answers and %d errors, want %d and %d", what, total["m"], failed["m"], answered, errors)
 		}
 	}
 	report("a", 1, 1, 100, 50)
-	check("counted at no known time", 0, 0)
+	check("first report", 0, 0)
 	report("a", 1, 2, 110, 55)
 	report("b", 1, 1, 0, 0)
 	report("b", 1, 4, 10, 0) // Two reports were lost.
@@ -121,6 +118,6 @@
 	check("late and repeated", 20, 5)
 	report("a", 2, 1, 2, 1)
 	check("a router that has restarted", 22, 6)
-	now += 20 * answerMemory
-	check("long ago", 0, 0)
+	now += 20 * answerDecayTime
+	check("decayed", 0, 0)
 }
--- a/internal/controller/roster_test.go
+++ b/internal/controller/roster_test.go
@@ -13,7 +13,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// listedState is a state with one machine that an operator declared.
+// listedState returns a state with one machine declared by an operator.
 func listedState(t *testing.T) *state.Machine {
 	t.Helper()
 	object := &wirepb.Object{
@@ -30,17 +30,16 @@
 	return machine
 }
 
-// TestRosterListsNodesForAgents, and for nobody else: with 300 routers that come one after
-// the other, each digest had a new roster, which names 3,000 machines.
-func TestRosterListsNodesForAgents(t *testing.T) {
+// The roster must not change with each router that joins, unless agents need the list of nodes.
+func TestRosterListsNodesOnlyForAgents(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		machine *state.Machine
 		nodes   int
 		rosters uint64
 	}{
-		{"machines that register", fleetState(t), 0, 1},
-		{"a machine that agents watch", listedState(t), 5, 5},
+		{"self-registered machines", fleetState(t), 0, 1},
+		{"machines polled by agents", listedState(t), 5, 5},
 	} {
 		reports := NewReportTable()
 		controller := New(0, Config{}, reports)
@@ -54,21 +53,21 @@
 			rosters[digest.GetRosterSequence()] = true
 		}
 		if len(digest.GetRoster().GetNodes()) != test.nodes || uint64(len(rosters)) != test.rosters {
-			t.Errorf("%s: %d nodes in %d rosters, wanted %d in %d", test.name, len(digest.GetRoster().GetNodes()), len(rosters), test.nodes, test.rosters)
+			t.Errorf("%s: %d nodes in %d rosters, want %d in %d", test.name, len(digest.GetRoster().GetNodes()), len(rosters), test.nodes, test.rosters)
 		}
 		if digest.GetRouters() == 0 || !digest.GetTenantsKnown() && digest.GetTenants() != nil {
-			t.Errorf("%s: %v", test.name, digest)
+			t.Errorf("%s: digest %v", test.name, digest)
 		}
 	}
 }
 
-// TestRosterTellsWhereControlNodesStand: routers follow the nearest.
-func TestRosterTellsWhereControlNodesStand(t *testing.T) {
+// Routers need the zones of control nodes to connect to the nearest one.
+func TestRosterHasControlNodeZones(t *testing.T) {
 	controller := New(0, Config{}, NewReportTable())
 	controller.Observe(fleetState(t))
 	controller.SetControl([]*wirepb.MemberAddress{{Address: "10.0.0.1:7400", Zone: "east"}, {Address: "10.0.0.2:7400"}})
 	roster := controller.Digest(digestInterval, 1).GetRoster()
 	if !slices.Equal(roster.GetControl(), []string{"10.0.0.1:7400", "10.0.0.2:7400"}) || !slices.Equal(roster.GetControlZones(), []string{"east", ""}) {
-		t.Errorf("the roster lists %v in %v", roster.GetControl(), roster.GetControlZones())
+		t.Errorf("roster has control nodes %v in zones %v", roster.GetControl(), roster.GetControlZones())
 	}
 }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -15,27 +15,25 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// storedView is what the state holds, sorted for the controllers. It is good
-// for one revision of the state.
+// storedView is an index of the objects in the state at one revision.
 type storedView struct {
 	revision uint64
 	models   map[string]*v1.ModelSpec
 	versions map[string]*v1.ModelVersionSpec
 	services []*v1.ServiceSpec
 	pools    map[string]*v1.PoolSpec
-	// hasWarming is set where the machines of any pool warm up.
+	// hasWarming is set if the machines of any pool warm up.
 	hasWarming bool
 	machines   map[string]machines.Declared
 	replicas   []storedReplica
-	// limits are the tenants', by name.
+	// limits has the tenants' limits by name.
 	limits map[string]quota.Limit
-	// placed are the versions that may be loaded.
-	placed map[string]*placement.Version
-	// suspects are what machines ended under, by the name of the record.
+	// loadable has the versions that may be loaded.
+	loadable map[string]*placement.Version
+	// suspects has the suspect records by name.
 	suspects map[string]*v1.SuspectSpec
-	// drains are the newest orders for zones, by zone.
-	drains map[string]storedDrain
-	// loadCrashes are those of them that are loads, by version.
+	// drains has the newest drain order of each zone.
+	drains      map[string]storedDrain
 	loadCrashes map[string]placement.LoadCrashes
 }
 
@@ -44,7 +42,7 @@
 	spec     *v1.ZoneDrainSpec
 }
 
-// isDrained reports whether a zone's machines are to get no requests.
+// isDrained reports whether a zone is drained.
 func (v *storedView) isDrained(zone string) bool {
 	order, given := v.drains[zone]
 	return given && order.spec.Drained
@@ -55,18 +53,17 @@
 	spec   *v1.ReplicaSpec
 }
 
-// clusterView is the leader's view for one pass: the stored objects with the
-// reports beside them.
+// clusterView is the leader's view in one pass: the stored objects and the reports.
 type clusterView struct {
 	*storedView
 	places   places.Map
 	now      time.Duration
 	nodes    map[string]nodeEntry
 	reports  map[string]machineEntry
-	arrivals map[string]runningTotals
+	arrivals map[string]versionTotals
 }
 
-// listedMachines leaves out those that registered by themselves.
+// listedMachines returns the machines that did not register themselves.
 func (v *storedView) listedMachines() map[string]machines.Declared {
 	listed := make(map[string]machines.Declared, len(v.machines))
 	for name, declared := range v.machines {
@@ -77,7 +74,7 @@
 	return listed
 }
 
-// view joins the state observed last with the reports.
+// view combines the state observed last with the reports.
 func (c *Controller) view(now time.Duration) *clusterView {
 	nodes, machineReports := c.reports.snapshot(now)
 	return &clusterView{
@@ -94,8 +91,8 @@
 	machine.Each(func(object *wirepb.Object, spec v1.Spec) {
 		view.add(object, spec, machine.MachineStatus(object.GetName()))
 	})
-	view.placed = view.placementVersions()
-	view.loadCrashes = view.crashesUnderLoads()
+	view.loadable = view.placementVersions()
+	view.loadCrashes = view.countLoadCrashes()
 	return view
 }
 
@@ -135,7 +132,7 @@
 
 func (v *clusterView) placementInput(now time.Time) *placement.Input {
 	input := &placement.Input{
-		Now: now, Versions: v.placed, Machines: v.placementMachines(),
+		Now: now, Versions: v.loadable, Machines: v.placementMachines(),
 		Demand: v.demand(),
 	}
 	input.LoadCrashes = v.loadCrashes
@@ -146,8 +143,8 @@
 	return input
 }
 
-// placementVersions lists the default version of each model with the highest
-// weight and priority among its services.
+// placementVersions returns the default version of each model, with the highest weight and priority of
+// its services.
 func (v *storedView) placementVersions() map[string]*placement.Version {
 	versions := make(map[string]*placement.Version, len(v.models))
 	byModel := make(map[string]*placement.Version, len(v.models))
@@ -196,7 +193,7 @@
 			Tiers:   map[string]placement.Tier{},
 		}
 		if machine.Pool != "" && report == nil {
-			// What a registered machine holds is not known yet.
+			// The engine's contents are not known yet.
 			machine.Accepts = false
 		}
 		for _, checkpoint := range report.GetCheckpoints() {
@@ -226,14 +223,13 @@
 			return replica
 		}
 	}
-	// An engine that lists no such replica has no say before it has seen the
-	// order: the order may still be on its way.
+	// An engine that does not list the replica may not have received the order yet.
 	replica.Observed = report.GetFence() >= OrderFence(stored.object, stored.spec)
 	return replica
 }
 
-// OrderFence is the fence of the order that a replica record stands for: the
-// revision at which its load, or its unload, was decided.
+// OrderFence returns the fence of the order that a replica record represents: the revision at which its
+// load or unload was decided.
 func OrderFence(object *wirepb.Object, spec *v1.ReplicaSpec) uint64 {
 	if spec.Phase == v1.ReplicaUnloading {
 		return object.GetRevision()
@@ -241,8 +237,8 @@
 	return object.GetCreateRevision()
 }
 
-// storeLimits adds up what the declared pools say of their weight stores; as
-// many loads at once run at full speed as the rate allows to overlap.
+// storeLimits sums the load rates of the pools' weight stores, and derives how many loads can run
+// concurrently at full speed from the average load time.
 func (v *storedView) storeLimits() (perSecond float64, concurrent int) {
 	for _, pool := range v.pools {
 		if pool.Engine != nil {
@@ -254,7 +250,7 @@
 	}
 	var total time.Duration
 	count := 0
-	for _, version := range v.placed {
+	for _, version := range v.loadable {
 		if version.Spec.LoadTime > 0 {
 			total += time.Duration(version.Spec.LoadTime)
 			count++
@@ -266,7 +262,7 @@
 	return perSecond, max(1, int(perSecond*total.Seconds()/float64(count)))
 }
 
-// demand adds up what live routers report.
+// demand sums the demand reported by live routers.
 func (v *clusterView) demand() map[string]*placement.Demand {
 	total := make(map[string]*placement.Demand, len(v.arrivals))
 	for version, counts := range v.arrivals {
@@ -278,8 +274,8 @@
 			continue
 		}
 		for _, reported := range entry.report.GetDemand() {
-			if isPart(reported) {
-				continue // Part of its version's.
+			if isPartialDemand(reported) {
+				continue // Included in the version's entry.
 			}
 			demand := total[reported.GetVersion()]
 			if demand == nil {
@@ -288,17 +284,16 @@
 			}
 			demand.Waiting += int(reported.GetWaiting())
 			demand.Running += int(reported.GetRunning())
-			v.addRegion(demand, entry.report.GetZone(), reported)
+			v.addRegionDemand(demand, entry.report.GetZone(), reported)
 			demand.Priority = max(demand.Priority, reported.GetPriority())
 			demand.OldestWait = max(demand.OldestWait, oldestWait(reported, age))
 		}
 	}
-	v.addBound(total)
+	v.addConstrainedDemand(total)
 	return total
 }
 
-// oldestWait is how long the request has waited by now that waits longest, by a report of some age;
-// 0 where none waits.
+// oldestWait returns the longest wait of a request in a report of the given age, or 0 if none waits.
 func oldestWait(reported *wirepb.ModelDemand, age time.Duration) time.Duration {
 	if reported.GetWaiting() == 0 {
 		return 0
@@ -306,8 +301,8 @@
 	return time.Duration(reported.GetOldestWaitMs())*time.Millisecond + age
 }
 
-// addBound adds up what live routers report by constraint.
-func (v *clusterView) addBound(total map[string]*placement.Demand) {
+// addConstrainedDemand sums the demand reported by live routers by region constraint.
+func (v *clusterView) addConstrainedDemand(total map[string]*placement.Demand) {
 	for _, entry := range v.nodes {
 		age := v.now - entry.received
 		if age > NodeTimeout {
@@ -318,7 +313,7 @@
 			if len(reported.GetRegions()) == 0 || reported.GetAdapter() != "" || demand == nil {
 				continue
 			}
-			bound := boundBy(demand, places.Only(reported.GetRegions()...))
+			bound := constrainedDemand(demand, places.Only(reported.GetRegions()...))
 			bound.Waiting += int(reported.GetWaiting())
 			bound.Running += int(reported.GetRunning())
 			bound.Priority = max(bound.Priority, reported.GetPriority())
@@ -327,8 +322,8 @@
 	}
 }
 
-// boundBy returns a version's demand under a constraint, which is added if there is none.
-func boundBy(demand *placement.Demand, allowed places.Constraint) *placement.BoundDemand {
+// constrainedDemand returns a version's demand under a constraint. It adds an entry if there is none.
+func constrainedDemand(demand *placement.Demand, allowed places.Constraint) *placement.BoundDemand {
 	for position := range demand.Bound {
 		if demand.Bound[position].Allowed.Key() == allowed.Key() {
 			return &demand.Bound[position]
@@ -338,8 +333,8 @@
 	return &demand.Bound[len(demand.Bound)-1]
 }
 
-// addRegion counts requests by where they come from, as far as that is known.
-func (v *clusterView) addRegion(demand *placement.Demand, zone string, reported *wirepb.ModelDemand) {
+// addRegionDemand counts requests by the region of their router, if that is known.
+func (v *clusterView) addRegionDemand(demand *placement.Demand, zone string, reported *wirepb.ModelDemand) {
 	region := v.places.Region(zone)
 	requests := reported.GetWaiting() + reported.GetRunning()
 	if region == "" || requests == 0 {
@@ -351,7 +346,7 @@
 	demand.Regions[region] += float64(requests)
 }
 
-// replicaWrites turns actions into conditional writes of replica records.
+// replicaWrites converts actions to conditional writes of replica records.
 func replicaWrites(revision uint64, actions []placement.Action) []*wirepb.ObjectWrite {
 	writes := make([]*wirepb.ObjectWrite, 0, len(actions))
 	for position, action := range actions {
@@ -368,8 +363,7 @@
 	expected := uint64(0)
 	if action.Kind == placement.ActionLoad {
 		spec = *action.Spec
-		// The revision makes the name unique for all time: names of replicas
-		// are fences in themselves and must never be used twice.
+		// Names of replicas are fences, so they must never be reused. The revision makes them unique.
 		write.Object.Name = spec.Version + "." + strconv.FormatUint(revision, 10) + "." + strconv.Itoa(position)
 	} else {
 		spec = *action.Replica.Spec
--- a/internal/controller/warming.go
+++ b/internal/controller/warming.go
@@ -9,8 +9,8 @@
 	"github.com/weldline/weldline/internal/warming"
 )
 
-// ObserveWarming takes what machines said of themselves, beside the state observed last. Where the
-// machines of no pool warm up, it looks at none: entries is not called.
+// ObserveWarming updates the warm-up state from the machines' reports and the state observed last. It
+// calls entries only if the machines of some pool warm up.
 func (c *Controller) ObserveWarming(now time.Duration, entries func() map[string]instances.Entry) warming.News {
 	drains := make(map[string]warming.Drain, len(c.stored.drains))
 	for zone, drain := range c.stored.drains {
@@ -18,22 +18,22 @@
 	}
 	var machines map[string]warming.Machine
 	if c.stored.hasWarming {
-		machines = c.machinesThatMayWarmUp(entries())
+		machines = c.registeredMachines(entries())
 	}
 	news := c.warming.Update(now, drains, machines)
 	c.urgent = c.urgent || news.Urgent
 	return news
 }
 
-// machinesThatMayWarmUp are the machines that registered, with what each said of itself last.
-func (c *Controller) machinesThatMayWarmUp(entries map[string]instances.Entry) map[string]warming.Machine {
+// registeredMachines returns the self-registered machines with their newest reports.
+func (c *Controller) registeredMachines(entries map[string]instances.Entry) map[string]warming.Machine {
 	machines := make(map[string]warming.Machine, len(c.stored.machines))
 	for name, declared := range c.stored.machines {
 		if declared.Spec.Pool == "" {
-			continue // It is watched by agents, and says nothing of itself.
+			continue // Machines polled by agents don't report their warm-up.
 		}
 		machine := warming.Machine{
-			Zone: declared.Spec.Zone, Lost: declared.Status.Phase == v1.MachineLost, Declared: c.stored.warmingOf(declared.Spec.Pool) != nil,
+			Zone: declared.Spec.Zone, Lost: declared.Status.Phase == v1.MachineLost, Declared: c.stored.warmingSpec(declared.Spec.Pool) != nil,
 		}
 		if entry, heard := entries[name]; heard {
 			machine.Report = &warming.Report{
@@ -45,22 +45,22 @@
 	return machines
 }
 
-// addWarming tells placement which machines have said that they warm up. One that has said nothing
-// since its leader began may well be warm.
-func (c *Controller) addWarming(now time.Duration, placed map[string]*placement.Machine) {
+// applyWarming reduces the capacity of machines that reported a warm-up in the placement input.
+// Machines that have not reported in this term count as warm.
+func (c *Controller) applyWarming(now time.Duration, placed map[string]*placement.Machine) {
 	for name, remaining := range c.warming.Remaining(now) {
 		machine := placed[name]
 		if machine == nil {
 			continue
 		}
-		if declared := c.stored.warmingOf(machine.Pool); declared != nil {
+		if declared := c.stored.warmingSpec(machine.Pool); declared != nil {
 			machine.ReducedFor, machine.ReducedRate = remaining, declared.RequestsPerSecond
 		}
 	}
 }
 
-// warmingOf returns what a pool declares of its machines' warming up; nil if nothing.
-func (v *storedView) warmingOf(pool string) *v1.WarmingSpec {
+// warmingSpec returns the warm-up settings of a pool, or nil if it has none.
+func (v *storedView) warmingSpec(pool string) *v1.WarmingSpec {
 	if declared := v.pools[pool]; declared != nil {
 		return declared.Warming
 	}
--- a/internal/controller/warming_test.go
+++ b/internal/controller/warming_test.go
@@ -15,7 +15,6 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// put applies a write of an object.
 func put(t *testing.T, machine *state.Machine, kind v1.Kind, name string, spec any) {
 	t.Helper()
 	encoded, err := json.Marshal(spec)
@@ -32,7 +31,7 @@
 	}
 }
 
-// warmingFleet is a fleet whose pool's machines warm up.
+// warmingFleet returns a fleet in a pool whose machines warm up.
 func warmingFleet(t *testing.T) *state.Machine {
 	t.Helper()
 	stored := fleetState(t)
@@ -43,10 +42,9 @@
 	return stored
 }
 
-// TestDigestTellsOfWarmingMachines: what a machine said of itself goes out with the next digest,
-// soon after it has changed; until it has said anything, and from the end of its zone's drain to
-// its next report, nobody vouches for it.
-func TestDigestTellsOfWarmingMachines(t *testing.T) {
+// A machine's warm-up must be published soon after a change, and as unknown before its first report and
+// between a drain of its zone and its next report.
+func TestDigestHasWarmingMachines(t *testing.T) {
 	stored := warmingFleet(t)
 	leader := New(0, Config{}, NewReportTable())
 	entries := map[string]instances.Entry{}
@@ -59,31 +57,31 @@
 		change func(now time.Duration)
 		units  []byte
 	}{
-		{"nothing said", time.Second, func(time.Duration) {}, []byte{warming.Unsaid}},
-		{"warm, told soon", 1100 * time.Millisecond, func(now time.Duration) { report(now, 0) }, nil},
-		{"warms up, told soon", 1200 * time.Millisecond, func(now time.Duration) { report(now, 950) }, []byte{10}},
-		{"lowered by time", 1700 * time.Millisecond, func(time.Duration) {}, []byte{5}},
+		{"no report", time.Second, func(time.Duration) {}, []byte{warming.Unsaid}},
+		{"warm, published soon", 1100 * time.Millisecond, func(now time.Duration) { report(now, 0) }, nil},
+		{"warming up, published soon", 1200 * time.Millisecond, func(now time.Duration) { report(now, 950) }, []byte{10}},
+		{"remaining time decreases", 1700 * time.Millisecond, func(time.Duration) {}, []byte{5}},
 		{"drained", 1800 * time.Millisecond, func(time.Duration) {
 			put(t, stored, v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{Drained: true})
 		}, []byte{warming.Unsaid}},
-		{"drained and heard", 2300 * time.Millisecond, func(now time.Duration) { report(now, 0) }, []byte{warming.Unsaid}},
-		{"the drain has ended", 2900 * time.Millisecond, func(time.Duration) {
+		{"report while drained", 2300 * time.Millisecond, func(now time.Duration) { report(now, 0) }, []byte{warming.Unsaid}},
+		{"drain ended", 2900 * time.Millisecond, func(time.Duration) {
 			put(t, stored, v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{})
 		}, []byte{warming.Unsaid}},
-		{"heard since", 3 * time.Second, func(now time.Duration) { report(now, 0) }, nil},
+		{"report after the drain", 3 * time.Second, func(now time.Duration) { report(now, 0) }, nil},
 	} {
 		step.change(step.at)
 		leader.Observe(stored)
 		leader.ObserveWarming(step.at, func() map[string]instances.Entry { return entries })
 		digest := leader.Digest(step.at, stored.Revision())
 		if digest == nil || !bytes.Equal(digest.GetMachineWarming(), step.units) {
-			t.Errorf("%s: %v, wanted %v", step.name, digest.GetMachineWarming(), step.units)
+			t.Errorf("%s: warm-up units %v, want %v", step.name, digest.GetMachineWarming(), step.units)
 		}
 	}
 }
 
-// TestPlacementHearsOfWarmingMachines: of those that told that they warm up, and of their pool's rate.
-func TestPlacementHearsOfWarmingMachines(t *testing.T) {
+// Placement gets the remaining warm-up time of a machine and the rate of its pool.
+func TestPlacementReducesWarmingMachines(t *testing.T) {
 	const now = time.Minute
 	stored := warmingFleet(t)
 	leader := New(0, Config{}, NewReportTable())
@@ -92,17 +90,16 @@
 	leader.ObserveWarming(now, func() map[string]instances.Entry { return entries })
 	input := leader.placementInput(leader.view(now+time.Second), time.Unix(60, 0))
 	if machine := input.Machines["m"]; machine.ReducedFor != 2*time.Second || machine.ReducedRate != 5 {
-		t.Errorf("placement is told %s at %.1f a second", machine.ReducedFor, machine.ReducedRate)
+		t.Errorf("placement has a reduction for %s to %.1f requests per second", machine.ReducedFor, machine.ReducedRate)
 	}
 }
 
-// TestNoMachineIsLookedAtWhereNoneWarmsUp: a fleet whose pools declare no warming costs its leader nothing
-// for that in a pass.
-func TestNoMachineIsLookedAtWhereNoneWarmsUp(t *testing.T) {
+// The machines' reports must not be read if no pool declares a warm-up.
+func TestReportsNotReadWithoutWarmingPools(t *testing.T) {
 	leader := New(0, Config{}, NewReportTable())
 	leader.Observe(fleetState(t))
 	leader.ObserveWarming(time.Second, func() map[string]instances.Entry {
-		t.Error("the machines' reports are gathered")
+		t.Error("the machines' reports were read")
 		return nil
 	})
 }
