--- a/internal/instances/condense.go
+++ b/internal/instances/condense.go
@@ -7,12 +7,12 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// maxCondensed bounds the machines that a Condenser remembers: a few times as many as one control
-// node hears of. Beyond, it begins anew, and the next reports go out whole.
-const maxCondensed = 4096
+// maxRemembered bounds the machines whose reports a Deduplicator remembers. When it is exceeded, all
+// are dropped and the next reports are sent in full.
+const maxRemembered = 4096
 
-// WithContent returns a report with the hash of its content. It is the report itself where that
-// has one.
+// WithContentHash returns a report with the hash of its content, which excludes the fields that change
+// with every report.
 func WithContent(report *wirepb.InstanceReport) *wirepb.InstanceReport {
 	if report.GetContent() != 0 {
 		return report
@@ -21,30 +21,30 @@
 	hashed.Sequence, hashed.AgeMs, hashed.WarmingMs = 0, 0, 0
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(hashed)
 	if err != nil {
-		return report // Without a hash it always goes whole.
+		return report // Without a hash it is always sent in full.
 	}
 	hashed.Sequence, hashed.AgeMs, hashed.WarmingMs = report.GetSequence(), report.GetAgeMs(), report.GetWarmingMs()
 	hashed.Content = max(1, xxhash.Sum64(encoded))
 	return hashed
 }
 
-// Condenser leaves out of reports what the receiver at the other end of a connection has been
-// sent: machines say every second or so that they are there, and seldom anything new about what
-// they hold. It belongs to one connection and is not safe for concurrent use.
+// Deduplicator omits content from reports that the receiver of a connection was already sent: most
+// heartbeats repeat the one before. It is not safe for concurrent use.
 type Condenser struct {
-	// sent holds, by machine, the newest report; its content has been sent whole.
+	// sent has the newest report of each machine. Its content was sent in full, in this or an earlier
+	// report.
 	sent map[string]*wirepb.InstanceReport
 }
 
-// NewCondenser returns a Condenser of a new connection.
+// NewDeduplicator returns a Deduplicator for a new connection.
 func NewCondenser() *Condenser {
 	return &Condenser{sent: map[string]*wirepb.InstanceReport{}}
 }
 
-// Next returns a report as it is sent next.
+// Encode returns the message to send for a report.
 func (c *Condenser) Next(report *wirepb.InstanceReport) *wirepb.InstanceReport {
 	last, known := c.sent[report.GetMachine()]
-	if !known && len(c.sent) >= maxCondensed {
+	if !known && len(c.sent) >= maxRemembered {
 		clear(c.sent)
 	}
 	c.sent[report.GetMachine()] = report
@@ -57,28 +57,28 @@
 	return report
 }
 
-// Whole returns a machine's newest report with all that it holds; nil if there is none.
+// Full returns the newest report of a machine with its content, or nil if there is none.
 func (c *Condenser) Whole(machine string) *wirepb.InstanceReport {
 	return c.sent[machine]
 }
 
-// Complete returns a report with what was left out of it, by the name of the machine's record; whole
-// is false where the table does not hold that. What it holds of another content, by way of another
-// control node, is no stand-in.
-func (t *Table) Complete(name string, report *wirepb.InstanceReport) (completed *wirepb.InstanceReport, whole bool) {
+// Restore returns a report with the content that a Deduplicator omitted, taken from the stored report
+// of the machine's record. It returns false if that has a different content, which may have arrived
+// through another control node.
+func (t *Table) Complete(name string, report *wirepb.InstanceReport) (restored *wirepb.InstanceReport, complete bool) {
 	if !report.GetUnchanged() {
 		return report, true
 	}
 	t.mutex.Lock()
-	held := t.entries[name].Report
+	stored := t.entries[name].Report
 	t.mutex.Unlock()
-	if held == nil || held.GetContent() != report.GetContent() {
+	if stored == nil || stored.GetContent() != report.GetContent() {
 		return nil, false
 	}
 	return &wirepb.InstanceReport{
 		Machine: report.GetMachine(), StartedMs: report.GetStartedMs(),
 		Sequence: report.GetSequence(), AgeMs: report.GetAgeMs(), WarmingMs: report.GetWarmingMs(),
-		Content: report.GetContent(), Pool: held.GetPool(), Endpoint: held.GetEndpoint(), Zone: held.GetZone(), Slots: held.GetSlots(),
-		Models: held.GetModels(), Checkpoints: held.GetCheckpoints(), Leaving: held.GetLeaving(),
+		Content: report.GetContent(), Pool: stored.GetPool(), Endpoint: stored.GetEndpoint(), Zone: stored.GetZone(), Slots: stored.GetSlots(),
+		Models: stored.GetModels(), Checkpoints: stored.GetCheckpoints(), Leaving: stored.GetLeaving(),
 	}, true
 }
--- a/internal/instances/condense_test.go
+++ b/internal/instances/condense_test.go
@@ -11,8 +11,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// heartbeatOf is what a machine says that holds a number of models.
-func heartbeatOf(sequence uint64, models int) *wirepb.InstanceReport {
+// newHeartbeat returns the report of a machine with a number of loaded models.
+func newHeartbeat(sequence uint64, models int) *wirepb.InstanceReport {
 	report := &wirepb.InstanceReport{
 		Machine: "m", Pool: "p", Endpoint: "http://10.0.0.1:80", Zone: "z", Slots: 12, Sequence: sequence, StartedMs: 1_700_000_000_000,
 		AgeMs: uint32(sequence), WarmingMs: uint32(sequence) * 100,
@@ -24,119 +24,118 @@
 	return report
 }
 
-// TestUnchangedReportsAreShort and mean the same.
-func TestUnchangedReportsAreShort(t *testing.T) {
-	sender, table := NewCondenser(), NewTable()
+// A report without changes must be small and restore to the original.
+func TestUnchangedReportsOmitContent(t *testing.T) {
+	encoder, table := NewCondenser(), NewTable()
 	for sequence := uint64(1); sequence <= 10; sequence++ {
-		report := WithContent(heartbeatOf(sequence, 5))
-		sent := sender.Next(report)
+		report := WithContent(newHeartbeat(sequence, 5))
+		sent := encoder.Next(report)
 		if sequence > 1 && proto.Size(sent) > 50 {
-			t.Errorf("report %d, without news, takes %d bytes of %d", sequence, proto.Size(sent), proto.Size(report))
+			t.Errorf("report %d without changes takes %d of %d bytes", sequence, proto.Size(sent), proto.Size(report))
 		}
-		completed, whole := table.Complete("m", sent)
-		if !whole || !proto.Equal(completed, report) {
-			t.Fatalf("report %d came as %v", sequence, completed)
+		restored, complete := table.Complete("m", sent)
+		if !complete || !proto.Equal(restored, report) {
+			t.Fatalf("report %d restored as %v", sequence, restored)
 		}
-		table.Take(time.Duration(sequence), "m", completed)
+		table.Take(time.Duration(sequence), "m", restored)
 	}
-	if other := WithContent(heartbeatOf(11, 4)); sender.Next(other) != other {
-		t.Error("a report with news is not whole")
+	if other := WithContent(newHeartbeat(11, 4)); encoder.Next(other) != other {
+		t.Error("a changed report is not sent in full")
 	}
-	leaving := heartbeatOf(12, 4)
+	leaving := newHeartbeat(12, 4)
 	leaving.Leaving = true
-	if leaving = WithContent(leaving); sender.Next(leaving) != leaving {
-		t.Error("a machine that leaves is no news")
+	if leaving = WithContent(leaving); encoder.Next(leaving) != leaving {
+		t.Error("a leaving machine's report is not sent in full")
 	}
 }
 
-// TestNoOtherContentStandsIn: the table may hold what came by way of another control node, or
-// nothing.
-func TestNoOtherContentStandsIn(t *testing.T) {
-	sender, table := NewCondenser(), NewTable()
-	sender.Next(WithContent(heartbeatOf(1, 2)))
-	short := sender.Next(WithContent(heartbeatOf(2, 2)))
-	if completed, whole := table.Complete("m", short); whole {
-		t.Errorf("completed from nothing: %v", completed)
+// A report must not be restored from missing or different content, such as a report sent through
+// another control node.
+func TestRestoreRequiresMatchingContent(t *testing.T) {
+	encoder, table := NewCondenser(), NewTable()
+	encoder.Next(WithContent(newHeartbeat(1, 2)))
+	short := encoder.Next(WithContent(newHeartbeat(2, 2)))
+	if restored, complete := table.Complete("m", short); complete {
+		t.Errorf("restored without a stored report: %v", restored)
 	}
-	table.Take(0, "m", WithContent(heartbeatOf(1, 3)))
-	if completed, whole := table.Complete("m", short); whole {
-		t.Errorf("completed from another content: %v", completed)
+	table.Take(0, "m", WithContent(newHeartbeat(1, 3)))
+	if restored, complete := table.Complete("m", short); complete {
+		t.Errorf("restored from different content: %v", restored)
 	}
-	whole := sender.Whole("m")
-	if whole.GetSequence() != 2 || len(whole.GetModels()) != 2 {
-		t.Errorf("the whole report is %v", whole)
+	complete := encoder.Whole("m")
+	if complete.GetSequence() != 2 || len(complete.GetModels()) != 2 {
+		t.Errorf("full report is %v", complete)
 	}
-	table.Take(0, "m", whole)
-	if _, held := table.Complete("m", sender.Next(WithContent(heartbeatOf(3, 2)))); !held {
-		t.Error("still lacking after the whole report")
+	table.Take(0, "m", complete)
+	if _, held := table.Complete("m", encoder.Next(WithContent(newHeartbeat(3, 2)))); !held {
+		t.Error("not restored after the full report")
 	}
 }
 
-// TestLeaderLearnsTheNewestContent: a machine turns to one control node after the other while
-// what it holds changes to and fro; connections break, and the leader forgets. Each report that
-// arrives after the answer to it is the newest that the leader holds, with what it said.
-func TestLeaderLearnsTheNewestContent(t *testing.T) {
+// Across changes of control node, connection and leader, the leader must hold the newest report with
+// its content after each heartbeat.
+func TestNewestContentIsRestored(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		table, models := NewTable(), 1
-		senders := []*Condenser{NewCondenser(), NewCondenser(), NewCondenser()}
+		encoders := []*Condenser{NewCondenser(), NewCondenser(), NewCondenser()}
 		for sequence := uint64(1); sequence <= 200; sequence++ {
 			if random.IntN(5) == 0 {
 				models = 1 + random.IntN(3)
 			}
-			way := random.IntN(len(senders))
+			connection := random.IntN(len(encoders))
 			switch random.IntN(20) {
 			case 0:
-				senders[way] = NewCondenser()
+				encoders[connection] = NewCondenser()
 			case 1:
 				table = NewTable()
 			}
-			report := WithContent(heartbeatOf(sequence, models))
-			sent := senders[way].Next(report)
-			completed, whole := table.Complete("m", sent)
-			if !whole {
-				completed, whole = table.Complete("m", senders[way].Whole("m"))
+			report := WithContent(newHeartbeat(sequence, models))
+			sent := encoders[connection].Next(report)
+			restored, complete := table.Complete("m", sent)
+			if !complete {
+				restored, complete = table.Complete("m", encoders[connection].Whole("m"))
 			}
-			if !whole {
-				t.Fatalf("seed %d: report %d is not whole when asked for", seed, sequence)
+			if !complete {
+				t.Fatalf("seed %d: report %d is not restored from the full report", seed, sequence)
 			}
-			table.Take(time.Duration(sequence), "m", completed)
+			table.Take(time.Duration(sequence), "m", restored)
 			if held := table.Entries()["m"].Report; !proto.Equal(held, report) {
-				t.Fatalf("seed %d: the leader holds %v, the machine said %v", seed, held, report)
+				t.Fatalf("seed %d: stored report %v, want %v", seed, held, report)
 			}
 		}
 	}
 }
 
-// TestCondenserIsBounded where machines come and go.
-func TestCondenserIsBounded(t *testing.T) {
-	sender := NewCondenser()
-	for number := range 3 * maxCondensed {
-		report := heartbeatOf(1, 0)
+// Deduplicator must not grow with the machines that come and go.
+func TestDeduplicatorIsBounded(t *testing.T) {
+	encoder := NewCondenser()
+	for number := range 3 * maxRemembered {
+		report := newHeartbeat(1, 0)
 		report.Machine = fmt.Sprint("m", number)
-		sender.Next(report)
-		if len(sender.sent) > maxCondensed {
-			t.Fatalf("%d machines are remembered", len(sender.sent))
+		encoder.Next(report)
+		if len(encoder.sent) > maxRemembered {
+			t.Fatalf("%d machines are remembered", len(encoder.sent))
 		}
 	}
 }
 
-// TestNothingIsLostOnTheWay: what a report gets in later releases is completed as well.
-func TestNothingIsLostOnTheWay(t *testing.T) {
-	report := heartbeatOf(1, 1)
+// Fields added to reports in later releases must be restored as well.
+func TestRestoreCopiesEveryField(t *testing.T) {
+	report := newHeartbeat(1, 1)
 	report.Leaving = true
 	fields := report.ProtoReflect().Descriptor().Fields()
 	for position := range fields.Len() {
 		field := fields.Get(position)
 		if name := field.Name(); name != "content" && name != "unchanged" && !report.ProtoReflect().Has(field) {
-			t.Errorf("the report has no %s; fill it in here", name)
+			t.Errorf("the test report lacks field %s", name)
 		}
 	}
-	sender, table := NewCondenser(), NewTable()
+	encoder, table := NewCondenser(), NewTable()
 	report = WithContent(report)
-	table.Take(0, "m", sender.Next(report))
-	completed, whole := table.Complete("m", sender.Next(report))
-	if !whole || !proto.Equal(completed, report) {
-		t.Errorf("%v came as %v", report, completed)
+	table.Take(0, "m", encoder.Next(report))
+	restored, complete := table.Complete("m", encoder.Next(report))
+	if !complete || !proto.Equal(restored, report) {
+		t.Errorf("%v restored as %v", report, restored)
 	}
 }
--- a/internal/instances/identity.go
+++ b/internal/instances/identity.go
@@ -7,53 +7,52 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// startMark stands between the id of a machine that started again under it and the time of that
-// start, in the name of its record.
-const startMark = ".start-"
+// startSeparator separates the machine's ID from the start time in the names of records.
+const startSeparator = ".start-"
 
-// Records finds the stored record of a machine by name; nil if there is none.
+// RecordLookup returns the machine record of a name, or nil.
 type Records func(name string) *v1.MachineSpec
 
-// IDOf returns the id by which a machine calls itself, from the name of its record.
+// IDOf returns a machine's ID from the name of its record.
 func IDOf(name string) string {
-	id, _, _ := strings.Cut(name, startMark)
+	id, _, _ := strings.Cut(name, startSeparator)
 	return id
 }
 
-// IsID reports whether an id can be told from names of records.
+// IsValidID reports whether an ID can be distinguished from the names of records.
 func IsID(id string) bool {
-	return id != "" && !strings.Contains(id, startMark)
+	return id != "" && !strings.Contains(id, startSeparator)
 }
 
-// IsBefore reports whether a start is before that of a record under the same id whose machine is in
-// use, by the phase of that.
-func IsBefore(startedMs int64, held *v1.MachineSpec, phase v1.MachinePhase) bool {
-	return startedBefore(startedMs, held) && (phase == v1.MachineLive || phase == v1.MachineLeaving)
+// PrecedesActiveStart reports whether a start is earlier than that of a record with the same ID whose
+// machine is still in use.
+func IsBefore(startedMs int64, record *v1.MachineSpec, phase v1.MachinePhase) bool {
+	return startedBefore(startedMs, record) && (phase == v1.MachineLive || phase == v1.MachineLeaving)
 }
 
-func startedBefore(startedMs int64, held *v1.MachineSpec) bool {
-	return startedMs != 0 && startedMs < held.StartedMs
+func startedBefore(startedMs int64, record *v1.MachineSpec) bool {
+	return startedMs != 0 && startedMs < record.StartedMs
 }
 
-// nameOfStart is the name of the record of a start under an id that another start has used.
-func nameOfStart(id string, startedMs int64) string {
-	return id + startMark + strconv.FormatInt(startedMs, 10)
+// startName returns the name of a record of a later start of a machine.
+func startName(id string, startedMs int64) string {
+	return id + startSeparator + strconv.FormatInt(startedMs, 10)
 }
 
-// NameOf returns the name of a machine's record. The first start under an id has the id for its
-// name, each later one a name of its own: whatever is kept by name (replicas, orders, grants,
-// evidence of crashes, warming, connections) then belongs to one start. A record that does not
-// tell when its machine started is that of whichever start is heard of first.
-func NameOf(id string, startedMs int64, records Records) string {
+// NameOf returns the name of a machine's record. The first start has the ID as its name, each later
+// start a name of its own, so that everything stored by name (replicas, orders, grants, crash records,
+// warm-up state, connections) belongs to one start. A record without a start time belongs to the first
+// start that reports.
+func NameOf(id string, startedMs int64, lookup Records) string {
 	if startedMs == 0 {
 		return id
 	}
-	own := nameOfStart(id, startedMs)
-	if records(own) != nil {
-		return own
+	startRecord := startName(id, startedMs)
+	if lookup(startRecord) != nil {
+		return startRecord
 	}
-	if held := records(id); held != nil && held.StartedMs != 0 && held.StartedMs != startedMs {
-		return own
+	if record := lookup(id); record != nil && record.StartedMs != 0 && record.StartedMs != startedMs {
+		return startRecord
 	}
 	return id
 }
--- a/internal/instances/table.go
+++ b/internal/instances/table.go
@@ -1,20 +1,9 @@
-// Package instances keeps the Machine records of machines that register by
-// themselves in step with their heartbeats.
+// Package instances reconciles the Machine records of self-registering machines with their heartbeats.
 //
-// The problem: nobody lists these machines. They report to any control node,
-// late and sometimes out of order; a crashed one says nothing; addresses are
-// used again; and one that said that it leaves must never come back into use,
-// whichever node it told.
-//
-// A machine may also start again under the id that it had. It knows nothing of before, and counts
-// its reports anew; so each start has a record of its own (see NameOf). The order of two starts is
-// that of the times they tell, and what an earlier one said that comes late changes nothing.
-//
-// The mechanism: heartbeats are soft state of the leader. What must survive
-// (that a machine exists, that it leaves, that it is gone) goes through the
-// replicated log, where its phase can only move on. A machine that is silent
-// is Lost, which it may return from, and after a long silence Gone. A machine
-// that shows up at another's address proves that the other is gone.
+// Heartbeats are soft state of the leader and may be late or reordered. The facts that must survive (a
+// machine exists, is leaving, is gone) are written to the replicated log, where a phase never moves
+// back except from Lost to Live. Each start of a machine has a record of its own, see NameOf. A machine
+// that registers at another one's endpoint shows that the other is gone.
 package instances
 
 import (
@@ -28,49 +17,47 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// Entry is the newest report of a machine.
 type Entry struct {
 	Report   *wirepb.InstanceReport
 	Received time.Duration
 }
 
-// Table holds the newest report of each machine, by the name of its record. It is safe for
-// concurrent use.
+// Table has the newest report of each machine, by the name of its record. It is safe for concurrent
+// use.
 type Table struct {
 	mutex   sync.Mutex
 	entries map[string]Entry
-	// goneSince is when each machine that is gone was first seen to be.
+	// goneSince is when each gone machine was first seen as gone.
 	goneSince map[string]time.Duration
-	// lostSince is when each machine that is lost was taken to be.
+	// lostSince is when each lost machine was marked as lost.
 	lostSince map[string]time.Duration
 }
 
-// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{entries: map[string]Entry{}, goneSince: map[string]time.Duration{}, lostSince: map[string]time.Duration{}}
 }
 
-// Take keeps a report under the name of the machine's record unless a newer one is held, and
-// returns whether it is news that the leader should act on at once.
+// Add stores a report under the name of the machine's record, unless it is older than the stored one.
+// It returns whether the change needs immediate attention.
 func (t *Table) Take(now time.Duration, name string, report *wirepb.InstanceReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	held := t.entries[name].Report
-	if held != nil && !isLater(report, held) {
+	stored := t.entries[name].Report
+	if stored != nil && !isLater(report, stored) {
 		return false
 	}
 	received := now - time.Duration(report.GetAgeMs())*time.Millisecond
 	t.entries[name] = Entry{Report: report, Received: received}
-	return held == nil || held.GetLeaving() != report.GetLeaving() || !sameModels(held, report)
+	return stored == nil || stored.GetLeaving() != report.GetLeaving() || !sameModels(stored, report)
 }
 
-// isLater reports whether a report was made after another one of the same id. Sequences are counted
-// by one start; where either does not tell its start they are all that there is.
-func isLater(report, held *wirepb.InstanceReport) bool {
-	if report.GetStartedMs() != held.GetStartedMs() && report.GetStartedMs() != 0 && held.GetStartedMs() != 0 {
-		return report.GetStartedMs() > held.GetStartedMs()
+// isLater reports whether a report is newer than another one with the same ID. Sequence numbers are
+// comparable within a start, and are used as a fallback if a start time is unknown.
+func isLater(report, other *wirepb.InstanceReport) bool {
+	if report.GetStartedMs() != other.GetStartedMs() && report.GetStartedMs() != 0 && other.GetStartedMs() != 0 {
+		return report.GetStartedMs() > other.GetStartedMs()
 	}
-	return report.GetSequence() > held.GetSequence()
+	return report.GetSequence() > other.GetSequence()
 }
 
 func sameModels(left, right *wirepb.InstanceReport) bool {
@@ -85,59 +72,55 @@
 	return true
 }
 
-// Entries copies the table.
+// Entries returns a copy of the table.
 func (t *Table) Entries() map[string]Entry {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return maps.Clone(t.entries)
 }
 
-// Policy tunes how silence is read.
+// Policy has the periods of silence after which machines change phase.
 type Policy struct {
-	// LostAfter is after how much silence a machine is Lost.
 	LostAfter time.Duration
-	// SuspectAfter is after how much silence it is Lost if routers can't
-	// connect to it either.
+	// SuspectAfter replaces LostAfter if some routers can't connect to the machine.
 	SuspectAfter time.Duration
-	// DeadAfter is the same where most routers can't connect to it: the network
-	// between them and the machine is not the reason.
+	// DeadAfter replaces LostAfter if most routers can't connect to the machine, which rules out a
+	// network fault at a single router.
 	DeadAfter time.Duration
-	// GoneAfter is after how much silence it is Gone.
 	GoneAfter time.Duration
-	// ForgetAfter is for how long the record of one that is gone is kept, so
-	// that a late heartbeat can't bring it back.
+	// ForgetAfter is how long the record of a gone machine is kept, so that late heartbeats can't
+	// register it again.
 	ForgetAfter time.Duration
 }
 
-// Declared is a stored Machine record.
 type Declared struct {
 	Object *wirepb.Object
 	Spec   *v1.MachineSpec
 	Status v1.MachineStatus
 }
 
-// Input is everything that Reconcile depends on.
+// Input has all that Reconcile depends on, besides the heartbeats.
 type Input struct {
 	Now time.Duration
-	// Since is when the leader began its term: silence before it is no sign.
+	// Since is the start of the leader's term. Earlier silence is ignored.
 	Since    time.Duration
 	Declared map[string]Declared
 	Pools    map[string]*v1.PoolSpec
-	// Unreachable counts the routers that can't connect to a machine, of Routers
-	// that are live.
+	// Unreachable has, by machine, the number of live routers that can't connect to it. Routers is the
+	// number of live routers.
 	Unreachable map[string]int
 	Routers     int
-	// Leaving holds the machines that stated in an answer to a router that they are about to shut down.
+	// Leaving has the machines that announced their shutdown in a response to a router.
 	Leaving map[string]bool
 	Policy  Policy
-	// RecordStarts is set where records tell when their machines started.
+	// RecordStarts is set if records contain the start times of machines.
 	RecordStarts bool
 }
 
-// Reconcile returns the commands that bring the records in step, by name.
+// Reconcile returns the commands that reconcile the records with the heartbeats, sorted by name.
 func (t *Table) Reconcile(input Input) []*wirepb.RegisterCommand {
 	entries := t.Entries()
-	newest := newestOf(input.Declared)
+	newest := newNewestRecords(input.Declared)
 	var commands []*wirepb.RegisterCommand
 	for name, entry := range entries {
 		if _, exists := input.Declared[name]; exists {
@@ -155,8 +138,8 @@
 		}
 	}
 	for name, declared := range input.Declared {
-		entry, heard := entries[name]
-		if command := t.follow(input, name, declared, entry, heard, newest); command != nil {
+		entry, reported := entries[name]
+		if command := t.reconcileRecord(input, name, declared, entry, reported, newest); command != nil {
 			commands = append(commands, command)
 		}
 	}
@@ -164,16 +147,16 @@
 	return commands
 }
 
-// ReasonSaidSo is the reason for a phase that the machine itself reported: a planned end.
+// ReasonAnnounced is the reason for a phase that the machine reported in a heartbeat.
 const ReasonSaidSo = "said so"
 
-// ReasonAnsweredSo is the reason for a phase that the machine stated in an answer to a router.
+// ReasonAnnouncedInResponse is the reason for a phase that the machine stated in a response to a
+// router.
 const ReasonAnsweredSo = "said so in an answer"
 
-// Registration returns the command that records a machine for the first time,
-// or nil while its pool is not declared: the room that it has is the pool's. The record tells when
-// the machine started where that is asked for.
-func Registration(name string, report *wirepb.InstanceReport, pools map[string]*v1.PoolSpec, tellsStart bool) *wirepb.RegisterCommand {
+// Registration returns the command that creates a machine's record, or nil if its pool, which
+// determines its capacity, is not declared. The record contains the start time if withStart is set.
+func Registration(name string, report *wirepb.InstanceReport, pools map[string]*v1.PoolSpec, withStart bool) *wirepb.RegisterCommand {
 	pool := pools[report.GetPool()]
 	if pool == nil && !report.GetLeaving() {
 		return nil
@@ -181,7 +164,7 @@
 	spec := &v1.MachineSpec{
 		Endpoint: report.GetEndpoint(), Zone: report.GetZone(), Pool: report.GetPool(), Slots: int(report.GetSlots()),
 	}
-	if tellsStart {
+	if withStart {
 		spec.StartedMs = report.GetStartedMs()
 	}
 	if pool != nil && pool.Engine != nil {
@@ -199,50 +182,50 @@
 	return &wirepb.RegisterCommand{Machine: name, Spec: encoded, Phase: string(phase), Reason: "registered"}
 }
 
-// newestRecords names the machine that was recorded last, at each endpoint and under each id. The
-// records before it are of machines that are no more: an address and an id belong to one at a time.
+// newestRecords has the name of the newest record at each endpoint and of each ID. Older records are
+// obsolete, since endpoints and IDs belong to one machine at a time.
 type newestRecords struct {
 	byEndpoint, byID map[string]string
 }
 
-func newestOf(declared map[string]Declared) newestRecords {
+func newNewestRecords(declared map[string]Declared) newestRecords {
 	newest := newestRecords{byEndpoint: map[string]string{}, byID: map[string]string{}}
 	for name, machine := range declared {
-		note(newest.byEndpoint, machine.Spec.Endpoint, name, declared)
-		note(newest.byID, IDOf(name), name, declared)
+		keepNewest(newest.byEndpoint, machine.Spec.Endpoint, name, declared)
+		keepNewest(newest.byID, IDOf(name), name, declared)
 	}
 	return newest
 }
 
-func note(newest map[string]string, key, name string, declared map[string]Declared) {
+func keepNewest(newest map[string]string, key, name string, declared map[string]Declared) {
 	other, taken := newest[key]
 	if !taken || declared[other].Object.GetCreateRevision() < declared[name].Object.GetCreateRevision() {
 		newest[key] = name
 	}
 }
 
-// isSuperseded reports whether a report without a record comes from a start before one that has a
-// record under the same id: it was held up on its way. If it is the other way round, since a clock
-// was set back, the later one falls silent, and the machine goes on to report.
+// isSuperseded reports whether a report without a record is a late one from an earlier start of a
+// machine that has a record. If the start times are reversed because a clock was set back, the recorded
+// start falls silent while reports of the other one continue.
 func isSuperseded(input Input, newest newestRecords, entry Entry) bool {
-	held, recorded := input.Declared[newest.byID[entry.Report.GetMachine()]]
+	record, recorded := input.Declared[newest.byID[entry.Report.GetMachine()]]
 	started := entry.Report.GetStartedMs()
-	if !recorded || !startedBefore(started, held.Spec) {
+	if !recorded || !startedBefore(started, record.Spec) {
 		return false
 	}
-	return IsBefore(started, held.Spec, held.Status.Phase) || input.Now-entry.Received > input.Policy.LostAfter
+	return IsBefore(started, record.Spec, record.Status.Phase) || input.Now-entry.Received > input.Policy.LostAfter
 }
 
-func (t *Table) follow(input Input, name string, declared Declared, entry Entry, heard bool, newest newestRecords) *wirepb.RegisterCommand {
+func (t *Table) reconcileRecord(input Input, name string, declared Declared, entry Entry, reported bool, newest newestRecords) *wirepb.RegisterCommand {
 	phase := declared.Status.Phase
 	if phase == v1.MachineGone {
-		return t.sweep(input, name)
+		return t.forgetGone(input, name)
 	}
 	if phase != v1.MachineLost {
 		t.forgetLost(name)
 	}
 	silentSince := input.Since
-	if heard {
+	if reported {
 		silentSince = max(silentSince, entry.Received)
 	}
 	silent := input.Now - silentSince
@@ -256,12 +239,12 @@
 		return transition(name, v1.MachineGone, "silent for too long")
 	case phase == v1.MachineLeaving:
 		return nil
-	case heard && entry.Report.GetLeaving():
+	case reported && entry.Report.GetLeaving():
 		return transition(name, v1.MachineLeaving, ReasonSaidSo)
 	case input.Leaving[name]:
 		return transition(name, v1.MachineLeaving, ReasonAnsweredSo)
 	case phase == v1.MachineLost:
-		return t.recover(input, name, entry, heard && silent <= lostAfter)
+		return t.recover(input, name, entry, reported && silent <= lostAfter)
 	case silent > lostAfter:
 		t.setLost(name, input.Now)
 		return transition(name, v1.MachineLost, "silent")
@@ -269,8 +252,7 @@
 	return recordStart(input, name, declared, entry)
 }
 
-// recordStart returns the command that adds to a record when its machine started, where it does not
-// tell: it is from before records did.
+// recordStart returns the command that adds the start time to a record from an earlier release.
 func recordStart(input Input, name string, declared Declared, entry Entry) *wirepb.RegisterCommand {
 	if !input.RecordStarts || declared.Spec.StartedMs != 0 || entry.Report.GetStartedMs() == 0 {
 		return nil
@@ -283,16 +265,16 @@
 	return command
 }
 
-// recover makes a lost machine Live again, if it was heard of since it was lost:
-// that routers no longer complain, since they have given it up, is no sign.
-func (t *Table) recover(input Input, name string, entry Entry, heard bool) *wirepb.RegisterCommand {
+// recover marks a lost machine as Live if it reported after it was lost. The absence of complaints by
+// routers is not enough, since they no longer connect to lost machines.
+func (t *Table) recover(input Input, name string, entry Entry, reported bool) *wirepb.RegisterCommand {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	lost, known := t.lostSince[name]
 	if !known {
 		lost = input.Since
 	}
-	if !heard || entry.Received < lost {
+	if !reported || entry.Received < lost {
 		return nil
 	}
 	delete(t.lostSince, name)
@@ -305,8 +287,7 @@
 	t.lostSince[name] = now
 }
 
-// lostAfter is after how much silence a machine is taken to be lost, by what the
-// routers say of it.
+// lostAfter returns the period of silence after which a machine is lost, given the routers' reports.
 func (i *Input) lostAfter(name string) time.Duration {
 	unreachable := i.Unreachable[name]
 	switch {
@@ -322,8 +303,8 @@
 	return &wirepb.RegisterCommand{Machine: name, Phase: string(phase), Reason: reason}
 }
 
-// sweep deletes the record of a machine that has been gone for long.
-func (t *Table) sweep(input Input, name string) *wirepb.RegisterCommand {
+// forgetGone returns the command that deletes the record of a gone machine after ForgetAfter.
+func (t *Table) forgetGone(input Input, name string) *wirepb.RegisterCommand {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	since, known := t.goneSince[name]
--- a/internal/instances/table_test.go
+++ b/internal/instances/table_test.go
@@ -14,16 +14,16 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestReconcile runs the tables of heartbeats and records.
+// TestReconcile runs the scripts in testdata:
 //
-//	at s=N | at ms=N
-//	beat machine=m endpoint=E sequence=N [started=N] [leaving] [pool=P]
-//	starts: records tell from now on when machines started
-//	unreachable [routers=N]: the machines that routers can't connect to, once for
-//	each router, of N that are live
-//	leaving: the machines that said in an answer that they are leaving
-//	leader: a new leader begins now
-//	reconcile: prints the commands and carries them out
+//	at s=N | at ms=N: sets the time
+//	beat machine=M endpoint=E sequence=N [started=N] [leaving] [pool=P]: adds a heartbeat
+//	starts: records contain start times from now on
+//	unreachable [routers=N]: sets the machines that routers can't connect to, one entry per router, and the number of live routers
+//	leaving: sets the machines that announced their shutdown in a response
+//	leader: starts a new leader's term
+//	reconcile: prints and applies the commands
+//	records: prints the records
 func TestReconcile(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		table := NewTable()
@@ -61,16 +61,16 @@
 				input.Since = input.Now
 				return ""
 			case "beat":
-				return fmt.Sprint(takeBeat(table, input, readBeat(t, d)))
+				return fmt.Sprint(addHeartbeat(table, input, parseHeartbeat(t, d)))
 			case "reconcile":
 				commands := table.Reconcile(input)
 				for _, command := range commands {
 					revision++
-					carryOut(t, declared, command, revision)
+					applyCommand(t, declared, command, revision)
 				}
-				return describe(commands)
+				return describeCommands(commands)
 			case "records":
-				return list(declared)
+				return describeRecords(declared)
 			}
 			t.Fatalf("unknown command %s", d.Cmd)
 			return ""
@@ -78,8 +78,8 @@
 	})
 }
 
-// takeBeat keeps a beat under the name that the records say.
-func takeBeat(table *Table, input Input, report *wirepb.InstanceReport) bool {
+// addHeartbeat stores a heartbeat under the name of its record.
+func addHeartbeat(table *Table, input Input, report *wirepb.InstanceReport) bool {
 	name := report.GetMachine()
 	if input.RecordStarts {
 		name = NameOf(report.GetMachine(), report.GetStartedMs(), func(name string) *v1.MachineSpec { return input.Declared[name].Spec })
@@ -87,7 +87,7 @@
 	return table.Take(input.Now, name, report)
 }
 
-func readBeat(t *testing.T, d *datadriven.TestData) *wirepb.InstanceReport {
+func parseHeartbeat(t *testing.T, d *datadriven.TestData) *wirepb.InstanceReport {
 	report := &wirepb.InstanceReport{Pool: "pool", Zone: "z", Leaving: d.HasArg("leaving")}
 	d.ScanArgs(t, "machine", &report.Machine)
 	d.ScanArgs(t, "endpoint", &report.Endpoint)
@@ -99,28 +99,28 @@
 	return report
 }
 
-// carryOut is the part of the state machine that matters here.
-func carryOut(t *testing.T, declared map[string]Declared, command *wirepb.RegisterCommand, revision uint64) {
+// applyCommand applies a command like the state machine.
+func applyCommand(t *testing.T, declared map[string]Declared, command *wirepb.RegisterCommand, revision uint64) {
 	if command.GetForget() {
 		delete(declared, command.GetMachine())
 		return
 	}
-	held, exists := declared[command.GetMachine()]
+	record, exists := declared[command.GetMachine()]
 	if !exists {
-		held.Object = &wirepb.Object{Name: command.GetMachine(), CreateRevision: revision}
-		held.Spec = &v1.MachineSpec{}
-		if err := json.Unmarshal(command.GetSpec(), held.Spec); err != nil {
+		record.Object = &wirepb.Object{Name: command.GetMachine(), CreateRevision: revision}
+		record.Spec = &v1.MachineSpec{}
+		if err := json.Unmarshal(command.GetSpec(), record.Spec); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if told := (&v1.MachineSpec{}); len(command.GetSpec()) > 0 && json.Unmarshal(command.GetSpec(), told) == nil && held.Spec.StartedMs == 0 {
-		held.Spec.StartedMs = told.StartedMs
+	if added := (&v1.MachineSpec{}); len(command.GetSpec()) > 0 && json.Unmarshal(command.GetSpec(), added) == nil && record.Spec.StartedMs == 0 {
+		record.Spec.StartedMs = added.StartedMs
 	}
-	held.Status.Phase = v1.MachinePhase(command.GetPhase())
-	declared[command.GetMachine()] = held
+	record.Status.Phase = v1.MachinePhase(command.GetPhase())
+	declared[command.GetMachine()] = record
 }
 
-func describe(commands []*wirepb.RegisterCommand) string {
+func describeCommands(commands []*wirepb.RegisterCommand) string {
 	var lines []string
 	for _, command := range commands {
 		line := command.GetMachine() + " " + command.GetPhase() + ": " + command.GetReason()
@@ -132,7 +132,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func list(declared map[string]Declared) string {
+func describeRecords(declared map[string]Declared) string {
 	var lines []string
 	for name, machine := range declared {
 		lines = append(lines, name+" "+string(machine.Status.Phase)+" at "+machine.Spec.Endpoint)
