--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -1,11 +1,9 @@
-// Package machines keeps the Machine resources in step with the platform's
-// machine list and with what agents see.
+// Package machines reconciles the Machine resources with the platform's machine list and the agents'
+// reports.
 //
-// The list lags, and so do reports; neither alone says that a machine is
-// gone. A machine is Leaving as soon as either the list or the operator says
-// so; Lost when no agent reached its engine for a while; Live again when one
-// does. It is Gone, and its record deleted, only when it is off the list and
-// unreachable: then nobody can use its memory any more.
+// Both sources may be out of date, so neither alone shows that a machine is gone. A machine is Leaving
+// as soon as the list or the operator requests it, and Lost while no agent reaches its engine. Its record
+// is deleted only when it is off the list and unreachable, since nothing can use its memory any longer.
 package machines
 
 import (
@@ -18,39 +16,38 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// LabelSource marks Machine resources that weldline made from the list.
+// Label of the Machine resources created from the platform's list.
 const (
 	LabelSource    = "weldline/source"
 	SourcePlatform = "platform"
 )
 
-// Observation is what agents say of a machine.
+// Observation is the state of a machine as seen by agents.
 type Observation struct {
-	// Seen is set once any agent has reported on the machine.
+	// Reported is set once an agent has reported on the machine.
 	Seen bool
-	// Incarnation is the engine's, as last reported.
+	// Incarnation is the last reported incarnation of the engine.
 	Incarnation uint64
-	// SilentFor is how long no agent has reached the engine.
+	// SilentFor is the time since an agent last reached the engine.
 	SilentFor time.Duration
 }
 
-// Declared is a stored Machine resource.
 type Declared struct {
 	Object *wirepb.Object
 	Spec   *v1.MachineSpec
 	Status v1.MachineStatus
 }
 
-// Input is everything that a decision depends on.
+// Input has all that Reconcile depends on.
 type Input struct {
-	// List is nil while it has never been read.
+	// List is nil before it was first read.
 	List     *platform.MachineList
 	Declared map[string]Declared
 	Observed map[string]Observation
 	Timeout  time.Duration
 }
 
-// Reconcile returns the writes that bring the resources in step.
+// Reconcile returns the writes that reconcile the resources, sorted by name.
 func Reconcile(input Input) []*wirepb.ObjectWrite {
 	listed := map[string]platform.Machine{}
 	if input.List != nil {
@@ -77,29 +74,29 @@
 	return writes
 }
 
-// adopt declares a machine that the list has and nobody declared, and
-// follows a changed endpoint of one declared from the list.
+// adopt returns the write that declares a machine from the list, or updates the endpoint of a machine
+// declared from the list. It returns nil if there is nothing to do.
 func adopt(name string, entry platform.Machine, declared map[string]Declared) *wirepb.ObjectWrite {
 	spec := &v1.MachineSpec{
 		Endpoint: entry.Endpoint, Zone: entry.Zone,
 		Accelerators: entry.Accelerators, AcceleratorBytes: entry.AcceleratorBytes,
 	}
-	held, exists := declared[name]
+	stored, exists := declared[name]
 	if exists {
-		fromList := held.Object.GetLabels()[LabelSource] == SourcePlatform
-		if !fromList || held.Spec.Endpoint == entry.Endpoint {
+		fromList := stored.Object.GetLabels()[LabelSource] == SourcePlatform
+		if !fromList || stored.Spec.Endpoint == entry.Endpoint {
 			return nil
 		}
-		spec.Drain = held.Spec.Drain
+		spec.Drain = stored.Spec.Drain
 	}
 	encoded, err := json.Marshal(spec)
 	if err != nil {
 		return nil
 	}
 	if _, err := v1.DecodeSpec(v1.KindMachine, encoded); err != nil {
-		return nil // The platform lists something that can't be a machine.
+		return nil // Invalid entry of the platform's list.
 	}
-	expected := held.Object.GetRevision()
+	expected := stored.Object.GetRevision()
 	return &wirepb.ObjectWrite{
 		Operation: wirepb.ObjectWrite_OPERATION_PUT, ExpectedRevision: &expected,
 		Object: &wirepb.Object{
@@ -124,7 +121,7 @@
 	case silent && observed.Seen:
 		status.Phase, status.Reason = v1.MachineLost, "its engine can't be reached"
 	case silent:
-		// A new leader has not heard of it yet: nothing is known.
+		// A new leader has no report yet, so the phase is left as it is.
 		status.Reason = declared.Status.Reason
 	case declared.Spec.Drain:
 		status.Phase, status.Reason = v1.MachineLeaving, "drained by an operator"
--- a/internal/machines/machines_test.go
+++ b/internal/machines/machines_test.go
@@ -13,8 +13,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestReconcile describes one machine m: whether it is on the list and how,
-// how it is declared, and what agents see.
+// The input of each case describes the machine m: its entry in the list, its resource, and the agents'
+// reports.
 func TestReconcile(t *testing.T) {
 	datadriven.RunTest(t, "testdata/reconcile", func(t *testing.T, d *datadriven.TestData) string {
 		input := Input{Declared: map[string]Declared{}, Observed: map[string]Observation{}, Timeout: 3 * time.Second}
