--- a/internal/subset/index.go
+++ b/internal/subset/index.go
@@ -9,11 +9,11 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// maxRemembered bounds the changes of groups that an Index remembers for subsets that are brought
-// up to date later: some for each group of a large fleet. A subset further behind looks at all.
-const maxRemembered = 1 << 14
+// maxRememberedChanges bounds the group changes that an Index keeps for subsets that are updated later.
+// A subset that missed older changes examines all groups.
+const maxRememberedChanges = 1 << 14
 
-// groupKind tells what the members of a group have in common.
+// groupKind is the kind of members in a group.
 type groupKind byte
 
 const (
@@ -21,72 +21,71 @@
 	versionGroup groupKind = iota
 	// adapterGroup has the ready replicas that hold an adapter.
 	adapterGroup
-	// fixedGroup has the machines of a pool that serve by themselves.
+	// fixedGroup has the machines of a pool without engines.
 	fixedGroup
-	// engineGroup has the machines of a pool whose engines load models. Nodes need a few of them
-	// to know that the pool has machines in a region.
+	// engineGroup has the machines of a pool with engines. Nodes need a few of them to know that the
+	// pool has machines in a region.
 	engineGroup
 )
 
-// groupKey names what a request may ask for in one region.
+// groupKey identifies a group.
 type groupKey struct {
 	kind groupKind
-	// name is a version's or a pool's.
+	// name is a version or a pool.
 	name    string
 	adapter string
 	region  string
 }
 
-// group holds the members that a node may learn of.
+// group has the members that can serve a kind of request in one region.
 type group struct {
 	key groupKey
-	// members are machines, or replicas by their names; the machine that serves is the value.
+	// members maps the names of replicas or machines to the machines that serve.
 	members map[string]*machine
-	// examined counts the members that were looked at, for tests of what a change costs.
+	// examined counts the members that were examined by subsets, for tests.
 	examined int
 }
 
-// machine is what choosing needs of a Machine object.
+// machine is the indexed part of a Machine object.
 type machine struct {
 	object *wirepb.Object
 	spec   *v1.MachineSpec
 	phase  v1.MachinePhase
-	// replicas are those on the machine, by name.
+	// replicas are the replicas on the machine by name.
 	replicas map[string]*replica
 }
 
-// isUsed reports whether a machine takes part: it is neither leaving nor gone.
-func (m *machine) isUsed() bool {
+func (m *machine) isInUse() bool {
 	return m.object != nil && m.phase.IsInUse()
 }
 
-// replica is what choosing needs of a Replica object.
+// replica is the indexed part of a Replica object.
 type replica struct {
 	object   *wirepb.Object
 	spec     *v1.ReplicaSpec
 	adapters []string
 }
 
-// Index holds the machines and replicas of a state, by what requests may ask for.
+// Index has the machines and replicas of a state by group.
 type Index struct {
 	places   places.Map
 	revision uint64
 	machines map[string]*machine
 	replicas map[string]*replica
-	// endpoints are the names of the machines by endpoint: addresses are used again.
+	// endpoints has the names of the machines at each endpoint, since endpoints are reused.
 	endpoints map[string][]string
 	groups    map[groupKey]*group
 	drained   map[string]bool
-	// regions are those with members of any group.
+	// regions has the regions in which any group ever had members.
 	regions map[string]bool
-	// generation counts how often everything was replaced.
+	// generation counts the replacements of the whole state.
 	generation uint64
-	// changed are the groups that changed, in order; the first of them is number first.
+	// changed has the recently changed groups in order; first is the number of the first one.
 	changed []*group
 	first   int
 }
 
-// NewIndex returns an index of nothing.
+// NewIndex returns an empty index.
 func NewIndex(zones places.Map) *Index {
 	index := &Index{places: zones}
 	index.clear()
@@ -101,10 +100,10 @@
 	x.first, x.changed = x.first+len(x.changed)+1, nil
 }
 
-// Revision is that of the newest change applied.
+// Revision returns the revision of the newest applied change.
 func (x *Index) Revision() uint64 { return x.revision }
 
-// Apply takes changes in order; with reset they are the whole state.
+// Apply applies changes in order. With reset, they are the whole state.
 func (x *Index) Apply(events []*wirepb.WatchEvent, revision uint64, reset bool) {
 	if reset {
 		x.clear()
@@ -113,7 +112,7 @@
 		x.applyEvent(event)
 	}
 	x.revision = revision
-	if excess := len(x.changed) - maxRemembered; excess > 0 {
+	if excess := len(x.changed) - maxRememberedChanges; excess > 0 {
 		x.changed = slices.Clone(x.changed[excess:])
 		x.first += excess
 	}
@@ -129,7 +128,7 @@
 	case v1.KindZoneDrain:
 		spec := &v1.ZoneDrainSpec{}
 		if !event.GetDeleted() && json.Unmarshal(object.GetSpec(), spec) != nil {
-			spec.Drained = true // Of a later release: its machines are the last to be chosen.
+			spec.Drained = true // From a later release: treated as drained, so that its machines are selected last.
 		}
 		x.setDrained(object.GetName(), spec.Drained)
 	}
@@ -140,45 +139,46 @@
 		return
 	}
 	x.drained[zone] = drained
-	for _, held := range x.groups {
-		x.note(held)
+	for _, g := range x.groups {
+		x.markChanged(g)
 	}
 }
 
 func (x *Index) setMachine(object *wirepb.Object, deleted bool) {
 	name := object.GetName()
-	held := x.machine(name)
-	x.unlistMachine(name, held)
-	held.object, held.spec, held.phase = nil, nil, ""
+	entry := x.machine(name)
+	x.unindexMachine(name, entry)
+	entry.object, entry.spec, entry.phase = nil, nil, ""
 	if !deleted {
 		spec, err := v1.DecodeSpec(v1.KindMachine, object.GetSpec())
 		typed, isMachine := spec.(*v1.MachineSpec)
-		if err == nil && isMachine { // Others are of a later release, for nodes of that release.
-			held.object, held.spec, held.phase = object, typed, v1.DecodeMachineStatus(object.GetStatus()).Phase
+		if err == nil && isMachine { // Other specs are from a later release and not for this one.
+			entry.object, entry.spec, entry.phase = object, typed, v1.DecodeMachineStatus(object.GetStatus()).Phase
 		}
 	}
-	x.listMachine(name, held)
-	if held.object == nil && len(held.replicas) == 0 {
+	x.indexMachine(name, entry)
+	if entry.object == nil && len(entry.replicas) == 0 {
 		delete(x.machines, name)
 	}
 }
 
-// machine returns the entry of a name, which may be one of which only replicas are known.
+// machine returns the entry of a machine, which is added if needed: replicas may arrive before their
+// machine.
 func (x *Index) machine(name string) *machine {
-	held := x.machines[name]
-	if held == nil {
-		held = &machine{replicas: map[string]*replica{}}
-		x.machines[name] = held
+	entry := x.machines[name]
+	if entry == nil {
+		entry = &machine{replicas: map[string]*replica{}}
+		x.machines[name] = entry
 	}
-	return held
+	return entry
 }
 
 func (x *Index) setReplica(object *wirepb.Object, deleted bool) {
 	name := object.GetName()
-	if held := x.replicas[name]; held != nil {
-		on := x.machine(held.spec.Machine)
-		x.unlistReplica(name, held, on)
-		delete(on.replicas, name)
+	if previous := x.replicas[name]; previous != nil {
+		host := x.machine(previous.spec.Machine)
+		x.unindexReplica(name, previous, host)
+		delete(host.replicas, name)
 		delete(x.replicas, name)
 	}
 	if deleted {
@@ -187,119 +187,119 @@
 	spec, err := v1.DecodeSpec(v1.KindReplica, object.GetSpec())
 	typed, isReplica := spec.(*v1.ReplicaSpec)
 	if err != nil || !isReplica {
-		return // Of a later release, for nodes of that release.
+		return // From a later release and not for this one.
 	}
 	added := &replica{object: object, spec: typed, adapters: v1.ReplicaAdapters(object.GetStatus())}
-	on := x.machine(typed.Machine)
-	x.replicas[name], on.replicas[name] = added, added
-	x.listReplica(name, added, on)
+	host := x.machine(typed.Machine)
+	x.replicas[name], host.replicas[name] = added, added
+	x.indexReplica(name, added, host)
 }
 
-func (x *Index) listMachine(name string, held *machine) {
-	if held.object == nil {
+func (x *Index) indexMachine(name string, entry *machine) {
+	if entry.object == nil {
 		return
 	}
-	x.endpoints[held.spec.Endpoint] = append(x.endpoints[held.spec.Endpoint], name)
-	if held.spec.Pool != "" && held.isUsed() {
-		x.add(x.poolKey(held), name, held)
+	x.endpoints[entry.spec.Endpoint] = append(x.endpoints[entry.spec.Endpoint], name)
+	if entry.spec.Pool != "" && entry.isInUse() {
+		x.add(x.poolKey(entry), name, entry)
 	}
-	for replicaName, on := range held.replicas {
-		x.listReplica(replicaName, on, held)
+	for replicaName, added := range entry.replicas {
+		x.indexReplica(replicaName, added, entry)
 	}
 }
 
-func (x *Index) unlistMachine(name string, held *machine) {
-	if held.object == nil {
+func (x *Index) unindexMachine(name string, entry *machine) {
+	if entry.object == nil {
 		return
 	}
-	x.remove(x.poolKey(held), name)
-	for replicaName, on := range held.replicas {
-		x.unlistReplica(replicaName, on, held)
+	x.remove(x.poolKey(entry), name)
+	for replicaName, added := range entry.replicas {
+		x.unindexReplica(replicaName, added, entry)
 	}
-	others := slices.DeleteFunc(slices.Clone(x.endpoints[held.spec.Endpoint]), func(other string) bool { return other == name })
+	others := slices.DeleteFunc(slices.Clone(x.endpoints[entry.spec.Endpoint]), func(other string) bool { return other == name })
 	if len(others) == 0 {
-		delete(x.endpoints, held.spec.Endpoint)
+		delete(x.endpoints, entry.spec.Endpoint)
 		return
 	}
-	x.endpoints[held.spec.Endpoint] = others
+	x.endpoints[entry.spec.Endpoint] = others
 }
 
-func (x *Index) poolKey(held *machine) groupKey {
+func (x *Index) poolKey(entry *machine) groupKey {
 	kind := fixedGroup
-	if held.spec.Accelerators > 0 {
+	if entry.spec.Accelerators > 0 {
 		kind = engineGroup
 	}
-	return groupKey{kind: kind, name: held.spec.Pool, region: x.places.Region(held.spec.Zone)}
+	return groupKey{kind: kind, name: entry.spec.Pool, region: x.places.Region(entry.spec.Zone)}
 }
 
-func (x *Index) listReplica(name string, held *replica, on *machine) {
-	if held.spec.Phase != v1.ReplicaReady || !on.isUsed() {
+func (x *Index) indexReplica(name string, entry *replica, host *machine) {
+	if entry.spec.Phase != v1.ReplicaReady || !host.isInUse() {
 		return
 	}
-	region := x.places.Region(on.spec.Zone)
-	x.add(groupKey{kind: versionGroup, name: held.spec.Version, region: region}, name, on)
-	for _, adapter := range held.adapters {
-		x.add(groupKey{kind: adapterGroup, name: held.spec.Version, adapter: adapter, region: region}, name, on)
+	region := x.places.Region(host.spec.Zone)
+	x.add(groupKey{kind: versionGroup, name: entry.spec.Version, region: region}, name, host)
+	for _, adapter := range entry.adapters {
+		x.add(groupKey{kind: adapterGroup, name: entry.spec.Version, adapter: adapter, region: region}, name, host)
 	}
 }
 
-func (x *Index) unlistReplica(name string, held *replica, on *machine) {
-	if on.object == nil {
+func (x *Index) unindexReplica(name string, entry *replica, host *machine) {
+	if host.object == nil {
 		return
 	}
-	region := x.places.Region(on.spec.Zone)
-	x.remove(groupKey{kind: versionGroup, name: held.spec.Version, region: region}, name)
-	for _, adapter := range held.adapters {
-		x.remove(groupKey{kind: adapterGroup, name: held.spec.Version, adapter: adapter, region: region}, name)
+	region := x.places.Region(host.spec.Zone)
+	x.remove(groupKey{kind: versionGroup, name: entry.spec.Version, region: region}, name)
+	for _, adapter := range entry.adapters {
+		x.remove(groupKey{kind: adapterGroup, name: entry.spec.Version, adapter: adapter, region: region}, name)
 	}
 }
 
-func (x *Index) add(key groupKey, name string, on *machine) {
-	held := x.groups[key]
-	if held == nil {
-		held = &group{key: key, members: map[string]*machine{}}
-		x.groups[key] = held
+func (x *Index) add(key groupKey, name string, host *machine) {
+	g := x.groups[key]
+	if g == nil {
+		g = &group{key: key, members: map[string]*machine{}}
+		x.groups[key] = g
 	}
-	held.members[name] = on
+	g.members[name] = host
 	x.regions[key.region] = true
-	x.note(held)
+	x.markChanged(g)
 }
 
-// remove takes a member out; an empty group stays, since subsets may refer to it. There are no
-// more groups than versions, adapters and pools.
+// remove removes a member. Empty groups are kept, since subsets may refer to them; their number is
+// bounded by the versions, adapters and pools.
 func (x *Index) remove(key groupKey, name string) {
-	held := x.groups[key]
-	if held == nil {
+	g := x.groups[key]
+	if g == nil {
 		return
 	}
-	if _, member := held.members[name]; member {
-		delete(held.members, name)
-		x.note(held)
+	if _, member := g.members[name]; member {
+		delete(g.members, name)
+		x.markChanged(g)
 	}
 }
 
-// note remembers that a group has changed.
-func (x *Index) note(changed *group) {
-	x.changed = append(x.changed, changed)
+// markChanged records a change of a group.
+func (x *Index) markChanged(g *group) {
+	x.changed = append(x.changed, g)
 }
 
-// isUsable reports whether a member may get requests now.
-func (x *Index) isUsable(on *machine) bool {
-	return on.object != nil && on.phase == v1.MachineLive && !on.spec.Drain && !x.drained[on.spec.Zone]
+// isUsable reports whether a member may receive requests.
+func (x *Index) isUsable(host *machine) bool {
+	return host.object != nil && host.phase == v1.MachineLive && !host.spec.Drain && !x.drained[host.spec.Zone]
 }
 
-// objectsOf returns what a node has to learn to use a member: its machine, the other machines in
-// use at the same address, which tell that the address is in doubt, and the replica.
-func (x *Index) objectsOf(of *group, member string) []*wirepb.Object {
-	on := of.members[member]
+// objectsOf returns the objects needed to use a member: its machine, other machines in use at the same
+// endpoint, and its replica.
+func (x *Index) objectsOf(g *group, member string) []*wirepb.Object {
+	host := g.members[member]
 	var objects []*wirepb.Object
-	for _, name := range x.endpoints[on.spec.Endpoint] {
-		if other := x.machines[name]; other == on || other.isUsed() {
+	for _, name := range x.endpoints[host.spec.Endpoint] {
+		if other := x.machines[name]; other == host || other.isInUse() {
 			objects = append(objects, other.object)
 		}
 	}
-	if held := x.replicas[member]; held != nil && (of.key.kind == versionGroup || of.key.kind == adapterGroup) {
-		objects = append(objects, held.object)
+	if entry := x.replicas[member]; entry != nil && (g.key.kind == versionGroup || g.key.kind == adapterGroup) {
+		objects = append(objects, entry.object)
 	}
 	return objects
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -13,78 +13,72 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// How many members of a group a node learns of to begin with. They bound what a node holds, in
-// objects of about a kilobyte: with 50 busy versions, 250 rare ones and 700 adapters some 3,000.
+// Initial limits of the members of a group that a node learns of.
 const (
-	// replicasPerVersion are enough for the requests of a zone's routers to one version: at 10
-	// slots each, 320 at a time.
+	// replicasPerVersion covers the load of a zone's routers on one version.
 	replicasPerVersion = 32
-	// replicasPerAdapter are fewer: an adapter is seldom loaded in many places, and quickly in one
-	// more.
+	// replicasPerAdapter is smaller, since adapters have few replicas and load quickly.
 	replicasPerAdapter = 4
-	// fixedPerPool are as many as replicas of a version, for the same reason.
-	fixedPerPool = 32
-	// enginesPerPool show that a pool has machines in a region; one may be lost.
+	fixedPerPool       = 32
+	// enginesPerPool is enough to know that a pool has machines in a region, even if one is lost.
 	enginesPerPool = 2
-	// elsewhereShare is the part of these bounds for other regions than the node's own. Requests
-	// go there when nothing nearer can take them.
-	elsewhereShare = 4
-	// outsideShare is of how many members one stands outside of the node's zone, where there are any:
-	// when a zone is lost, its neighbours' routers and those that are left in it have others to turn
-	// to before they have learnt of any.
-	outsideShare = 4
+	// otherRegionDivisor reduces the limits for regions other than the node's, which are used only when
+	// no nearer member is available.
+	otherRegionDivisor = 4
+	// otherZoneInterval is the interval of members from other zones in the selection, so that nodes
+	// know alternatives when a zone is lost.
+	otherZoneInterval = 4
 )
 
-// firstLimits are the bounds by kind of group.
-var firstLimits = [...]int{
+var initialLimits = [...]int{
 	versionGroup: replicasPerVersion, adapterGroup: replicasPerAdapter, fixedGroup: fixedPerPool, engineGroup: enginesPerPool,
 }
 
-// Subset is what one node knows of machines and replicas.
+// Subset has the machines and replicas known to one node.
 type Subset struct {
 	index      *Index
 	generation uint64
 	position   places.Position
-	// known are the machines and replicas that the node has learnt of and that were not deleted.
+	// known has the machines and replicas that were sent to the node and not deleted.
 	known map[state.Key]struct{}
-	// chosen are the members of each group that were chosen, also those that are no longer.
-	chosen map[*group][]string
-	// limits are the bounds that were raised.
+	// selected has the selected members of each group, including former members.
+	selected map[*group][]string
+	// limits has the raised limits.
 	limits map[*group]int
-	// seen is the number of the first change of a group that was not looked at.
-	seen int
-	// sharers were learnt of since the last Update: they are at addresses of known machines.
+	// nextChange is the number of the first group change that was not examined.
+	nextChange int
+	// sharers has the events for machines that share an endpoint with a known machine, to be returned
+	// by the next Update.
 	sharers []*wirepb.WatchEvent
-	// machines counts changes of the known machines.
+	// machines counts the changes to the set of known machines.
 	machines uint64
 }
 
-// Subset returns a subset of a node that knows nothing yet.
+// Subset returns an empty subset for a node.
 func (x *Index) Subset(position places.Position) *Subset {
 	return &Subset{
 		index: x, generation: x.generation, position: position, known: map[state.Key]struct{}{},
-		chosen: map[*group][]string{}, limits: map[*group]int{}, seen: -1,
+		selected: map[*group][]string{}, limits: map[*group]int{}, nextChange: -1,
 	}
 }
 
-// Expired reports whether the index was replaced as a whole: the node must list anew.
+// Expired reports whether the whole index was replaced, so that the node must list the state again.
 func (s *Subset) Expired() bool { return s.generation != s.index.generation }
 
-// Clone returns a copy for another node at the same place. The lists of chosen members are shared:
-// choose makes them anew and writes to none that is kept.
+// Clone returns a copy for another node at the same position. The slices in selected are shared, since
+// they are replaced and never modified.
 func (s *Subset) Clone() *Subset {
 	copied := *s
-	copied.known, copied.chosen, copied.limits = maps.Clone(s.known), maps.Clone(s.chosen), maps.Clone(s.limits)
+	copied.known, copied.selected, copied.limits = maps.Clone(s.known), maps.Clone(s.selected), maps.Clone(s.limits)
 	return &copied
 }
 
-// KnowsMachine reports whether the node has learnt of a machine.
 func (s *Subset) KnowsMachine(name string) bool {
 	_, known := s.known[state.Key{Kind: v1.KindMachine, Name: name}]
 	return known
 }
 
-// EachMachine calls visit for every machine that the node has learnt of, in no order.
+// EachMachine calls visit for each known machine, in no particular order.
 func (s *Subset) EachMachine(visit func(name string)) {
 	for key := range s.known {
 		if key.Kind == v1.KindMachine {
@@ -93,89 +87,88 @@
 	}
 }
 
-// MachineChanges counts the changes of what KnowsMachine reports.
+// MachineChanges returns a counter that increases whenever the result of KnowsMachine changes for any
+// machine.
 func (s *Subset) MachineChanges() uint64 { return s.machines }
 
-// Filter returns those of some changes, in order, that concern the node. The index must not be
-// behind them.
+// Filter returns the changes that concern the node, in order. The index must include all of them.
 func (s *Subset) Filter(events []*wirepb.WatchEvent) []*wirepb.WatchEvent {
-	var concerned []*wirepb.WatchEvent
+	var relevant []*wirepb.WatchEvent
 	for _, event := range events {
 		key := state.KeyOf(event.GetObject())
 		_, known := s.known[key]
-		if known || !isSubject(key.Kind) {
-			concerned = append(concerned, event)
+		if known || !isSubsetKind(key.Kind) {
+			relevant = append(relevant, event)
 		}
 		switch {
 		case known && event.GetDeleted():
-			s.forget(key)
+			s.removeKnown(key)
 		case key.Kind == v1.KindMachine:
-			s.learnSharers(key.Name)
+			s.addSharers(key.Name)
 		}
 	}
-	return concerned
+	return relevant
 }
 
-// learnSharers notes the machines at a machine's address that the node has to learn, since it
-// knows one of them.
-func (s *Subset) learnSharers(name string) {
-	held := s.index.machines[name]
-	if held == nil || held.object == nil {
+// addSharers adds all machines at a machine's endpoint if the node knows one of them.
+func (s *Subset) addSharers(name string) {
+	entry := s.index.machines[name]
+	if entry == nil || entry.object == nil {
 		return
 	}
-	sharers := s.index.endpoints[held.spec.Endpoint]
+	sharers := s.index.endpoints[entry.spec.Endpoint]
 	if len(sharers) == 1 || !slices.ContainsFunc(sharers, s.KnowsMachine) {
 		return
 	}
 	for _, sharer := range sharers {
-		if other := s.index.machines[sharer]; other.isUsed() {
-			s.sharers = s.learnObject(s.sharers, other.object)
+		if other := s.index.machines[sharer]; other.isInUse() {
+			s.sharers = s.addObject(s.sharers, other.object)
 		}
 	}
 }
 
-// isSubject reports whether nodes learn of a part of the objects of a kind only.
-func isSubject(kind v1.Kind) bool {
+// isSubsetKind reports whether nodes learn of only some objects of a kind.
+func isSubsetKind(kind v1.Kind) bool {
 	return kind == v1.KindMachine || kind == v1.KindReplica
 }
 
-func (s *Subset) learn(key state.Key) {
+func (s *Subset) markKnown(key state.Key) {
 	s.known[key] = struct{}{}
 	if key.Kind == v1.KindMachine {
 		s.machines++
 	}
 }
 
-func (s *Subset) forget(key state.Key) {
+func (s *Subset) removeKnown(key state.Key) {
 	delete(s.known, key)
 	if key.Kind == v1.KindMachine {
 		s.machines++
 	}
 }
 
-// Update chooses members for the groups that have changed since it was called last and returns
-// the objects that the node has to learn, machines before their replicas. The index must be at
-// the revision up to which the node's changes were filtered.
+// Update selects members of the groups that changed since the last call, and returns events for the
+// objects that the node did not know, machines before their replicas. The index must be at the revision
+// up to which changes were filtered.
 func (s *Subset) Update() []*wirepb.WatchEvent {
-	learnt := s.sharers
+	events := s.sharers
 	s.sharers = nil
-	for _, of := range s.unseen() {
-		learnt = s.choose(learnt, of)
+	for _, g := range s.changedGroups() {
+		events = s.selectMembers(events, g)
 	}
-	s.seen = s.index.first + len(s.index.changed)
-	return learnt
+	s.nextChange = s.index.first + len(s.index.changed)
+	return events
 }
 
-// unseen returns the groups that have changed since the last Update, each once.
-func (s *Subset) unseen() []*group {
-	if s.seen < s.index.first {
+// changedGroups returns the groups that changed since the last Update, without duplicates.
+func (s *Subset) changedGroups() []*group {
+	if s.nextChange < s.index.first {
 		return sortedGroups(s.index.groups)
 	}
 	var groups []*group
 	listed := map[*group]bool{}
-	for _, of := range s.index.changed[s.seen-s.index.first:] {
-		if !listed[of] {
-			groups, listed[of] = append(groups, of), true
+	for _, g := range s.index.changed[s.nextChange-s.index.first:] {
+		if !listed[g] {
+			groups, listed[g] = append(groups, g), true
 		}
 	}
 	return groups
@@ -190,95 +183,95 @@
 	})
 }
 
-// Raise doubles the bounds of a version, and of one of its adapters if that is named, where they
-// keep members from a node whose requests wait. It reports whether any was raised; the next
-// Update chooses.
+// RaiseLimits doubles the limits of a version, and of an adapter unless it is empty, where they are
+// below the number of members. It returns whether any limit was raised; the next Update selects the
+// additional members.
 func (s *Subset) Raise(version, adapter string) bool {
 	raised := false
 	for region := range s.index.regions {
-		raised = s.raiseGroup(groupKey{kind: versionGroup, name: version, region: region}) || raised
+		raised = s.raiseLimit(groupKey{kind: versionGroup, name: version, region: region}) || raised
 		if adapter != "" {
-			raised = s.raiseGroup(groupKey{kind: adapterGroup, name: version, adapter: adapter, region: region}) || raised
+			raised = s.raiseLimit(groupKey{kind: adapterGroup, name: version, adapter: adapter, region: region}) || raised
 		}
 	}
 	return raised
 }
 
-func (s *Subset) raiseGroup(key groupKey) bool {
-	of := s.index.groups[key]
-	if of == nil || s.limitOf(of) >= len(of.members) {
+func (s *Subset) raiseLimit(key groupKey) bool {
+	g := s.index.groups[key]
+	if g == nil || s.limitOf(g) >= len(g.members) {
 		return false
 	}
-	s.limits[of] = 2 * s.limitOf(of)
-	s.index.note(of)
+	s.limits[g] = 2 * s.limitOf(g)
+	s.index.markChanged(g)
 	return true
 }
 
-// limitOf is how many members of a group the node learns of.
-func (s *Subset) limitOf(of *group) int {
-	if raised, is := s.limits[of]; is {
+// limitOf returns the number of members of a group to select.
+func (s *Subset) limitOf(g *group) int {
+	if raised, isRaised := s.limits[g]; isRaised {
 		return raised
 	}
-	limit := firstLimits[of.key.kind]
-	if of.key.region != s.position.Map.Region(s.position.Zone) {
-		limit = max(1, limit/elsewhereShare)
+	limit := initialLimits[g.key.kind]
+	if g.key.region != s.position.Map.Region(s.position.Zone) {
+		limit = max(1, limit/otherRegionDivisor)
 	}
 	return limit
 }
 
-// choose chooses further members of a group where too few of the chosen ones are usable.
-func (s *Subset) choose(learnt []*wirepb.WatchEvent, of *group) []*wirepb.WatchEvent {
-	limit := s.limitOf(of)
+// selectMembers selects additional members of a group if too few of the selected ones are usable.
+func (s *Subset) selectMembers(events []*wirepb.WatchEvent, g *group) []*wirepb.WatchEvent {
+	limit := s.limitOf(g)
 	usable := 0
-	kept := s.chosen[of][:0:0]
-	for _, member := range s.chosen[of] {
-		on, is := of.members[member]
+	remaining := s.selected[g][:0:0]
+	for _, member := range s.selected[g] {
+		host, is := g.members[member]
 		if !is {
 			continue
 		}
-		kept = append(kept, member)
-		learnt = s.learnMember(learnt, of, member) // It may have been deleted and made again.
-		if s.index.isUsable(on) {
+		remaining = append(remaining, member)
+		events = s.addMember(events, g, member) // The object may have been deleted and created again.
+		if s.index.isUsable(host) {
 			usable++
 		}
 	}
-	of.examined += len(s.chosen[of])
-	s.chosen[of] = kept
-	if usable >= limit || len(kept) == len(of.members) {
-		return learnt
+	g.examined += len(s.selected[g])
+	s.selected[g] = remaining
+	if usable >= limit || len(remaining) == len(g.members) {
+		return events
 	}
-	for _, member := range s.inTurn(of, kept) {
-		isUsable := s.index.isUsable(of.members[member])
-		if !isUsable && (usable > 0 || len(s.chosen[of]) >= limit) || usable >= limit {
+	for _, member := range s.ranked(g, remaining) {
+		isUsable := s.index.isUsable(g.members[member])
+		if !isUsable && (usable > 0 || len(s.selected[g]) >= limit) || usable >= limit {
 			break
 		}
 		if isUsable {
 			usable++
 		}
-		s.chosen[of] = append(s.chosen[of], member)
-		learnt = s.learnMember(learnt, of, member)
+		s.selected[g] = append(s.selected[g], member)
+		events = s.addMember(events, g, member)
 	}
-	return learnt
+	return events
 }
 
-// learnMember adds the objects of a member that the node has not learnt of.
-func (s *Subset) learnMember(learnt []*wirepb.WatchEvent, of *group, member string) []*wirepb.WatchEvent {
-	for _, object := range s.index.objectsOf(of, member) {
-		learnt = s.learnObject(learnt, object)
+// addMember adds events for the unknown objects of a member.
+func (s *Subset) addMember(events []*wirepb.WatchEvent, g *group, member string) []*wirepb.WatchEvent {
+	for _, object := range s.index.objectsOf(g, member) {
+		events = s.addObject(events, object)
 	}
-	return learnt
+	return events
 }
 
-func (s *Subset) learnObject(learnt []*wirepb.WatchEvent, object *wirepb.Object) []*wirepb.WatchEvent {
+func (s *Subset) addObject(events []*wirepb.WatchEvent, object *wirepb.Object) []*wirepb.WatchEvent {
 	key := state.KeyOf(object)
 	if _, known := s.known[key]; known {
-		return learnt
+		return events
 	}
-	s.learn(key)
-	return append(learnt, &wirepb.WatchEvent{Object: object})
+	s.markKnown(key)
+	return append(events, &wirepb.WatchEvent{Object: object})
 }
 
-// candidate is a member of a group that was not chosen.
+// candidate is a member that is not selected.
 type candidate struct {
 	name     string
 	usable   bool
@@ -286,25 +279,25 @@
 	weight   uint64
 }
 
-// inTurn returns the members of a group that were not chosen, in the order in which they are to
-// be: usable ones first, the nearest of them first, but for one in outsideShare.
-func (s *Subset) inTurn(of *group, chosen []string) []string {
-	isChosen := make(map[string]bool, len(chosen))
-	for _, member := range chosen {
-		isChosen[member] = true
+// ranked returns the members that are not selected in order of preference: usable ones first, by
+// nearness, with some from other zones interleaved.
+func (s *Subset) ranked(g *group, selected []string) []string {
+	isSelected := make(map[string]bool, len(selected))
+	for _, member := range selected {
+		isSelected[member] = true
 	}
-	candidates := make([]candidate, 0, len(of.members))
-	for member, on := range of.members {
-		if !isChosen[member] {
+	candidates := make([]candidate, 0, len(g.members))
+	for member, host := range g.members {
+		if !isSelected[member] {
 			candidates = append(candidates, candidate{
-				name: member, usable: s.index.isUsable(on), nearness: s.position.To(on.spec.Zone),
+				name: member, usable: s.index.isUsable(host), nearness: s.position.To(host.spec.Zone),
 				weight: xxhash.Sum64String(s.position.Zone + "\x00" + member),
 			})
 		}
 	}
-	of.examined += len(candidates)
+	g.examined += len(candidates)
 	slices.SortFunc(candidates, byPreference)
-	return mixed(candidates)
+	return interleaveZones(candidates)
 }
 
 func byPreference(left, right candidate) int {
@@ -317,9 +310,9 @@
 	return cmp.Or(cmp.Compare(left.nearness, right.nearness), cmp.Compare(right.weight, left.weight), cmp.Compare(left.name, right.name))
 }
 
-// mixed lists sorted candidates with one from outside of the node's zone after each few inside,
-// while there are usable ones of both.
-func mixed(sorted []candidate) []string {
+// interleaveZones inserts a candidate from outside the node's zone at each otherZoneInterval, as long
+// as there are usable candidates of both kinds.
+func interleaveZones(sorted []candidate) []string {
 	firstOutside := 0
 	for firstOutside < len(sorted) && sorted[firstOutside].usable && sorted[firstOutside].nearness == places.SameZone {
 		firstOutside++
@@ -327,7 +320,7 @@
 	inside, outside := 0, firstOutside
 	names := make([]string, 0, len(sorted))
 	for inside < firstOutside || outside < len(sorted) {
-		isTurn := len(names)%outsideShare == outsideShare-1
+		isTurn := len(names)%otherZoneInterval == otherZoneInterval-1
 		takesOutside := outside < len(sorted) && (inside == firstOutside || sorted[outside].usable && isTurn)
 		if takesOutside {
 			names = append(names, sorted[outside].name)
@@ -340,11 +333,11 @@
 	return names
 }
 
-// Common returns those of some changes that every node learns of.
+// Common returns the changes that are sent to every node.
 func Common(events []*wirepb.WatchEvent) []*wirepb.WatchEvent {
 	var common []*wirepb.WatchEvent
 	for _, event := range events {
-		if !isSubject(v1.Kind(event.GetObject().GetKind())) {
+		if !isSubsetKind(v1.Kind(event.GetObject().GetKind())) {
 			common = append(common, event)
 		}
 	}
