--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -11,8 +11,8 @@
 	"github.com/weldline/weldline/internal/wire"
 )
 
-// adminHandler serves /metrics, /healthz (the process works) and /readyz (it
-// should get requests).
+// adminHandler serves /metrics, /healthz (the process is alive) and /readyz (the node accepts
+// requests).
 func (n *Node) adminHandler() http.Handler {
 	routes := mux.NewRouter()
 	routes.Handle("/metrics", promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{}))
@@ -48,7 +48,7 @@
 	return ""
 }
 
-// trafficCollector exports the traffic between processes by kind of message.
+// trafficCollector exports the traffic with other processes by kind of message.
 type trafficCollector struct {
 	counters *wire.Counters
 	bytes    *prometheus.Desc
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// stopReserve is left of a planned stop for ending what still runs.
-	stopReserve     = 600 * time.Millisecond
-	stopPollPeriod  = 20 * time.Millisecond
-	leaveDelayShare = 2
+	// forcedStopTime is the part of the stop timeout reserved for ending the remaining requests.
+	forcedStopTime    = 600 * time.Millisecond
+	stopPollPeriod    = 20 * time.Millisecond
+	leaveDelayDivisor = 2
 )
 
-// ingressRole is the ingress role: the callers' proxy and its reports.
+// ingressRole is the ingress role: the proxy for callers, and its reports.
 type ingressRole struct {
 	node    *Node
 	view    *nodeview.View
@@ -40,7 +40,7 @@
 	settings := node.settings
 	created.reports = newReporter(settings.Ingress.ReportInterval, created.nodeReport)
 	identity := node.identity()
-	// It gives no orders to machines: it needs those that its requests may go to.
+	// An ingress sends no orders to machines and only needs those that may serve its requests.
 	identity.Hello.Subset = true
 	created.client = feed.NewClient(settings.Formation.Addresses(), identity, created.view, node.logger)
 	created.client.Discover(created.controlNodes)
@@ -53,14 +53,14 @@
 			Ratio: settings.Ingress.RetryRatio, Slack: settings.Ingress.RetrySlack, Window: settings.Ingress.RetryWindow,
 		},
 		Quota: settings.Quota.Bound(), Sharing: quota.Sharing(settings.Quota.Sharing),
-		Nudge: created.reports.nudge, Propose: created.client.Propose,
+		Nudge: created.reports.trigger, Propose: created.client.Propose,
 		Permit: created.client.Permit,
 	})
 	created.server = ingress.NewServer(created.ingress, created.view, node.logger)
 	return created
 }
 
-// controlNodes are the control nodes known by now besides the first seeds.
+// controlNodes returns the control nodes to connect to: the seeds and those in the newest roster.
 func (r *ingressRole) controlNodes() []feed.Upstream {
 	return append(feed.Upstreams(r.node.seeds.Load().Addresses()), feed.UpstreamsOf(r.view.Digest().GetRoster())...)
 }
@@ -85,12 +85,12 @@
 	return r.node.serveFeed(ctx, r.node.settings.Ingress.Listen, r.server.Serve)
 }
 
-// drain stops without cutting anything: callers are sent elsewhere first, and
-// what is in flight is finished as far as time allows.
+// drain stops the role. It first lets callers move to other nodes, then waits for the requests in
+// flight and ends those left at the timeout.
 func (r *ingressRole) drain() {
 	started := time.Now()
-	limit := r.node.settings.Ingress.StopTimeout - stopReserve
-	leave := min(r.node.settings.Ingress.LeaveDelay, limit/leaveDelayShare)
+	limit := r.node.settings.Ingress.StopTimeout - forcedStopTime
+	leave := min(r.node.settings.Ingress.LeaveDelay, limit/leaveDelayDivisor)
 	r.node.logger.Info("ingress_draining", "in_flight", r.ingress.InFlight())
 	r.ingress.Stop()
 	time.Sleep(leave)
@@ -104,7 +104,7 @@
 	}
 	r.node.logger.Warn("drain_timed_out", "in_flight", left)
 	r.ingress.End()
-	for r.ingress.InFlight() > 0 && time.Since(started) < limit+stopReserve/2 {
+	for r.ingress.InFlight() > 0 && time.Since(started) < limit+forcedStopTime/2 {
 		time.Sleep(stopPollPeriod)
 	}
 }
--- a/internal/node/main.go
+++ b/internal/node/main.go
@@ -16,13 +16,12 @@
 	"github.com/weldline/weldline/internal/settings"
 )
 
-// Exit codes.
 const (
 	exitFailure = 1
 	exitInvalid = 2
 )
 
-// ExitCode is what a process exits with after an error.
+// ExitCode returns the exit code of a process for an error.
 func ExitCode(err error) int {
 	switch {
 	case err == nil:
@@ -33,20 +32,20 @@
 	return exitFailure
 }
 
-// logPatience is how long a stopping process waits for its last lines.
-const logPatience = 200 * time.Millisecond
+// logCloseTimeout is how long a stopping process waits for its log to be written.
+const logCloseTimeout = 200 * time.Millisecond
 
-// NewLog returns the log of a node: JSON lines on standard output.
+// NewLog returns a node's log, which writes JSON lines to standard output.
 func NewLog(configuration *settings.Settings) *logging.Log {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(configuration.LogLevel)) // Validated with the settings.
 	return logging.New(os.Stdout, level)
 }
 
-// Main runs a node by the settings that load returns, until it is told to stop,
-// and returns the exit code. SIGHUP makes it read the settings again.
+// Main runs a node until it receives SIGINT or SIGTERM and returns the exit code. SIGHUP reloads the
+// settings.
 func Main(load func() (*settings.Settings, error), extensions Extensions) int {
-	keepHeapSmall()
+	limitHeapGrowth()
 	err := RunUntilStopped(load, extensions)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "weldline: "+fault.Describe(err))
@@ -54,27 +53,25 @@
 	return ExitCode(err)
 }
 
-// heapGrowthPercent is by how much the heap may grow beyond what lives before it is
-// collected. A node keeps a few megabytes and makes little garbage a second, so
-// memory is the dearer of the two.
+// heapGrowthPercent is the default of GOGC. A node has a small heap and allocates little, so memory is
+// worth more than the time for garbage collection.
 const heapGrowthPercent = 40
 
-// keepHeapSmall sets how often garbage is collected, unless the environment does.
-func keepHeapSmall() {
+// limitHeapGrowth sets the GC percentage, unless GOGC is set.
+func limitHeapGrowth() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(heapGrowthPercent)
 	}
 }
 
-// RunUntilStopped runs a node by the settings that load returns, until it is
-// told to stop.
+// RunUntilStopped runs a node until it receives SIGINT or SIGTERM.
 func RunUntilStopped(load func() (*settings.Settings, error), extensions Extensions) error {
 	configuration, err := load()
 	if err != nil {
 		return err
 	}
 	log := NewLog(configuration)
-	defer log.Close(logPatience)
+	defer log.Close(logCloseTimeout)
 	logger := log.With("node", configuration.Node)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -85,34 +82,33 @@
 		return err
 	}
 	process.Register(log)
-	go process.followSettings(ctx, hangups, load)
+	go process.watchSettings(ctx, hangups, load)
 	return process.Run(ctx)
 }
 
-// settingsInterval is how often the settings are read without a signal.
+// settingsInterval is the interval of reading the settings without a signal.
 const settingsInterval = 5 * time.Second
 
-// followSettings takes over new seeds when the settings have changed, which may
-// come with SIGHUP or without. What else has changed takes effect with the next
-// start.
-func (n *Node) followSettings(ctx context.Context, hangups <-chan os.Signal, load func() (*settings.Settings, error)) {
+// watchSettings reloads the settings on SIGHUP and at intervals. Only changed seeds take effect without
+// a restart.
+func (n *Node) watchSettings(ctx context.Context, hangups <-chan os.Signal, load func() (*settings.Settings, error)) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		case <-hangups:
-			asked = true
+			signaled = true
 		}
 		configuration, err := load()
 		if err != nil {
 			n.logger.Warn("settings_not_reloaded", "field", fault.FieldOf(err), "error", fault.Message(err))
 			continue
 		}
-		if !asked && slices.Equal(configuration.Formation.Seeds, n.seeds.Load().Seeds) {
+		if !signaled && slices.Equal(configuration.Formation.Seeds, n.seeds.Load().Seeds) {
 			continue
 		}
 		n.seeds.Store(&configuration.Formation)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,15 +35,14 @@
 	shutdownTimeout = 5 * time.Second
 )
 
-// Node is a running process.
 type Node struct {
 	settings *settings.Settings
 	logger   *slog.Logger
 	registry *prometheus.Registry
 	counters *wire.Counters
-	// keys is nil where connections are in plain text.
+	// keys is nil if connections are not encrypted.
 	keys *keys.Store
-	// incarnation orders the lives of a node.
+	// incarnation increases with each start of the node.
 	incarnation uint64
 	dataDir     *datadir.Dir
 	disk        *storage.Disk
@@ -53,7 +52,7 @@
 	ingress     *ingressRole
 	extensions  Extensions
 
-	// seeds are those of the settings as last read.
+	// seeds are the formation settings last read.
 	seeds atomic.Pointer[settings.FormationSettings]
 
 	workers sync.WaitGroup
@@ -61,18 +60,17 @@
 	stopped atomic.Bool
 }
 
-// Extensions are the parts of a node that know the surroundings' protocols.
+// Extensions are the parts of a node that are specific to the protocols of its environment.
 type Extensions struct {
-	// ControlHandler serves the control role's API where the control nodes
-	// find each other by formation.
+	// ControlHandler, if set, replaces the API of the control role.
 	ControlHandler func(plane *control.Node, logger *slog.Logger) http.Handler
-	// Engines reaches the machines that register by themselves.
+	// Engines communicates with self-registering machines.
 	Engines control.Engines
-	// Translator knows the headers of the ingress role's callers and machines.
+	// Translator translates the headers of the ingress role's callers and machines.
 	Translator ingress.Translator
 }
 
-// New prepares a node; nothing listens yet.
+// New prepares a node without listening yet.
 func New(configuration *settings.Settings, logger *slog.Logger, extensions Extensions) (*Node, error) {
 	created := &Node{
 		extensions: extensions,
@@ -105,20 +103,20 @@
 	}
 	if configuration.Has(settings.RoleIngress) {
 		if extensions.Translator == nil {
-			return nil, fault.InvalidField("roles", "this program serves no ingress")
+			return nil, fault.InvalidField("roles", "this program does not support the ingress role")
 		}
 		created.ingress = newIngressRole(created)
 	}
 	return created, nil
 }
 
-// Register adds metrics to those of the node.
+// Register adds a collector to the node's metrics.
 func (n *Node) Register(collector prometheus.Collector) {
 	n.registry.MustRegister(collector)
 }
 
-// openDataDir opens the data folder; where the nodes find each other by
-// formation, it gives an empty one an identity.
+// openDataDir opens the data directory. If the cluster is formed from seeds, it creates an identity in
+// an empty one.
 func (n *Node) openDataDir() (*datadir.Dir, datadir.Identity, error) {
 	if !n.settings.Formation.Forms() {
 		return datadir.Open(n.settings.DataDir, n.settings.Cluster, n.settings.Control.ID)
@@ -176,8 +174,8 @@
 	}
 }
 
-// Run starts the roles and returns when ctx ends and all have stopped, or
-// when one of them fails.
+// Run starts the roles. It returns after all of them have stopped, because ctx ended or one of them
+// failed.
 func (n *Node) Run(ctx context.Context) error {
 	roles, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -189,7 +187,7 @@
 	if n.control != nil {
 		n.workers.Go(func() { logTraffic(roles, n.counters, n.logger) })
 	}
-	n.workers.Go(func() { clock.Watch(roles, n.logger, n.woke) })
+	n.workers.Go(func() { clock.Watch(roles, n.logger, n.handleResume) })
 	n.logger.Info("node_started", "roles", n.settings.Roles)
 	var failure error
 	select {
@@ -211,9 +209,9 @@
 	return failure
 }
 
-// woke puts out of date what was learned before a sleep of this machine. What the control role
-// holds for a time is measured by a clock that counts sleeps.
-func (n *Node) woke(time.Duration) {
+// handleResume invalidates what the roles learned before the machine was suspended. The control role
+// needs no notice, since its clock includes time in suspension.
+func (n *Node) handleResume(time.Duration) {
 	if n.ingress != nil {
 		n.ingress.client.Woke()
 		n.ingress.ingress.Woke()
@@ -226,8 +224,8 @@
 	}
 }
 
-// drain lets the router finish what is in flight while the control role and
-// the feed still work: answers have to be recorded.
+// drain lets the router finish requests while the control role and the feed still run, which are needed
+// to record the results.
 func (n *Node) drain() {
 	if n.ingress != nil {
 		n.ingress.drain()
@@ -283,8 +281,8 @@
 	return nil
 }
 
-// listenAddress is where the control role listens: as set, or its address
-// among the members.
+// listenAddress returns the control role's configured listen address, or else its address in the list
+// of members.
 func (n *Node) listenAddress() string {
 	if n.settings.Control.Listen != "" {
 		return n.settings.Control.Listen
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -6,8 +6,8 @@
 	"github.com/weldline/weldline/internal/feed"
 )
 
-// relay is the relay role: it passes the control plane's feed on to the
-// nodes of a zone, and their reports and proposals back.
+// relay is the relay role: it forwards the control plane's feed to the nodes of a zone, and their
+// reports and proposals to the control plane.
 type relay struct {
 	node   *Node
 	cache  *feed.Cache
--- a/internal/node/reporter.go
+++ b/internal/node/reporter.go
@@ -8,27 +8,27 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// minimumReportGap bounds how often nudges lead to reports.
+// minimumReportGap is the minimum time between reports.
 const minimumReportGap = 5 * time.Millisecond
 
-// reporter sends a node's state upwards: regularly, when nudged, and over each
-// new connection.
+// reporter sends a node's reports to the control plane: at intervals, when triggered, and after each
+// reconnect.
 type reporter struct {
 	client   *feed.Client
 	interval time.Duration
-	nudges   chan struct{}
-	// report returns the state at a time.
+	triggers chan struct{}
+	// report returns the report of a time.
 	report func(now time.Time) *wirepb.NodeReport
 }
 
 func newReporter(interval time.Duration, report func(now time.Time) *wirepb.NodeReport) *reporter {
-	return &reporter{interval: interval, nudges: make(chan struct{}, 1), report: report}
+	return &reporter{interval: interval, triggers: make(chan struct{}, 1), report: report}
 }
 
-// nudge asks for a report soon.
-func (r *reporter) nudge() {
+// trigger requests a report without waiting for the interval.
+func (r *reporter) trigger() {
 	select {
-	case r.nudges <- struct{}{}:
+	case r.triggers <- struct{}{}:
 	default:
 	}
 }
@@ -48,7 +48,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-r.nudges:
+		case <-r.triggers:
 		case <-connected:
 		}
 	}
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -12,15 +12,14 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// router is the router role: the callers' gateway, the agent of the machines
-// nearby, and the reports of both.
+// router is the router role: the gateway for callers, the agent for nearby machines, and the reports of
+// both.
 type router struct {
 	node    *Node
 	view    *nodeview.View
 	client  *feed.Client
 	gateway *gateway.Gateway
 	agent   *agent.Agent
-	// reports sends the reports of both.
 	reports *reporter
 
 	sequence uint64
@@ -36,9 +35,9 @@
 	created.gateway = gateway.New(gateway.Options{
 		Node: settings.Node, View: created.view, Logger: node.logger, Metrics: gateway.NewMetrics(node.registry),
 		Propose: created.client.Propose, MaxWaiting: settings.Router.MaxWaiting,
-		MaxBodyBytes: settings.Router.MaxBodyBytes, Nudge: created.reports.nudge,
+		MaxBodyBytes: settings.Router.MaxBodyBytes, Nudge: created.reports.trigger,
 	})
-	created.agent = agent.New(settings.Node, settings.Zone, created.view, node.logger, settings.Router.PollInterval, created.reports.nudge)
+	created.agent = agent.New(settings.Node, settings.Zone, created.view, node.logger, settings.Router.PollInterval, created.reports.trigger)
 	return created
 }
 
@@ -52,7 +51,7 @@
 }
 
 func (r *router) drain(ctx context.Context) bool {
-	r.reports.nudge()
+	r.reports.trigger()
 	return r.gateway.Drain(ctx)
 }
 
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -11,15 +11,13 @@
 )
 
 const (
-	// trafficLogInterval is how often a control node tells what it exchanged: each stream
-	// between processes has a control node or a relay at one end, so these lines add up to all
-	// that is paid for.
+	// trafficLogInterval is the interval of the traffic log lines of control nodes.
 	trafficLogInterval = 10 * time.Second
-	// trafficKindsLogged bounds a line; what the rest adds is little.
-	trafficKindsLogged = 24
+	// maxTrafficKindsLogged bounds the length of a log line.
+	maxTrafficKindsLogged = 24
 )
 
-// logTraffic tells what was exchanged with other processes in each interval until ctx ends.
+// logTraffic logs the traffic with other processes in each interval until ctx ends.
 func logTraffic(ctx context.Context, counters *wire.Counters, logger *slog.Logger) {
 	ticker := time.NewTicker(trafficLogInterval)
 	defer ticker.Stop()
@@ -33,14 +31,14 @@
 		}
 		now, network := counters.Traffic(), counters.Network()
 		logger.Info("wire_traffic", "span_s", trafficLogInterval.Seconds(),
-			slog.Group("network", networkSince(networkBefore, network)...), slog.Group("bytes", largestSince(before, now)...))
+			slog.Group("network", networkSince(networkBefore, network)...), slog.Group("bytes", trafficSince(before, now)...))
 		before, networkBefore = now, network
 	}
 }
 
-// largestSince returns how many bytes went each way by nearness and kind since the counts
-// before, the largest first.
-func largestSince(before, now []wire.KindTraffic) []any {
+// trafficSince returns the bytes sent and received since earlier counts, by nearness and kind, in
+// decreasing order.
+func trafficSince(before, now []wire.KindTraffic) []any {
 	spans := make([]wire.KindTraffic, 0, len(now))
 	for _, traffic := range now {
 		for _, earlier := range before {
@@ -57,15 +55,15 @@
 		return cmp.Compare(right.BytesSent+right.BytesReceived, left.BytesSent+left.BytesReceived)
 	})
 	var attributes []any
-	for _, traffic := range spans[:min(len(spans), trafficKindsLogged)] {
+	for _, traffic := range spans[:min(len(spans), maxTrafficKindsLogged)] {
 		attributes = append(attributes, slog.Group(traffic.Nearness.String()+"."+traffic.Kind,
 			"sent", traffic.BytesSent, "received", traffic.BytesReceived))
 	}
 	return attributes
 }
 
-// networkSince returns how many bytes went over the network each way by nearness since the counts
-// before, which list the same.
+// networkSince returns the bytes sent and received over the network since earlier counts, by nearness.
+// Both counts must list the same entries.
 func networkSince(before, now []wire.NetworkTraffic) []any {
 	var attributes []any
 	for position, traffic := range now {
