--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -65,7 +65,7 @@
 	registered controller.RegisteredCache
 
 	mutex sync.Mutex
-	core  *orders.Core
+	core  *orders.Planner
 	pacer *orders.Pacer
 	// taken is the report that the core took last, by machine.
 	taken map[string]takenReport
@@ -81,7 +81,7 @@
 	running, cancel := context.WithCancel(ctx)
 	created := &fleet{
 		node: node, term: term, since: node.now(), cancel: cancel, nudge: make(chan struct{}, 1),
-		core: orders.NewCore(pacer), pacer: pacer, taken: map[string]takenReport{}, granted: map[string]time.Duration{},
+		core: orders.NewPlanner(pacer), pacer: pacer, taken: map[string]takenReport{}, granted: map[string]time.Duration{},
 		registered: controller.RegisteredCache{Places: node.settings.Position().Map},
 	}
 	if node.engines != nil {
@@ -239,7 +239,7 @@
 			continue
 		}
 		f.taken[name] = report
-		f.core.Take(f.node.now(), name, reportOf(entry.Report))
+		f.core.AddReport(f.node.now(), name, reportOf(entry.Report))
 	}
 	f.core.Forget(listed)
 }
@@ -343,7 +343,7 @@
 		f.core.PollFailed(f.node.now(), machine)
 		return
 	}
-	f.core.Take(f.node.now(), machine, report)
+	f.core.AddReport(f.node.now(), machine, report)
 	f.node.wakeLeader()
 }
 
--- a/internal/control/fleetorders.go
+++ b/internal/control/fleetorders.go
@@ -52,7 +52,7 @@
 		"adapter", order.Adapter, "expected", order.Expected, "fence", f.term, "outcome", outcome.String(),
 		"took_ms", (f.node.now() - started).Milliseconds())
 	f.mutex.Lock()
-	f.core.Sent(f.node.now(), order, outcome)
+	f.core.RecordOutcome(f.node.now(), order, outcome)
 	f.mutex.Unlock()
 	if order.Adapter != "" {
 		time.AfterFunc(orders.AdapterSettles, f.node.wakeLeader)
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -41,7 +41,7 @@
 )
 
 // Planner decides which orders to send in one term of leadership. It is not safe for concurrent use.
-type Core struct {
+type Planner struct {
 	engines map[string]*engine
 	pacer   *Pacer
 	// stateBuilds counts the calls of buildState, for tests.
@@ -49,18 +49,18 @@
 }
 
 // NewPlanner returns a planner without known engines.
-func NewCore(pacer *Pacer) *Core {
-	return &Core{engines: map[string]*engine{}, pacer: pacer}
+func NewPlanner(pacer *Pacer) *Planner {
+	return &Planner{engines: map[string]*engine{}, pacer: pacer}
 }
 
 // engineForUpdate returns an engine and invalidates its cached state.
-func (c *Core) engineForUpdate(machine string) *engine {
+func (c *Planner) engineForUpdate(machine string) *engine {
 	e := c.engine(machine)
 	e.state = nil
 	return e
 }
 
-func (c *Core) engine(machine string) *engine {
+func (c *Planner) engine(machine string) *engine {
 	e := c.engines[machine]
 	if e == nil {
 		e = &engine{
@@ -72,7 +72,7 @@
 }
 
 // Forget removes all engines except the listed ones.
-func (c *Core) Forget(listed map[string]bool) {
+func (c *Planner) Forget(listed map[string]bool) {
 	for name := range c.engines {
 		if !listed[name] {
 			delete(c.engines, name)
@@ -81,7 +81,7 @@
 }
 
 // AddReport updates the state of an engine from a report.
-func (c *Core) Take(now time.Duration, machine string, report Report) {
+func (c *Planner) AddReport(now time.Duration, machine string, report Report) {
 	e := c.engineForUpdate(machine)
 	if report.Polled {
 		e.polling = false
@@ -104,7 +104,7 @@
 }
 
 // PollFailed records that an engine did not answer a poll.
-func (c *Core) PollFailed(now time.Duration, machine string) {
+func (c *Planner) PollFailed(now time.Duration, machine string) {
 	e := c.engine(machine)
 	e.polling = false
 	e.pollDue = now + pollRetry
@@ -121,7 +121,7 @@
 
 // Plan returns the orders and polls that are due. The caller must report the outcome of each to
 // RecordOutcome, AddReport or PollFailed.
-func (c *Core) Plan(now time.Duration, desired []Wanted) Plan {
+func (c *Planner) Plan(now time.Duration, desired []Wanted) Plan {
 	var plan Plan
 	sortByWork(desired)
 	firstPolls := c.pendingFirstPolls()
@@ -165,7 +165,7 @@
 }
 
 // pendingFirstPolls counts the polls in progress of engines that have not reported yet.
-func (c *Core) pendingFirstPolls() int {
+func (c *Planner) pendingFirstPolls() int {
 	count := 0
 	for _, e := range c.engines {
 		if e.polling && !e.reported {
@@ -198,7 +198,7 @@
 }
 
 // RecordOutcome updates the state of an engine after an order was sent.
-func (c *Core) Sent(now time.Duration, order Order, outcome Outcome) {
+func (c *Planner) RecordOutcome(now time.Duration, order Order, outcome Outcome) {
 	e := c.engineForUpdate(order.Machine)
 	e.sending = false
 	if outcome != Accepted {
@@ -243,7 +243,7 @@
 
 // State returns the known state of an engine, and false if it has not reported. The state is cached
 // until the next change and must not be modified.
-func (c *Core) State(now time.Duration, machine string) (State, bool) {
+func (c *Planner) State(now time.Duration, machine string) (State, bool) {
 	e := c.engines[machine]
 	if e == nil || !e.reported {
 		return State{}, false
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -21,7 +21,7 @@
 func TestPlanner(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		pacer := NewPacer()
-		planner := NewCore(pacer)
+		planner := NewPlanner(pacer)
 		now := time.Duration(0)
 		desired := map[string]Wanted{}
 		var unanswered []Order
@@ -41,7 +41,7 @@
 				return ""
 			case "report":
 				machine, report := readReport(t, d)
-				planner.Take(now, machine, report)
+				planner.AddReport(now, machine, report)
 				return describe(now, planner, machine)
 			case "want":
 				entry := readWanted(t, d)
@@ -59,7 +59,7 @@
 				var text string
 				d.ScanArgs(t, "outcome", &text)
 				for _, order := range unanswered {
-					planner.Sent(now, order, outcomeNamed(t, text))
+					planner.RecordOutcome(now, order, outcomeNamed(t, text))
 				}
 				unanswered = nil
 				return ""
@@ -121,7 +121,7 @@
 	return entry
 }
 
-func describe(now time.Duration, planner *Core, machine string) string {
+func describe(now time.Duration, planner *Planner, machine string) string {
 	state, known := planner.State(now, machine)
 	if !known {
 		return "nothing known"
@@ -189,7 +189,7 @@
 // A new leader of a large fleet must not poll all engines at once.
 func TestFirstPollsAreLimited(t *testing.T) {
 	const engines = 1000
-	planner := NewCore(NewPacer())
+	planner := NewPlanner(NewPacer())
 	var desired []Wanted
 	for number := range engines {
 		desired = append(desired, Wanted{Machine: fmt.Sprintf("m%04d", number)})
@@ -209,7 +209,7 @@
 				planner.PollFailed(0, machine) // A failed poll is retried later and does not block the others.
 				continue
 			}
-			planner.Take(0, machine, Report{Polled: true})
+			planner.AddReport(0, machine, Report{Polled: true})
 		}
 		polls = planner.Plan(0, desired).Polls
 	}
--- a/internal/orders/state_test.go
+++ b/internal/orders/state_test.go
@@ -9,10 +9,10 @@
 // The cost of reading all states in a pass must depend on the changes and not on the number of engines.
 func TestStateIsBuiltOncePerChange(t *testing.T) {
 	buildsAfterChange := func(engines int) int {
-		planner := NewCore(NewPacer())
+		planner := NewPlanner(NewPacer())
 		name := func(number int) string { return fmt.Sprint("m", number) }
 		for number := range engines {
-			planner.Take(0, name(number), Report{Models: map[string][]string{"model": {"a"}}})
+			planner.AddReport(0, name(number), Report{Models: map[string][]string{"model": {"a"}}})
 		}
 		readStates := func(now time.Duration) {
 			for range 4 {
@@ -25,7 +25,7 @@
 		}
 		readStates(10 * time.Millisecond)
 		before := planner.stateBuilds
-		planner.Take(20*time.Millisecond, name(1), Report{Models: map[string][]string{"model": {"a", "b"}}})
+		planner.AddReport(20*time.Millisecond, name(1), Report{Models: map[string][]string{"model": {"a", "b"}}})
 		readStates(30 * time.Millisecond)
 		if state, _ := planner.State(30*time.Millisecond, name(1)); len(state.Models["model"]) != 1 {
 			t.Fatalf("engine has models %v", state.Models) // Reports may be old, see adapterReportLag.
@@ -39,13 +39,13 @@
 
 // The cached state must be replaced after every change.
 func TestStateReflectsEveryChange(t *testing.T) {
-	planner := NewCore(NewPacer())
+	planner := NewPlanner(NewPacer())
 	state := func(now time.Duration) State {
 		held, _ := planner.State(now, "m")
 		return held
 	}
 	report := Report{Models: map[string][]string{"model": nil}, Polled: true}
-	planner.Take(0, "m", report)
+	planner.AddReport(0, "m", report)
 	if held := state(0); held.Settled || held.Busy {
 		t.Errorf("after the first report: %+v", held)
 	}
@@ -54,7 +54,7 @@
 	if held := state(time.Millisecond); len(plan.Orders) != 1 || !held.Busy || len(held.Coming["model"]) != 1 {
 		t.Fatalf("while the order is being sent: %+v", held)
 	}
-	planner.Sent(2*time.Millisecond, plan.Orders[0], Accepted)
+	planner.RecordOutcome(2*time.Millisecond, plan.Orders[0], Accepted)
 	if held := state(2 * time.Millisecond); held.Busy || len(held.Coming["model"]) != 1 {
 		t.Errorf("after the order was accepted: %+v", held)
 	}
@@ -62,7 +62,7 @@
 	if held := state(2 * AdapterSettles); len(held.Coming) != 0 || len(held.Models["model"]) != 1 {
 		t.Errorf("after the adapter was loaded: %+v", held)
 	}
-	planner.Take(2*time.Second, "m", Report{Models: map[string][]string{"model": {"a"}}})
+	planner.AddReport(2*time.Second, "m", Report{Models: map[string][]string{"model": {"a"}}})
 	if held := state(2 * time.Second); !held.Settled {
 		t.Errorf("after two reports: %+v", held)
 	}
