--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -305,7 +305,7 @@
 	}
 	free := f.freeOf(names)
 	for position := range wanted {
-		wanted[position].Held = !free[wanted[position].Machine]
+		wanted[position].Blocked = !free[wanted[position].Machine]
 	}
 	f.mutex.Lock()
 	plan := f.core.Plan(f.node.now(), wanted)
@@ -323,10 +323,10 @@
 }
 
 // wanted returns what the engines should hold.
-func (f *fleet) wanted(registered *controller.Registered) []orders.Wanted {
+func (f *fleet) wanted(registered *controller.Registered) []orders.DesiredState {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return registered.Wanted(f.stateOf(), f.node.reports.AdapterDemand(f.node.now()), f.work)
+	return registered.DesiredStates(f.stateOf(), f.node.reports.AdapterDemand(f.node.now()), f.work)
 }
 
 func (f *fleet) poll(ctx context.Context, machine, endpoint string) {
--- a/internal/controller/pass_bench_test.go
+++ b/internal/controller/pass_bench_test.go
@@ -182,7 +182,9 @@
 				}
 			}},
 			{"decide", func() { fleet.controller.DecideReplicas(time.Minute, time.Unix(60, 0)) }},
-			{"wanted", func() { registered.Wanted(fleet.stateOf, reports.AdapterDemand(time.Minute), fleet.controller.Work()) }},
+			{"wanted", func() {
+				registered.DesiredStates(fleet.stateOf, reports.AdapterDemand(time.Minute), fleet.controller.Work())
+			}},
 			{"digest", func() {
 				fleet.controller.lastDigest = 0
 				fleet.controller.Digest(time.Minute, 1)
--- a/internal/controller/registered.go
+++ b/internal/controller/registered.go
@@ -253,15 +253,15 @@
 
 // DesiredStates returns the desired states of the engines of live machines. Work is the rate of work by
 // version, which determines the order of loads.
-func (r *Registered) Wanted(engineState StateOf, demand []AdapterDemand, work map[string]float64) []orders.Wanted {
-	var desired []orders.Wanted
+func (r *Registered) DesiredStates(engineState StateOf, demand []AdapterDemand, work map[string]float64) []orders.DesiredState {
+	var desired []orders.DesiredState
 	adapters := r.adapterTasks(engineState, demand, work)
 	for _, name := range r.engineNames() {
 		machine := r.Machines[name]
 		if machine.Status.Phase != v1.MachineLive {
 			continue
 		}
-		entry := orders.Wanted{Machine: name, Endpoint: machine.Spec.Endpoint, Adapters: adapters[name]}
+		entry := orders.DesiredState{Machine: name, Endpoint: machine.Spec.Endpoint, Adapters: adapters[name]}
 		for _, replica := range sortedReplicas(r.transitioning(name)) {
 			task := orders.Task{
 				Model: replica.spec.Checkpoint, FromStore: replica.spec.Tier == string(placement.TierRemote),
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -121,7 +121,7 @@
 
 // Plan returns the orders and polls that are due. The caller must report the outcome of each to
 // RecordOutcome, AddReport or PollFailed.
-func (c *Planner) Plan(now time.Duration, desired []Wanted) Plan {
+func (c *Planner) Plan(now time.Duration, desired []DesiredState) Plan {
 	var plan Plan
 	sortByWork(desired)
 	firstPolls := c.pendingFirstPolls()
@@ -132,7 +132,7 @@
 			e.polling = true
 			plan.Polls = append(plan.Polls, entry.Machine)
 		}
-		if !e.reported || entry.Held || now < e.pauseUntil {
+		if !e.reported || entry.Blocked || now < e.pauseUntil {
 			continue
 		}
 		e.completeAdapters(now)
@@ -177,7 +177,7 @@
 
 // sortByWork sorts the loads of each machine and the machines by decreasing work, so that the rate
 // limit of the weight store goes to the models in highest demand.
-func sortByWork(desired []Wanted) {
+func sortByWork(desired []DesiredState) {
 	for _, entry := range desired {
 		sort.SliceStable(entry.Load, func(i, j int) bool { return entry.Load[i].Work > entry.Load[j].Work })
 	}
@@ -190,7 +190,7 @@
 	})
 }
 
-func (w Wanted) maxWork() float64 {
+func (w DesiredState) maxWork() float64 {
 	if len(w.Load) == 0 {
 		return 0
 	}
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -23,7 +23,7 @@
 		pacer := NewPacer()
 		planner := NewPlanner(pacer)
 		now := time.Duration(0)
-		desired := map[string]Wanted{}
+		desired := map[string]DesiredState{}
 		var unanswered []Order
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
@@ -48,7 +48,7 @@
 				desired[entry.Machine] = entry
 				return ""
 			case "plan":
-				var all []Wanted
+				var all []DesiredState
 				for _, entry := range desired {
 					all = append(all, entry)
 				}
@@ -95,8 +95,8 @@
 	return machine, report
 }
 
-func readWanted(t *testing.T, d *datadriven.TestData) Wanted {
-	entry := Wanted{}
+func readWanted(t *testing.T, d *datadriven.TestData) DesiredState {
+	entry := DesiredState{}
 	d.ScanArgs(t, "machine", &entry.Machine)
 	for _, line := range strings.Split(d.Input, "\n") {
 		words := strings.Fields(line)
@@ -190,9 +190,9 @@
 func TestFirstPollsAreLimited(t *testing.T) {
 	const engines = 1000
 	planner := NewPlanner(NewPacer())
-	var desired []Wanted
+	var desired []DesiredState
 	for number := range engines {
-		desired = append(desired, Wanted{Machine: fmt.Sprintf("m%04d", number)})
+		desired = append(desired, DesiredState{Machine: fmt.Sprintf("m%04d", number)})
 	}
 	polled := map[string]bool{}
 	polls := planner.Plan(0, desired).Polls
--- a/internal/orders/engine.go
+++ b/internal/orders/engine.go
@@ -129,7 +129,7 @@
 }
 
 // nextModelOrder returns the next model order. Unloads precede loads, which may need their memory.
-func (e *engine) nextModelOrder(desired Wanted) (Order, bool) {
+func (e *engine) nextModelOrder(desired DesiredState) (Order, bool) {
 	if e.sending || e.inProgress != nil {
 		return Order{}, false
 	}
@@ -148,7 +148,7 @@
 	return Order{}, false
 }
 
-func (e *engine) nextAdapterOrders(desired Wanted) []Order {
+func (e *engine) nextAdapterOrders(desired DesiredState) []Order {
 	// Engines accept no adapter orders during a model order.
 	if e.inProgress != nil || len(e.adapters) >= maxAdapterOrders {
 		return nil
--- a/internal/orders/state_test.go
+++ b/internal/orders/state_test.go
@@ -49,7 +49,7 @@
 	if held := state(0); held.Settled || held.Busy {
 		t.Errorf("after the first report: %+v", held)
 	}
-	desired := []Wanted{{Machine: "m", Adapters: []AdapterTask{{Model: "model", Adapter: "a"}}}}
+	desired := []DesiredState{{Machine: "m", Adapters: []AdapterTask{{Model: "model", Adapter: "a"}}}}
 	plan := planner.Plan(time.Millisecond, desired)
 	if held := state(time.Millisecond); len(plan.Orders) != 1 || !held.Busy || len(held.Coming["model"]) != 1 {
 		t.Fatalf("while the order is being sent: %+v", held)
--- a/internal/orders/types.go
+++ b/internal/orders/types.go
@@ -62,7 +62,7 @@
 }
 
 // DesiredState is the state of an engine that the replica records call for.
-type Wanted struct {
+type DesiredState struct {
 	Machine  string
 	Endpoint string
 	// Load and Unload have the models with a record in that phase, oldest first. Loads are executed by
@@ -70,7 +70,7 @@
 	Load, Unload []Task
 	Adapters     []AdapterTask
 	// Blocked is set while another node may still be sending orders to the engine.
-	Held bool
+	Blocked bool
 }
 
 type Task struct {
