--- a/internal/control/fleetorders.go
+++ b/internal/control/fleetorders.go
@@ -55,7 +55,7 @@
 	f.core.RecordOutcome(f.node.now(), order, outcome)
 	f.mutex.Unlock()
 	if order.Adapter != "" {
-		time.AfterFunc(orders.AdapterSettles, f.node.wakeLeader)
+		time.AfterFunc(orders.AdapterLoadTime, f.node.wakeLeader)
 	}
 	f.node.wakeLeader()
 }
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -174,14 +174,14 @@
 		for _, adapters := range engine.Models {
 			host.usedSlots += len(adapters)
 		}
-		for _, loading := range engine.Coming {
+		for _, loading := range engine.LoadingAdapters {
 			host.usedSlots += len(loading)
 		}
 		for _, replica := range r.replicas[name] {
 			adapters, held := engine.Models[replica.spec.Checkpoint]
 			if held && replica.spec.Phase == v1.ReplicaReady {
 				host.versions[replica.spec.Version] = hostedVersion{
-					model: replica.spec.Checkpoint, adapters: adapters, loading: engine.Coming[replica.spec.Checkpoint],
+					model: replica.spec.Checkpoint, adapters: adapters, loading: engine.LoadingAdapters[replica.spec.Checkpoint],
 				}
 			}
 		}
--- a/internal/controller/registered_test.go
+++ b/internal/controller/registered_test.go
@@ -129,15 +129,15 @@
 	}{
 		{"free slot", orders.State{Models: map[string][]string{"red": {"a1"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a9"}}},
 		{"held", orders.State{Models: map[string][]string{"red": {"a9"}}}, nil},
-		{"loading", orders.State{Models: map[string][]string{"red": nil}, Coming: map[string][]string{"red": {"a9"}}}, nil},
+		{"loading", orders.State{Models: map[string][]string{"red": nil}, LoadingAdapters: map[string][]string{"red": {"a9"}}}, nil},
 		{"full", orders.State{Models: map[string][]string{"red": {"a1", "a2"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a1", Drop: true}}},
 		{
 			"full including loads in progress",
-			orders.State{Models: map[string][]string{"red": {"a2"}}, Coming: map[string][]string{"red": {"a3"}}},
+			orders.State{Models: map[string][]string{"red": {"a2"}}, LoadingAdapters: map[string][]string{"red": {"a3"}}},
 			[]orders.AdapterTask{{Model: "red", Adapter: "a2", Drop: true}},
 		},
 		{"full, one in use", orders.State{Models: map[string][]string{"red": {"a7", "a2"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a2", Drop: true}}},
-		{"full, all in use or loading", orders.State{Models: map[string][]string{"red": {"a7"}}, Coming: map[string][]string{"red": {"a3"}}}, nil},
+		{"full, all in use or loading", orders.State{Models: map[string][]string{"red": {"a7"}}, LoadingAdapters: map[string][]string{"red": {"a3"}}}, nil},
 		{"version not loaded", orders.State{Models: map[string][]string{}}, nil},
 	}
 	for _, test := range tests {
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -26,7 +26,7 @@
 	// refusedPause delays the next order after a refused one.
 	refusedPause = 2 * time.Second
 	// AdapterLoadTime is the time after which an accepted adapter load counts as complete.
-	AdapterSettles = 60 * time.Millisecond
+	AdapterLoadTime = 60 * time.Millisecond
 	// maxAdapterOrders is the maximum number of concurrent adapter loads of an engine.
 	maxAdapterOrders = 4
 	// adapterReportLag is how long after an adapter order a heartbeat may still predate it.
@@ -145,7 +145,7 @@
 		if !e.sequenceKnown {
 			continue
 		}
-		if hasModelOrder && (!modelOrder.FromStore || c.pacer.Take(now)) {
+		if hasModelOrder && (!modelOrder.FromStore || c.pacer.Allow(now)) {
 			modelOrder.Expected = e.sequence
 			e.sending, e.state = true, nil
 			plan.Orders = append(plan.Orders, modelOrder)
@@ -208,7 +208,7 @@
 	case Accepted:
 		e.sequence++
 		e.accept(now, order)
-	case Holds:
+	case AlreadyDone:
 		// Engines differ in whether they count such an order, except for adapter unloads.
 		e.sequenceKnown = order.Adapter != "" && order.Operation == Unload && e.sequenceKnown
 		e.recordExisting(now, order)
@@ -216,7 +216,7 @@
 		e.sequenceKnown = false
 		e.pollDue = now
 		e.pauseUntil = now + conflictPause
-	case Elsewhere, Refused:
+	case WrongMachine, Refused:
 		e.sequenceKnown = false
 		e.pauseUntil = now + refusedPause
 	case NotSent:
@@ -229,7 +229,7 @@
 	// Models has the sorted adapters of each loaded model.
 	Models map[string][]string
 	// LoadingAdapters has the adapters being loaded, by model.
-	Coming map[string][]string
+	LoadingAdapters map[string][]string
 	// Loading is the model being loaded, if any.
 	Loading string
 	// Settled is set once there were enough reports in this term to conclude that models missing from
@@ -258,7 +258,7 @@
 
 func (e *engine) buildState(settled bool) *State {
 	state := &State{
-		Models: map[string][]string{}, Coming: map[string][]string{}, Memory: e.memory, Disk: e.disk,
+		Models: map[string][]string{}, LoadingAdapters: map[string][]string{}, Memory: e.memory, Disk: e.disk,
 		Settled: settled,
 		Busy:    e.sending || e.inProgress != nil,
 	}
@@ -271,7 +271,7 @@
 		state.Models[model] = names
 	}
 	for task := range e.adapters {
-		state.Coming[task.Model] = append(state.Coming[task.Model], task.Adapter)
+		state.LoadingAdapters[task.Model] = append(state.LoadingAdapters[task.Model], task.Adapter)
 	}
 	if e.inProgress != nil && e.inProgress.order.Operation == Load {
 		state.Loading = e.inProgress.order.Model
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -164,7 +164,7 @@
 		pacer := NewPacer()
 		pacer.Limit(rate)
 		for end := now + 7*time.Second; now < end; now += 10 * time.Millisecond {
-			if pacer.Take(now) {
+			if pacer.Allow(now) {
 				starts = append(starts, now)
 			}
 		}
--- a/internal/orders/engine.go
+++ b/internal/orders/engine.go
@@ -202,7 +202,7 @@
 		e.pollDue = now + pollRetry
 		return
 	}
-	e.adapters[order.adapterTask()] = now + AdapterSettles
+	e.adapters[order.adapterTask()] = now + AdapterLoadTime
 }
 
 // recordExisting updates the state after an order that had nothing to do.
--- a/internal/orders/pacer.go
+++ b/internal/orders/pacer.go
@@ -25,7 +25,7 @@
 }
 
 // Allow reports whether a load may start now, and takes a token for it.
-func (p *Pacer) Take(now time.Duration) bool {
+func (p *Pacer) Allow(now time.Duration) bool {
 	if p.perSecond <= 0 {
 		return true
 	}
--- a/internal/orders/state_test.go
+++ b/internal/orders/state_test.go
@@ -51,15 +51,15 @@
 	}
 	desired := []DesiredState{{Machine: "m", Adapters: []AdapterTask{{Model: "model", Adapter: "a"}}}}
 	plan := planner.Plan(time.Millisecond, desired)
-	if held := state(time.Millisecond); len(plan.Orders) != 1 || !held.Busy || len(held.Coming["model"]) != 1 {
+	if held := state(time.Millisecond); len(plan.Orders) != 1 || !held.Busy || len(held.LoadingAdapters["model"]) != 1 {
 		t.Fatalf("while the order is being sent: %+v", held)
 	}
 	planner.RecordOutcome(2*time.Millisecond, plan.Orders[0], Accepted)
-	if held := state(2 * time.Millisecond); held.Busy || len(held.Coming["model"]) != 1 {
+	if held := state(2 * time.Millisecond); held.Busy || len(held.LoadingAdapters["model"]) != 1 {
 		t.Errorf("after the order was accepted: %+v", held)
 	}
-	planner.Plan(2*AdapterSettles, desired)
-	if held := state(2 * AdapterSettles); len(held.Coming) != 0 || len(held.Models["model"]) != 1 {
+	planner.Plan(2*AdapterLoadTime, desired)
+	if held := state(2 * AdapterLoadTime); len(held.LoadingAdapters) != 0 || len(held.Models["model"]) != 1 {
 		t.Errorf("after the adapter was loaded: %+v", held)
 	}
 	planner.AddReport(2*time.Second, "m", Report{Models: map[string][]string{"model": {"a"}}})
--- a/internal/orders/types.go
+++ b/internal/orders/types.go
@@ -31,11 +31,11 @@
 	// Accepted: the engine executes the order.
 	Accepted Outcome = iota
 	// AlreadyDone: the engine already had the desired state.
-	Holds
+	AlreadyDone
 	// Conflict: another order is in progress, or the sequence numbers differ.
 	Conflict
 	// WrongMachine: a different machine responded at the endpoint.
-	Elsewhere
+	WrongMachine
 	// Refused: the engine rejects the order itself.
 	Refused
 	// NotSent: nothing was sent to the engine.
