--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -287,11 +287,11 @@
 // noteGrants remembers what the log tells of grants.
 func (n *Node) noteGrants(output member.Output) {
 	if output.Restored {
-		n.grants.Forget(n.now())
+		n.grants.Reset(n.now())
 	}
 	for _, applied := range output.Applied {
 		if grant := applied.Result.GetGrant(); grant != nil {
-			n.grants.Note(n.now(), grant.GetMachines())
+			n.grants.Record(n.now(), grant.GetMachines())
 		}
 	}
 }
--- a/internal/control/fleetorders.go
+++ b/internal/control/fleetorders.go
@@ -72,7 +72,7 @@
 	now := f.node.now()
 	free := make(map[string]bool, len(machines))
 	for _, name := range machines {
-		free[name] = f.node.grants.Free(now, name, holders[name])
+		free[name] = f.node.grants.MayOrder(now, name, holders[name])
 	}
 	return free
 }
--- a/internal/orders/grants.go
+++ b/internal/orders/grants.go
@@ -32,7 +32,7 @@
 }
 
 // Reset records that grants up to now may have been missed.
-func (g *Grants) Forget(now time.Duration) {
+func (g *Grants) Reset(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.completeSince = now
@@ -40,7 +40,7 @@
 }
 
 // Record records a committed grant.
-func (g *Grants) Note(now time.Duration, machines []string) {
+func (g *Grants) Record(now time.Duration, machines []string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, machine := range machines {
@@ -55,7 +55,7 @@
 
 // MayOrder reports whether this node may send orders to a machine, provided that it holds the leader's
 // lease. Holder is the node with the last committed grant, or empty.
-func (g *Grants) Free(now time.Duration, machine, holder string) bool {
+func (g *Grants) MayOrder(now time.Duration, machine, holder string) bool {
 	if holder == "" || holder == g.self {
 		return true
 	}
--- a/internal/orders/grants_test.go
+++ b/internal/orders/grants_test.go
@@ -39,12 +39,12 @@
 	}
 	for _, test := range tests {
 		if test.forget {
-			grants.Forget(test.at)
+			grants.Reset(test.at)
 		}
 		if test.noted {
-			grants.Note(test.at, []string{"m"})
+			grants.Record(test.at, []string{"m"})
 		}
-		if free := grants.Free(test.at, test.machine, test.holder); free != test.free {
+		if free := grants.MayOrder(test.at, test.machine, test.holder); free != test.free {
 			t.Errorf("at %s: MayOrder(%s, %q) = %v", test.at, test.machine, test.holder, free)
 		}
 	}
@@ -79,10 +79,10 @@
 					grants[name], started[name] = NewGrants(name, grantLifetime+leaseTime), now
 				}
 			} else if random.IntN(3) == 0 {
-				grants[leader].Forget(now - started[leader])
+				grants[leader].Reset(now - started[leader])
 			}
 			for end := now + time.Duration(random.Int64N(int64(6*time.Second))); now < end; now += 100 * time.Millisecond {
-				if !grants[leader].Free(now-started[leader], "m", holder) {
+				if !grants[leader].MayOrder(now-started[leader], "m", holder) {
 					continue
 				}
 				// The grant is committed later than proposed, and the order is sent within the grant's
@@ -90,7 +90,7 @@
 				committed := now + time.Duration(random.Int64N(int64(200*time.Millisecond)))
 				holder = leader
 				for _, name := range nodes {
-					grants[name].Note(committed+time.Duration(random.Int64N(int64(50*time.Millisecond)))-started[name], []string{"m"})
+					grants[name].Record(committed+time.Duration(random.Int64N(int64(50*time.Millisecond)))-started[name], []string{"m"})
 				}
 				sent := now + time.Duration(random.Int64N(int64(grantLifetime)))
 				if lastOrder.holder != "" && lastOrder.holder != leader && sent-lastOrder.at < leaseTime {
