--- a/internal/control/operatorcalls.go
+++ b/internal/control/operatorcalls.go
@@ -14,7 +14,7 @@
 // leader.
 func (n *Node) takeInstance(report *wirepb.InstanceReport) {
 	n.taken.heartbeats.Add(1)
-	report = instances.WithContent(report)
+	report = instances.WithContentHash(report)
 	status := n.status.Load()
 	if status.Leader == status.ID {
 		n.keepInstance(report)
--- a/internal/instances/condense.go
+++ b/internal/instances/condense.go
@@ -13,7 +13,7 @@
 
 // WithContentHash returns a report with the hash of its content, which excludes the fields that change
 // with every report.
-func WithContent(report *wirepb.InstanceReport) *wirepb.InstanceReport {
+func WithContentHash(report *wirepb.InstanceReport) *wirepb.InstanceReport {
 	if report.GetContent() != 0 {
 		return report
 	}
@@ -30,19 +30,19 @@
 
 // Deduplicator omits content from reports that the receiver of a connection was already sent: most
 // heartbeats repeat the one before. It is not safe for concurrent use.
-type Condenser struct {
+type Deduplicator struct {
 	// sent has the newest report of each machine. Its content was sent in full, in this or an earlier
 	// report.
 	sent map[string]*wirepb.InstanceReport
 }
 
 // NewDeduplicator returns a Deduplicator for a new connection.
-func NewCondenser() *Condenser {
-	return &Condenser{sent: map[string]*wirepb.InstanceReport{}}
+func NewDeduplicator() *Deduplicator {
+	return &Deduplicator{sent: map[string]*wirepb.InstanceReport{}}
 }
 
 // Encode returns the message to send for a report.
-func (c *Condenser) Next(report *wirepb.InstanceReport) *wirepb.InstanceReport {
+func (c *Deduplicator) Encode(report *wirepb.InstanceReport) *wirepb.InstanceReport {
 	last, known := c.sent[report.GetMachine()]
 	if !known && len(c.sent) >= maxRemembered {
 		clear(c.sent)
@@ -58,14 +58,14 @@
 }
 
 // Full returns the newest report of a machine with its content, or nil if there is none.
-func (c *Condenser) Whole(machine string) *wirepb.InstanceReport {
+func (c *Deduplicator) Full(machine string) *wirepb.InstanceReport {
 	return c.sent[machine]
 }
 
 // Restore returns a report with the content that a Deduplicator omitted, taken from the stored report
 // of the machine's record. It returns false if that has a different content, which may have arrived
 // through another control node.
-func (t *Table) Complete(name string, report *wirepb.InstanceReport) (restored *wirepb.InstanceReport, complete bool) {
+func (t *Table) Restore(name string, report *wirepb.InstanceReport) (restored *wirepb.InstanceReport, complete bool) {
 	if !report.GetUnchanged() {
 		return report, true
 	}
--- a/internal/instances/condense_test.go
+++ b/internal/instances/condense_test.go
@@ -26,25 +26,25 @@
 
 // A report without changes must be small and restore to the original.
 func TestUnchangedReportsOmitContent(t *testing.T) {
-	encoder, table := NewCondenser(), NewTable()
+	encoder, table := NewDeduplicator(), NewTable()
 	for sequence := uint64(1); sequence <= 10; sequence++ {
-		report := WithContent(newHeartbeat(sequence, 5))
-		sent := encoder.Next(report)
+		report := WithContentHash(newHeartbeat(sequence, 5))
+		sent := encoder.Encode(report)
 		if sequence > 1 && proto.Size(sent) > 50 {
 			t.Errorf("report %d without changes takes %d of %d bytes", sequence, proto.Size(sent), proto.Size(report))
 		}
-		restored, complete := table.Complete("m", sent)
+		restored, complete := table.Restore("m", sent)
 		if !complete || !proto.Equal(restored, report) {
 			t.Fatalf("report %d restored as %v", sequence, restored)
 		}
 		table.Take(time.Duration(sequence), "m", restored)
 	}
-	if other := WithContent(newHeartbeat(11, 4)); encoder.Next(other) != other {
+	if other := WithContentHash(newHeartbeat(11, 4)); encoder.Encode(other) != other {
 		t.Error("a changed report is not sent in full")
 	}
 	leaving := newHeartbeat(12, 4)
 	leaving.Leaving = true
-	if leaving = WithContent(leaving); encoder.Next(leaving) != leaving {
+	if leaving = WithContentHash(leaving); encoder.Encode(leaving) != leaving {
 		t.Error("a leaving machine's report is not sent in full")
 	}
 }
@@ -52,22 +52,22 @@
 // A report must not be restored from missing or different content, such as a report sent through
 // another control node.
 func TestRestoreRequiresMatchingContent(t *testing.T) {
-	encoder, table := NewCondenser(), NewTable()
-	encoder.Next(WithContent(newHeartbeat(1, 2)))
-	short := encoder.Next(WithContent(newHeartbeat(2, 2)))
-	if restored, complete := table.Complete("m", short); complete {
+	encoder, table := NewDeduplicator(), NewTable()
+	encoder.Encode(WithContentHash(newHeartbeat(1, 2)))
+	short := encoder.Encode(WithContentHash(newHeartbeat(2, 2)))
+	if restored, complete := table.Restore("m", short); complete {
 		t.Errorf("restored without a stored report: %v", restored)
 	}
-	table.Take(0, "m", WithContent(newHeartbeat(1, 3)))
-	if restored, complete := table.Complete("m", short); complete {
+	table.Take(0, "m", WithContentHash(newHeartbeat(1, 3)))
+	if restored, complete := table.Restore("m", short); complete {
 		t.Errorf("restored from different content: %v", restored)
 	}
-	complete := encoder.Whole("m")
+	complete := encoder.Full("m")
 	if complete.GetSequence() != 2 || len(complete.GetModels()) != 2 {
 		t.Errorf("full report is %v", complete)
 	}
 	table.Take(0, "m", complete)
-	if _, held := table.Complete("m", encoder.Next(WithContent(newHeartbeat(3, 2)))); !held {
+	if _, held := table.Restore("m", encoder.Encode(WithContentHash(newHeartbeat(3, 2)))); !held {
 		t.Error("not restored after the full report")
 	}
 }
@@ -78,7 +78,7 @@
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		table, models := NewTable(), 1
-		encoders := []*Condenser{NewCondenser(), NewCondenser(), NewCondenser()}
+		encoders := []*Deduplicator{NewDeduplicator(), NewDeduplicator(), NewDeduplicator()}
 		for sequence := uint64(1); sequence <= 200; sequence++ {
 			if random.IntN(5) == 0 {
 				models = 1 + random.IntN(3)
@@ -86,15 +86,15 @@
 			connection := random.IntN(len(encoders))
 			switch random.IntN(20) {
 			case 0:
-				encoders[connection] = NewCondenser()
+				encoders[connection] = NewDeduplicator()
 			case 1:
 				table = NewTable()
 			}
-			report := WithContent(newHeartbeat(sequence, models))
-			sent := encoders[connection].Next(report)
-			restored, complete := table.Complete("m", sent)
+			report := WithContentHash(newHeartbeat(sequence, models))
+			sent := encoders[connection].Encode(report)
+			restored, complete := table.Restore("m", sent)
 			if !complete {
-				restored, complete = table.Complete("m", encoders[connection].Whole("m"))
+				restored, complete = table.Restore("m", encoders[connection].Full("m"))
 			}
 			if !complete {
 				t.Fatalf("seed %d: report %d is not restored from the full report", seed, sequence)
@@ -109,11 +109,11 @@
 
 // Deduplicator must not grow with the machines that come and go.
 func TestDeduplicatorIsBounded(t *testing.T) {
-	encoder := NewCondenser()
+	encoder := NewDeduplicator()
 	for number := range 3 * maxRemembered {
 		report := newHeartbeat(1, 0)
 		report.Machine = fmt.Sprint("m", number)
-		encoder.Next(report)
+		encoder.Encode(report)
 		if len(encoder.sent) > maxRemembered {
 			t.Fatalf("%d machines are remembered", len(encoder.sent))
 		}
@@ -131,10 +131,10 @@
 			t.Errorf("the test report lacks field %s", name)
 		}
 	}
-	encoder, table := NewCondenser(), NewTable()
-	report = WithContent(report)
-	table.Take(0, "m", encoder.Next(report))
-	restored, complete := table.Complete("m", encoder.Next(report))
+	encoder, table := NewDeduplicator(), NewTable()
+	report = WithContentHash(report)
+	table.Take(0, "m", encoder.Encode(report))
+	restored, complete := table.Restore("m", encoder.Encode(report))
 	if !complete || !proto.Equal(restored, report) {
 		t.Errorf("%v restored as %v", report, restored)
 	}
