--- a/internal/instances/identity.go
+++ b/internal/instances/identity.go
@@ -11,7 +11,7 @@
 const startSeparator = ".start-"
 
 // RecordLookup returns the machine record of a name, or nil.
-type Records func(name string) *v1.MachineSpec
+type RecordLookup func(name string) *v1.MachineSpec
 
 // IDOf returns a machine's ID from the name of its record.
 func IDOf(name string) string {
@@ -20,13 +20,13 @@
 }
 
 // IsValidID reports whether an ID can be distinguished from the names of records.
-func IsID(id string) bool {
+func IsValidID(id string) bool {
 	return id != "" && !strings.Contains(id, startSeparator)
 }
 
 // PrecedesActiveStart reports whether a start is earlier than that of a record with the same ID whose
 // machine is still in use.
-func IsBefore(startedMs int64, record *v1.MachineSpec, phase v1.MachinePhase) bool {
+func PrecedesActiveStart(startedMs int64, record *v1.MachineSpec, phase v1.MachinePhase) bool {
 	return startedBefore(startedMs, record) && (phase == v1.MachineLive || phase == v1.MachineLeaving)
 }
 
@@ -43,7 +43,7 @@
 // start a name of its own, so that everything stored by name (replicas, orders, grants, crash records,
 // warm-up state, connections) belongs to one start. A record without a start time belongs to the first
 // start that reports.
-func NameOf(id string, startedMs int64, lookup Records) string {
+func NameOf(id string, startedMs int64, lookup RecordLookup) string {
 	if startedMs == 0 {
 		return id
 	}
--- a/internal/instances/table.go
+++ b/internal/instances/table.go
@@ -148,11 +148,11 @@
 }
 
 // ReasonAnnounced is the reason for a phase that the machine reported in a heartbeat.
-const ReasonSaidSo = "said so"
+const ReasonAnnounced = "said so"
 
 // ReasonAnnouncedInResponse is the reason for a phase that the machine stated in a response to a
 // router.
-const ReasonAnsweredSo = "said so in an answer"
+const ReasonAnnouncedInResponse = "said so in an answer"
 
 // Registration returns the command that creates a machine's record, or nil if its pool, which
 // determines its capacity, is not declared. The record contains the start time if withStart is set.
@@ -213,7 +213,7 @@
 	if !recorded || !startedBefore(started, record.Spec) {
 		return false
 	}
-	return IsBefore(started, record.Spec, record.Status.Phase) || input.Now-entry.Received > input.Policy.LostAfter
+	return PrecedesActiveStart(started, record.Spec, record.Status.Phase) || input.Now-entry.Received > input.Policy.LostAfter
 }
 
 func (t *Table) reconcileRecord(input Input, name string, declared Declared, entry Entry, reported bool, newest newestRecords) *wirepb.RegisterCommand {
@@ -240,9 +240,9 @@
 	case phase == v1.MachineLeaving:
 		return nil
 	case reported && entry.Report.GetLeaving():
-		return transition(name, v1.MachineLeaving, ReasonSaidSo)
+		return transition(name, v1.MachineLeaving, ReasonAnnounced)
 	case input.Leaving[name]:
-		return transition(name, v1.MachineLeaving, ReasonAnsweredSo)
+		return transition(name, v1.MachineLeaving, ReasonAnnouncedInResponse)
 	case phase == v1.MachineLost:
 		return t.recover(input, name, entry, reported && silent <= lostAfter)
 	case silent > lostAfter:
