--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -110,7 +110,7 @@
 // adapterTasks selects a replica to load each adapter that has waiting requests and is not loaded by a
 // ready replica. Where all adapter slots are in use, the least recently used adapter is dropped first.
 // Engines without such a task prefetch adapters.
-func (r *Registered) adapterTasks(engineState StateOf, demand []AdapterDemand, work map[string]float64) map[string][]orders.AdapterTask {
+func (r *RegisteredFleet) adapterTasks(engineState EngineStateFunc, demand []AdapterDemand, work map[string]float64) map[string][]orders.AdapterTask {
 	lastUsed := map[adapterKey]time.Duration{}
 	for _, entry := range demand {
 		lastUsed[adapterKey{entry.Version, entry.Adapter}] = entry.LastUsed
@@ -158,7 +158,7 @@
 	loading []string
 }
 
-func (r *Registered) adapterHosts(engineState StateOf) []*adapterHost {
+func (r *RegisteredFleet) adapterHosts(engineState EngineStateFunc) []*adapterHost {
 	var hosts []*adapterHost
 	for _, name := range r.engineNames() {
 		machine := r.Machines[name]
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -50,11 +50,11 @@
 	drainZone(t, machine, "z", true)
 	waiting := []AdapterDemand{{Version: "red@1", Adapter: "a9", Waiting: 1, LastUsed: time.Minute, Now: time.Minute}}
 	known := orders.State{Models: map[string][]string{"red": {"a1"}}}
-	if tasks := ReadRegistered(machine).adapterTasks(engineStateOf(known), waiting, nil); len(tasks) != 0 {
+	if tasks := ReadRegisteredFleet(machine).adapterTasks(engineStateOf(known), waiting, nil); len(tasks) != 0 {
 		t.Errorf("tasks in a drained zone: %v", tasks)
 	}
 	drainZone(t, machine, "z", false)
-	if tasks := ReadRegistered(machine).adapterTasks(engineStateOf(known), waiting, nil); len(tasks["m"]) != 1 {
+	if tasks := ReadRegisteredFleet(machine).adapterTasks(engineStateOf(known), waiting, nil); len(tasks["m"]) != 1 {
 		t.Errorf("tasks after the drain: %v", tasks)
 	}
 }
--- a/internal/controller/near_test.go
+++ b/internal/controller/near_test.go
@@ -25,7 +25,7 @@
 		t.Error("a machine without a report in this term accepts loads")
 	}
 	known := engineStateOf(orders.State{Disk: []string{"blue"}, Memory: []string{"red"}})
-	for _, report := range ReadRegistered(fleetState(t)).Reports(known) {
+	for _, report := range ReadRegisteredFleet(fleetState(t)).Reports(known) {
 		reports.TakeMachine(time.Second, report)
 	}
 	machine := viewOf(t, reports).placementMachines()["m"]
--- a/internal/controller/pass_bench_test.go
+++ b/internal/controller/pass_bench_test.go
@@ -148,7 +148,7 @@
 		for _, waiting := range []int{10, 100, 200} {
 			fleet := newBenchFleet(b, machines)
 			fleet.addWaitingRequests(b, waiting)
-			for _, report := range ReadRegistered(fleet.state).Reports(fleet.stateOf) {
+			for _, report := range ReadRegisteredFleet(fleet.state).Reports(fleet.stateOf) {
 				fleet.controller.reports.TakeMachine(time.Minute, report)
 			}
 			b.Run(fmt.Sprintf("machines=%d/waiting=%d", machines, waiting), func(b *testing.B) {
@@ -166,14 +166,14 @@
 func BenchmarkPass(b *testing.B) {
 	for _, machines := range []int{300, 1000, 3000, 10_000} {
 		fleet := newBenchFleet(b, machines)
-		registered := ReadRegistered(fleet.state)
+		registered := ReadRegisteredFleet(fleet.state)
 		reports := fleet.controller.reports
 		parts := []struct {
 			name string
 			run  func()
 		}{
 			{"read-state", func() { readState(fleet.state) }},
-			{"read-registered", func() { ReadRegistered(fleet.state) }},
+			{"read-registered", func() { ReadRegisteredFleet(fleet.state) }},
 			{"machine-writes", func() { fleet.controller.MachineWrites(time.Minute, nil) }},
 			{"adopt", func() { registered.Adopt(fleet.stateOf) }},
 			{"reports", func() {
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -46,7 +46,7 @@
 // prefetchTasks selects at most one adapter for each idle engine with free slots. Candidates are the
 // adapters that no replica of their version holds: recently used ones first, then by the version's rate
 // of work.
-func (r *Registered) prefetchTasks(hosts []*adapterHost, lastUsed map[adapterKey]time.Duration, work map[string]float64) map[string]orders.AdapterTask {
+func (r *RegisteredFleet) prefetchTasks(hosts []*adapterHost, lastUsed map[adapterKey]time.Duration, work map[string]float64) map[string]orders.AdapterTask {
 	free := hostsWithFreeSlots(hosts)
 	if len(free) == 0 {
 		return nil
@@ -70,7 +70,7 @@
 
 // missingAdapters returns the declared adapters that no ready replica of their version holds or loads,
 // in order of priority, and the number of adapters being loaded.
-func (r *Registered) missingAdapters(hosts []*adapterHost, lastUsed map[adapterKey]time.Duration, work map[string]float64) (missing []prefetchCandidate, loading int) {
+func (r *RegisteredFleet) missingAdapters(hosts []*adapterHost, lastUsed map[adapterKey]time.Duration, work map[string]float64) (missing []prefetchCandidate, loading int) {
 	present := map[string]map[string]bool{}
 	for _, host := range hosts {
 		for version, hosted := range host.versions {
--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestAdapterHostsHaveRegions(t *testing.T) {
-	cache := RegisteredCache{Places: places.NewMap(map[string]string{"z": "a"})}
+	cache := RegisteredFleetCache{Places: places.NewMap(map[string]string{"z": "a"})}
 	known := orders.State{Models: map[string][]string{"red": {}}}
 	found := cache.Read(fleetState(t)).adapterHosts(func(string) (orders.State, bool) { return known, true })
 	if len(found) != 1 || found[0].region != "a" {
--- a/internal/controller/registered.go
+++ b/internal/controller/registered.go
@@ -24,7 +24,7 @@
 )
 
 // RegisteredFleet is a snapshot of the self-registered machines, their pools, versions and replicas.
-type Registered struct {
+type RegisteredFleet struct {
 	Machines map[string]instances.Declared
 	Pools    map[string]*v1.PoolSpec
 	// StoreLoadsPerSecond is the total load rate of the pools' weight stores.
@@ -51,11 +51,11 @@
 }
 
 // EngineStateFunc returns the known state of a machine's engine, and false if none is known.
-type StateOf func(machine string) (orders.State, bool)
+type EngineStateFunc func(machine string) (orders.State, bool)
 
 // ReadRegisteredFleet takes a snapshot of the state. The caller must hold the state's lock.
-func ReadRegistered(machine *state.Machine) *Registered {
-	registered := &Registered{
+func ReadRegisteredFleet(machine *state.Machine) *RegisteredFleet {
+	registered := &RegisteredFleet{
 		Machines: map[string]instances.Declared{}, Pools: map[string]*v1.PoolSpec{}, revision: machine.Revision(),
 		versions: map[versionKey]declaredVersion{}, replicas: map[string][]storedReplica{}, drained: map[string]bool{},
 	}
@@ -66,24 +66,24 @@
 }
 
 // RegisteredFleetCache keeps the snapshot of the newest revision. Snapshots are not modified.
-type RegisteredCache struct {
+type RegisteredFleetCache struct {
 	Places places.Map
 	mutex  sync.Mutex
-	held   *Registered
+	held   *RegisteredFleet
 }
 
 // Read returns a snapshot of the state's revision. The caller must hold the state's lock.
-func (c *RegisteredCache) Read(machine *state.Machine) *Registered {
+func (c *RegisteredFleetCache) Read(machine *state.Machine) *RegisteredFleet {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.held == nil || c.held.revision != machine.Revision() {
-		c.held = ReadRegistered(machine)
+		c.held = ReadRegisteredFleet(machine)
 		c.held.places = c.Places
 	}
 	return c.held
 }
 
-func (r *Registered) add(object *wirepb.Object, spec v1.Spec, status v1.MachineStatus) {
+func (r *RegisteredFleet) add(object *wirepb.Object, spec v1.Spec, status v1.MachineStatus) {
 	switch typed := spec.(type) {
 	case *v1.MachineSpec:
 		if typed.Pool != "" {
@@ -104,7 +104,7 @@
 }
 
 // engineNames returns the sorted names of the machines that have engines and are not gone.
-func (r *Registered) engineNames() []string {
+func (r *RegisteredFleet) engineNames() []string {
 	r.enginesOnce.Do(func() {
 		for name, machine := range r.Machines {
 			if machine.Status.Phase != v1.MachineGone && machine.Spec.Accelerators > 0 {
@@ -118,7 +118,7 @@
 
 // Adopt returns the writes that create records for models that engines hold without a record. Such
 // models are used and not unloaded.
-func (r *Registered) Adopt(engineState StateOf) []*wirepb.ObjectWrite {
+func (r *RegisteredFleet) Adopt(engineState EngineStateFunc) []*wirepb.ObjectWrite {
 	var writes []*wirepb.ObjectWrite
 	for _, name := range r.engineNames() {
 		engine, known := engineState(name)
@@ -134,7 +134,7 @@
 	return writes
 }
 
-func (r *Registered) adoptModel(machine, model string, adapters []string) *wirepb.ObjectWrite {
+func (r *RegisteredFleet) adoptModel(machine, model string, adapters []string) *wirepb.ObjectWrite {
 	if r.hasReplica(machine, model) {
 		return nil
 	}
@@ -166,14 +166,14 @@
 	}
 }
 
-func (r *Registered) hasReplica(machine, model string) bool {
+func (r *RegisteredFleet) hasReplica(machine, model string) bool {
 	return slices.ContainsFunc(r.replicas[machine], func(replica storedReplica) bool { return replica.spec.Checkpoint == model })
 }
 
 // WithAdapters appends the writes that update the adapters in replica records. Decisions don't depend
 // on these, so they share a commit with the decisions instead of delaying them by one of their own. A
 // record that is already written to is skipped, since both writes would expect the same revision.
-func (r *Registered) WithAdapters(writes []*wirepb.ObjectWrite, engineState StateOf) []*wirepb.ObjectWrite {
+func (r *RegisteredFleet) WithAdapters(writes []*wirepb.ObjectWrite, engineState EngineStateFunc) []*wirepb.ObjectWrite {
 	written := make(map[string]bool, len(writes))
 	for _, write := range writes {
 		written[write.GetObject().GetName()] = true
@@ -212,7 +212,7 @@
 }
 
 // Reports converts engine states to the machine reports used by placement.
-func (r *Registered) Reports(engineState StateOf) []*wirepb.MachineReport {
+func (r *RegisteredFleet) Reports(engineState EngineStateFunc) []*wirepb.MachineReport {
 	var reports []*wirepb.MachineReport
 	for _, name := range r.engineNames() {
 		engine, known := engineState(name)
@@ -224,7 +224,7 @@
 	return reports
 }
 
-func (r *Registered) report(machine string, engine orders.State) *wirepb.MachineReport {
+func (r *RegisteredFleet) report(machine string, engine orders.State) *wirepb.MachineReport {
 	report := &wirepb.MachineReport{Machine: machine, Incarnation: state.RegisteredIncarnation, Reachable: true, Fence: r.revision}
 	for _, replica := range r.replicas[machine] {
 		_, held := engine.Models[replica.spec.Checkpoint]
@@ -253,7 +253,7 @@
 
 // DesiredStates returns the desired states of the engines of live machines. Work is the rate of work by
 // version, which determines the order of loads.
-func (r *Registered) DesiredStates(engineState StateOf, demand []AdapterDemand, work map[string]float64) []orders.DesiredState {
+func (r *RegisteredFleet) DesiredStates(engineState EngineStateFunc, demand []AdapterDemand, work map[string]float64) []orders.DesiredState {
 	var desired []orders.DesiredState
 	adapters := r.adapterTasks(engineState, demand, work)
 	for _, name := range r.engineNames() {
@@ -280,7 +280,7 @@
 }
 
 // transitioning returns the replicas of a machine that are being loaded or unloaded.
-func (r *Registered) transitioning(machine string) []storedReplica {
+func (r *RegisteredFleet) transitioning(machine string) []storedReplica {
 	var found []storedReplica
 	for _, replica := range r.replicas[machine] {
 		if replica.spec.Phase == v1.ReplicaLoading || replica.spec.Phase == v1.ReplicaUnloading {
--- a/internal/controller/registered_test.go
+++ b/internal/controller/registered_test.go
@@ -59,14 +59,14 @@
 	return machine
 }
 
-func engineStateOf(known orders.State) StateOf {
+func engineStateOf(known orders.State) EngineStateFunc {
 	return func(string) (orders.State, bool) { return known, true }
 }
 
 // An engine report that predates a completed load must not lead to the removal of the replica: its
 // memory would be assigned twice.
 func TestUnsettledReportDoesNotUnload(t *testing.T) {
-	registered := ReadRegistered(fleetState(t))
+	registered := ReadRegisteredFleet(fleetState(t))
 	tests := []struct {
 		name  string
 		known orders.State
@@ -90,7 +90,7 @@
 // A held model without a record gets one regardless of capacity; recorded and undeclared models are
 // ignored.
 func TestAdoptUnrecordedModels(t *testing.T) {
-	registered := ReadRegistered(fleetState(t))
+	registered := ReadRegisteredFleet(fleetState(t))
 	writes := registered.Adopt(engineStateOf(orders.State{Models: map[string][]string{"red": nil, "blue": {"a1"}, "unknown": nil}}))
 	if len(writes) != 1 {
 		t.Fatalf("%d writes: %v", len(writes), writes)
@@ -141,7 +141,7 @@
 		{"version not loaded", orders.State{Models: map[string][]string{}}, nil},
 	}
 	for _, test := range tests {
-		registered := ReadRegistered(fleetState(t))
+		registered := ReadRegisteredFleet(fleetState(t))
 		tasks := registered.adapterTasks(engineStateOf(test.known), waiting, nil)["m"]
 		if len(tasks) != len(test.tasks) || len(tasks) == 1 && tasks[0] != test.tasks[0] {
 			t.Errorf("%s: tasks %v, want %v", test.name, tasks, test.tasks)
@@ -151,7 +151,7 @@
 
 // A snapshot is reused for the same revision, and replaced after a change.
 func TestCacheReadsEachRevisionOnce(t *testing.T) {
-	machine, cache := fleetState(t), RegisteredCache{}
+	machine, cache := fleetState(t), RegisteredFleetCache{}
 	first := cache.Read(machine)
 	if cache.Read(machine) != first {
 		t.Error("the same revision was read twice")
@@ -175,8 +175,8 @@
 
 // prefetchFleet returns two engines with five adapter slots each. Both hold "red", one also holds
 // "blue".
-func prefetchFleet(adapters map[string][]string) (*Registered, []*adapterHost) {
-	registered := &Registered{versions: map[versionKey]declaredVersion{}}
+func prefetchFleet(adapters map[string][]string) (*RegisteredFleet, []*adapterHost) {
+	registered := &RegisteredFleet{versions: map[versionKey]declaredVersion{}}
 	for model, names := range adapters {
 		registered.versions[versionKey{"pool", model}] = declaredVersion{name: model + "@1", spec: &v1.ModelVersionSpec{Adapters: names}}
 	}
@@ -225,7 +225,7 @@
 		for number := range engines / 10 {
 			adapters = append(adapters, "a"+strconv.Itoa(number))
 		}
-		registered := &Registered{versions: map[versionKey]declaredVersion{
+		registered := &RegisteredFleet{versions: map[versionKey]declaredVersion{
 			{"pool", "red"}: {name: "red@1", spec: &v1.ModelVersionSpec{Adapters: adapters}},
 		}}
 		var hosts []*adapterHost
@@ -273,7 +273,7 @@
 // Adapter updates must share a commit with the decisions of a pass.
 func TestAdapterUpdatesShareDecisionCommit(t *testing.T) {
 	machine := fleetState(t)
-	registered := ReadRegistered(machine)
+	registered := ReadRegisteredFleet(machine)
 	held := engineStateOf(orders.State{Models: map[string][]string{"red": {"a1"}}})
 	if writes := registered.Adopt(held); len(writes) != 0 {
 		t.Errorf("separate writes for the adapters of a recorded replica: %v", writes)
@@ -290,7 +290,7 @@
 	if result := machine.Apply(data); result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
 		t.Error(result.GetMessage())
 	}
-	if writes = ReadRegistered(machine).WithAdapters(nil, held); len(writes) != 0 {
+	if writes = ReadRegisteredFleet(machine).WithAdapters(nil, held); len(writes) != 0 {
 		t.Errorf("unchanged adapters are written again: %v", writes)
 	}
 }
@@ -298,7 +298,7 @@
 // A second write to a record would conflict with the first one, and the log would reject all writes of
 // the pass.
 func TestAdapterUpdateSkipsWrittenRecord(t *testing.T) {
-	registered := ReadRegistered(fleetState(t))
+	registered := ReadRegisteredFleet(fleetState(t))
 	unload := &wirepb.ObjectWrite{Object: &wirepb.Object{Kind: string(v1.KindReplica), Name: "record"}}
 	writes := registered.WithAdapters([]*wirepb.ObjectWrite{unload}, engineStateOf(orders.State{Models: map[string][]string{"red": {"a1"}}}))
 	if len(writes) != 1 {
