--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -159,7 +159,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, report := range registered.Reports(f.stateOf()) {
-		f.node.reports.TakeMachine(f.node.now(), report)
+		f.node.reports.AddMachine(f.node.now(), report)
 	}
 	f.pacer.Limit(registered.StoreLoadsPerSecond)
 }
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -112,7 +112,7 @@
 		n.logger.Warn("report_refused", "machine", report.GetMachine(), "field", fault.FieldOf(err), "error", fault.Message(err))
 		return
 	}
-	if n.instances.Take(n.now(), name, report) {
+	if n.instances.Add(n.now(), name, report) {
 		n.wakeLeader()
 	}
 }
--- a/internal/controller/near_test.go
+++ b/internal/controller/near_test.go
@@ -26,7 +26,7 @@
 	}
 	known := engineStateOf(orders.State{Disk: []string{"blue"}, Memory: []string{"red"}})
 	for _, report := range ReadRegisteredFleet(fleetState(t)).Reports(known) {
-		reports.TakeMachine(time.Second, report)
+		reports.AddMachine(time.Second, report)
 	}
 	machine := viewOf(t, reports).placementMachines()["m"]
 	if !machine.Accepts || machine.Tiers["blue"] != placement.TierDisk || machine.Tiers["red"] != placement.TierMemory {
@@ -42,7 +42,7 @@
 	reports := NewReportTable()
 	demands := []*wirepb.ModelDemand{{Version: "red@1", Waiting: 1, Running: 2}}
 	for node, zone := range map[string]string{"a": "z", "b": "y", "c": "nowhere"} {
-		reports.Take(time.Second, &wirepb.NodeReport{Node: node, Zone: zone, Incarnation: 1, Sequence: 1, Router: true, Demand: demands})
+		reports.Add(time.Second, &wirepb.NodeReport{Node: node, Zone: zone, Incarnation: 1, Sequence: 1, Router: true, Demand: demands})
 	}
 	demand := viewOf(t, reports).demand()["red@1"]
 	if demand.Waiting != 3 || len(demand.Regions) != 2 || demand.Regions["north"] != 3 || demand.Regions["south"] != 3 {
--- a/internal/controller/pass_bench_test.go
+++ b/internal/controller/pass_bench_test.go
@@ -76,7 +76,7 @@
 	}
 	reports := NewReportTable()
 	for number := range machines / benchMachinesPerRouter {
-		reports.Take(time.Minute, benchReport(number))
+		reports.Add(time.Minute, benchReport(number))
 	}
 	fleet.controller = New(0, Config{Term: 1, Planner: placement.Config{
 		Speeds: placement.DefaultTierSpeeds, KeepAlive: keepalive.New("resident"),
@@ -138,7 +138,7 @@
 	}
 	f.apply(b, writes)
 	f.controller.Observe(f.state)
-	f.controller.reports.Take(time.Minute, report)
+	f.controller.reports.Add(time.Minute, report)
 }
 
 // BenchmarkDecideWaiting measures a pass on a full fleet while requests wait for versions that are not
@@ -149,7 +149,7 @@
 			fleet := newBenchFleet(b, machines)
 			fleet.addWaitingRequests(b, waiting)
 			for _, report := range ReadRegisteredFleet(fleet.state).Reports(fleet.stateOf) {
-				fleet.controller.reports.TakeMachine(time.Minute, report)
+				fleet.controller.reports.AddMachine(time.Minute, report)
 			}
 			b.Run(fmt.Sprintf("machines=%d/waiting=%d", machines, waiting), func(b *testing.B) {
 				b.ReportAllocs()
@@ -178,7 +178,7 @@
 			{"adopt", func() { registered.Adopt(fleet.stateOf) }},
 			{"reports", func() {
 				for _, report := range registered.Reports(fleet.stateOf) {
-					reports.TakeMachine(time.Minute, report)
+					reports.AddMachine(time.Minute, report)
 				}
 			}},
 			{"decide", func() { fleet.controller.DecideReplicas(time.Minute, time.Unix(60, 0)) }},
--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -20,7 +20,7 @@
 		taken.Demand = append(taken.Demand, &wirepb.ModelDemand{
 			Version: "v", Regions: regions, Arrivals: 3, Waiting: 2, Running: 1, OldestWaitMs: 500, Priority: 9,
 		})
-		table.Take(received, taken)
+		table.Add(received, taken)
 	}
 	take("one", 10*time.Second, "b", "a")
 	take("two", 9*time.Second, "a", "b")
@@ -61,7 +61,7 @@
 func TestAdapterHostHonorsRegionConstraint(t *testing.T) {
 	const now = time.Minute
 	table := NewReportTable()
-	table.Take(now, &wirepb.NodeReport{Node: "one", Incarnation: 1, Sequence: 1, Demand: []*wirepb.ModelDemand{
+	table.Add(now, &wirepb.NodeReport{Node: "one", Incarnation: 1, Sequence: 1, Demand: []*wirepb.ModelDemand{
 		{Version: "red@1", Adapter: "x", Waiting: 2, OldestWaitMs: 100},
 		{Version: "red@1", Adapter: "x", Waiting: 1, OldestWaitMs: 100, Regions: []string{"b"}},
 		{Version: "red@1", Adapter: "y", Waiting: 3, OldestWaitMs: 50},
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -68,7 +68,7 @@
 
 // Add stores a report unless it is older than the stored one. It returns whether the change needs
 // immediate attention.
-func (t *ReportTable) Take(now time.Duration, report *wirepb.NodeReport) bool {
+func (t *ReportTable) Add(now time.Duration, report *wirepb.NodeReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	previous := t.nodes[report.GetNode()].report
@@ -175,7 +175,7 @@
 
 // AddMachine stores a report on a machine that the leader polled itself. It returns whether the change
 // needs immediate attention.
-func (t *ReportTable) TakeMachine(now time.Duration, report *wirepb.MachineReport) bool {
+func (t *ReportTable) AddMachine(now time.Duration, report *wirepb.MachineReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.addMachine(report, now)
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -29,7 +29,7 @@
 		{report("a", 2, 1, 1), 12}, // The node restarted.
 		{report("a", 1, 9, 50), 12},
 	} {
-		table.Take(0, step.report)
+		table.Add(0, step.report)
 		if total := table.arrivalCounts()["v"]; total.arrivals != step.total {
 			t.Errorf("after %v: %d arrivals, want %d", step.report, total, step.total)
 		}
@@ -49,7 +49,7 @@
 	} {
 		taken := report("a", step.incarnation, step.sequence, step.arrivals)
 		taken.Demand[0].Work = step.work
-		table.Take(0, taken)
+		table.Add(0, taken)
 		if total := table.arrivalCounts()["v"].work; total != step.total {
 			t.Errorf("after %v: work %d, want %d", taken, total, step.total)
 		}
@@ -61,14 +61,14 @@
 	table := NewReportTable()
 	fresh := &wirepb.MachineReport{Machine: "m", Reachable: true, Incarnation: 2}
 	stale := &wirepb.MachineReport{Machine: "m", Reachable: true, Incarnation: 1, AgeMs: 5000}
-	table.Take(10*time.Second, report("a", 1, 1, 0, fresh))
-	table.Take(10*time.Second, report("b", 1, 1, 0, stale))
+	table.Add(10*time.Second, report("a", 1, 1, 0, fresh))
+	table.Add(10*time.Second, report("b", 1, 1, 0, stale))
 	_, machines := table.snapshot(10 * time.Second)
 	if incarnation := machines["m"].report.GetIncarnation(); incarnation != 2 {
 		t.Errorf("incarnation %d", incarnation)
 	}
 	silent := &wirepb.MachineReport{Machine: "m"}
-	table.Take(20*time.Second, report("a", 1, 2, 0, silent))
+	table.Add(20*time.Second, report("a", 1, 2, 0, silent))
 	_, machines = table.snapshot(20 * time.Second)
 	if held := machines["m"]; held.report.GetIncarnation() != 2 || held.lastReachable != 10*time.Second {
 		t.Errorf("a report on an unreachable engine replaced its last report: %+v", held)
@@ -77,7 +77,7 @@
 
 func TestExpiredEntriesAreRemoved(t *testing.T) {
 	table := NewReportTable()
-	table.Take(0, report("a", 1, 1, 0, &wirepb.MachineReport{Machine: "m", Reachable: true}))
+	table.Add(0, report("a", 1, 1, 0, &wirepb.MachineReport{Machine: "m", Reachable: true}))
 	if nodes, machines := table.snapshot(entryRetention); len(nodes) != 1 || len(machines) != 1 {
 		t.Errorf("entries expired too soon: %v, %v", nodes, machines)
 	}
@@ -95,7 +95,7 @@
 	table := NewReportTable()
 	now := time.Second
 	report := func(node string, incarnation, sequence, answered, errors uint64) {
-		table.Take(now, &wirepb.NodeReport{
+		table.Add(now, &wirepb.NodeReport{
 			Node: node, Incarnation: incarnation, Sequence: sequence, Router: true,
 			Answers: []*wirepb.MachineAnswers{{Machine: "m", Answered: answered, Errors: errors}},
 		})
--- a/internal/instances/condense_test.go
+++ b/internal/instances/condense_test.go
@@ -37,7 +37,7 @@
 		if !complete || !proto.Equal(restored, report) {
 			t.Fatalf("report %d restored as %v", sequence, restored)
 		}
-		table.Take(time.Duration(sequence), "m", restored)
+		table.Add(time.Duration(sequence), "m", restored)
 	}
 	if other := WithContentHash(newHeartbeat(11, 4)); encoder.Encode(other) != other {
 		t.Error("a changed report is not sent in full")
@@ -58,7 +58,7 @@
 	if restored, complete := table.Restore("m", short); complete {
 		t.Errorf("restored without a stored report: %v", restored)
 	}
-	table.Take(0, "m", WithContentHash(newHeartbeat(1, 3)))
+	table.Add(0, "m", WithContentHash(newHeartbeat(1, 3)))
 	if restored, complete := table.Restore("m", short); complete {
 		t.Errorf("restored from different content: %v", restored)
 	}
@@ -66,7 +66,7 @@
 	if complete.GetSequence() != 2 || len(complete.GetModels()) != 2 {
 		t.Errorf("full report is %v", complete)
 	}
-	table.Take(0, "m", complete)
+	table.Add(0, "m", complete)
 	if _, held := table.Restore("m", encoder.Encode(WithContentHash(newHeartbeat(3, 2)))); !held {
 		t.Error("not restored after the full report")
 	}
@@ -99,7 +99,7 @@
 			if !complete {
 				t.Fatalf("seed %d: report %d is not restored from the full report", seed, sequence)
 			}
-			table.Take(time.Duration(sequence), "m", restored)
+			table.Add(time.Duration(sequence), "m", restored)
 			if held := table.Entries()["m"].Report; !proto.Equal(held, report) {
 				t.Fatalf("seed %d: stored report %v, want %v", seed, held, report)
 			}
@@ -133,7 +133,7 @@
 	}
 	encoder, table := NewDeduplicator(), NewTable()
 	report = WithContentHash(report)
-	table.Take(0, "m", encoder.Encode(report))
+	table.Add(0, "m", encoder.Encode(report))
 	restored, complete := table.Restore("m", encoder.Encode(report))
 	if !complete || !proto.Equal(restored, report) {
 		t.Errorf("%v restored as %v", report, restored)
--- a/internal/instances/table.go
+++ b/internal/instances/table.go
@@ -39,7 +39,7 @@
 
 // Add stores a report under the name of the machine's record, unless it is older than the stored one.
 // It returns whether the change needs immediate attention.
-func (t *Table) Take(now time.Duration, name string, report *wirepb.InstanceReport) bool {
+func (t *Table) Add(now time.Duration, name string, report *wirepb.InstanceReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	stored := t.entries[name].Report
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -25,7 +25,7 @@
 // Observation is the state of a machine as seen by agents.
 type Observation struct {
 	// Reported is set once an agent has reported on the machine.
-	Seen bool
+	Reported bool
 	// Incarnation is the last reported incarnation of the engine.
 	Incarnation uint64
 	// SilentFor is the time since an agent last reached the engine.
@@ -109,7 +109,7 @@
 func nextStatus(declared Declared, entry platform.Machine, delisted bool, observed Observation, timeout time.Duration) v1.MachineStatus {
 	status := declared.Status
 	status.Reason = ""
-	silent := !observed.Seen || observed.SilentFor > timeout
+	silent := !observed.Reported || observed.SilentFor > timeout
 	if !silent {
 		status.Incarnation = observed.Incarnation
 	}
@@ -118,7 +118,7 @@
 		status.Phase, status.Reason = v1.MachineGone, "off the machine list and unreachable"
 	case status.Incarnation == 0:
 		status.Phase, status.Reason = v1.MachineLost, "not reached yet"
-	case silent && observed.Seen:
+	case silent && observed.Reported:
 		status.Phase, status.Reason = v1.MachineLost, "its engine can't be reached"
 	case silent:
 		// A new leader has no report yet, so the phase is left as it is.
--- a/internal/policysim/simulation.go
+++ b/internal/policysim/simulation.go
@@ -219,7 +219,7 @@
 	}
 	s.passed = s.Now()
 	for _, router := range s.routers {
-		s.reports.Take(s.Now(), router.report())
+		s.reports.Add(s.Now(), router.report())
 	}
 	s.decider.Observe(s.state)
 	s.commit(s.decider.MachineWrites(s.Now(), nil))
