--- a/internal/nodeview/suspects.go
+++ b/internal/nodeview/suspects.go
@@ -44,7 +44,7 @@
 }
 
 // IsReplaced reports whether another live machine has the endpoint of a machine.
-func (v *View) Replaced(name, endpoint string) bool {
+func (v *View) IsReplaced(name, endpoint string) bool {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	for other, machine := range v.machines {
--- a/internal/nodeview/targets.go
+++ b/internal/nodeview/targets.go
@@ -116,17 +116,17 @@
 
 // AnswerReporter encodes a router's answer counts for its reports, without machines whose counts are
 // unchanged since the last report.
-type AnswerNews struct {
+type AnswerReporter struct {
 	reported map[string]dispatch.Answers
 }
 
 // NewAnswerReporter returns an AnswerReporter for a router's first report.
-func NewAnswerNews() *AnswerNews {
-	return &AnswerNews{reported: map[string]dispatch.Answers{}}
+func NewAnswerReporter() *AnswerReporter {
+	return &AnswerReporter{reported: map[string]dispatch.Answers{}}
 }
 
 // Messages returns the entries of the next report, sorted by machine.
-func (n *AnswerNews) Messages(counts map[string]dispatch.Answers) []*wirepb.MachineAnswers {
+func (n *AnswerReporter) Messages(counts map[string]dispatch.Answers) []*wirepb.MachineAnswers {
 	var messages []*wirepb.MachineAnswers
 	for machine, entry := range counts {
 		if n.reported[machine] == entry {
@@ -146,17 +146,17 @@
 
 // DemandReporter encodes a router's demand for its reports, without versions that had no new requests
 // since the last report and have none waiting or running.
-type DemandNews struct {
+type DemandReporter struct {
 	reported map[string]uint64
 }
 
 // NewDemandReporter returns a DemandReporter for a router's first report.
-func NewDemandNews() *DemandNews {
-	return &DemandNews{reported: map[string]uint64{}}
+func NewDemandReporter() *DemandReporter {
+	return &DemandReporter{reported: map[string]uint64{}}
 }
 
 // Messages returns the entries of the next report.
-func (n *DemandNews) Messages(demands []dispatch.Demand) []*wirepb.ModelDemand {
+func (n *DemandReporter) Messages(demands []dispatch.Demand) []*wirepb.ModelDemand {
 	var messages []*wirepb.ModelDemand
 	for _, demand := range demands {
 		key := demand.Version + keySeparator + demand.Adapter + keySeparator + demand.Allowed.Key()
--- a/internal/nodeview/view.go
+++ b/internal/nodeview/view.go
@@ -426,7 +426,7 @@
 }
 
 // DecisionRevision returns the revision of the newest replica decision for a machine, or 0.
-func (v *View) DecidedFor(machine string) uint64 {
+func (v *View) DecisionRevision(machine string) uint64 {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.decisionRevisions[machine]
--- a/internal/nodeview/warming_bench_test.go
+++ b/internal/nodeview/warming_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// BenchmarkEachThatMayWarmUp measures the visit for each digest, with and without warming pools.
-func BenchmarkEachThatMayWarmUp(b *testing.B) {
+// BenchmarkEachWarmUpCandidate measures the visit for each digest, with and without warming pools.
+func BenchmarkEachWarmUpCandidate(b *testing.B) {
 	const machines, replicasOnEach = 3000, 3
 	for _, warming := range []*v1.WarmingSpec{nil, {RequestsPerSecond: 5}} {
 		var events []*wirepb.WatchEvent
@@ -30,7 +30,7 @@
 		view.Apply(feed.Changes{Events: events, Revision: 1, Reset: true})
 		b.Run(fmt.Sprintf("declared=%t", warming != nil), func(b *testing.B) {
 			for b.Loop() {
-				view.EachThatMayWarmUp(func(string, uint64) {})
+				view.EachWarmUpCandidate(func(string, uint64) {})
 			}
 		})
 	}
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -186,7 +186,7 @@
 // RaiseLimits doubles the limits of a version, and of an adapter unless it is empty, where they are
 // below the number of members. It returns whether any limit was raised; the next Update selects the
 // additional members.
-func (s *Subset) Raise(version, adapter string) bool {
+func (s *Subset) RaiseLimits(version, adapter string) bool {
 	raised := false
 	for region := range s.index.regions {
 		raised = s.raiseLimit(groupKey{kind: versionGroup, name: version, region: region}) || raised
