--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -178,8 +178,8 @@
 			host.usedSlots += len(loading)
 		}
 		for _, replica := range r.replicas[name] {
-			adapters, held := engine.Models[replica.spec.Checkpoint]
-			if held && replica.spec.Phase == v1.ReplicaReady {
+			adapters, loaded := engine.Models[replica.spec.Checkpoint]
+			if loaded && replica.spec.Phase == v1.ReplicaReady {
 				host.versions[replica.spec.Version] = hostedVersion{
 					model: replica.spec.Checkpoint, adapters: adapters, loading: engine.LoadingAdapters[replica.spec.Checkpoint],
 				}
@@ -195,8 +195,8 @@
 func selectAdapterHost(hosts []*adapterHost, demand AdapterDemand, lastUsed map[adapterKey]time.Duration) *adapterHost {
 	var best *adapterHost
 	for _, host := range hosts {
-		version, held := host.versions[demand.Version]
-		if !held || host.slots == 0 || !demand.Allowed.Allows(host.region) {
+		version, loaded := host.versions[demand.Version]
+		if !loaded || host.slots == 0 || !demand.Allowed.Allows(host.region) {
 			continue
 		}
 		if slices.Contains(version.adapters, demand.Adapter) || slices.Contains(version.loading, demand.Adapter) {
@@ -214,33 +214,33 @@
 	return best
 }
 
-func (p *adapterHost) isPreferredTo(other *adapterHost) bool {
-	if p.busy != other.busy {
-		return !p.busy
+func (h *adapterHost) isPreferredTo(other *adapterHost) bool {
+	if h.busy != other.busy {
+		return !h.busy
 	}
-	return p.usedSlots < other.usedSlots
+	return h.usedSlots < other.usedSlots
 }
 
 // assign returns the tasks that make the adapter available on the host. Without a free slot, this is
 // only the eviction of another adapter.
-func (p *adapterHost) assign(demand AdapterDemand, lastUsed map[adapterKey]time.Duration) []orders.AdapterTask {
-	load := orders.AdapterTask{Model: p.versions[demand.Version].model, Adapter: demand.Adapter}
-	if p.usedSlots < p.slots {
-		p.usedSlots++
+func (h *adapterHost) assign(demand AdapterDemand, lastUsed map[adapterKey]time.Duration) []orders.AdapterTask {
+	load := orders.AdapterTask{Model: h.versions[demand.Version].model, Adapter: demand.Adapter}
+	if h.usedSlots < h.slots {
+		h.usedSlots++
 		return []orders.AdapterTask{load}
 	}
-	version, adapter := p.leastRecentlyUsed(demand.Now, lastUsed)
+	version, adapter := h.leastRecentlyUsed(demand.Now, lastUsed)
 	// The load follows in a later pass, when the slot is free.
-	return []orders.AdapterTask{{Model: p.versions[version].model, Adapter: adapter, Drop: true}}
+	return []orders.AdapterTask{{Model: h.versions[version].model, Adapter: adapter, Drop: true}}
 }
 
 // leastRecentlyUsed returns the least recently used adapter that may be evicted, or empty strings if
 // there is none.
-func (p *adapterHost) leastRecentlyUsed(now time.Duration, lastUsed map[adapterKey]time.Duration) (version, adapter string) {
+func (h *adapterHost) leastRecentlyUsed(now time.Duration, lastUsed map[adapterKey]time.Duration) (version, adapter string) {
 	first := true
 	var oldest time.Duration
-	for _, name := range slices.Sorted(maps.Keys(p.versions)) {
-		for _, candidate := range p.versions[name].adapters {
+	for _, name := range slices.Sorted(maps.Keys(h.versions)) {
+		for _, candidate := range h.versions[name].adapters {
 			lastUse, found := lastUsed[adapterKey{name, candidate}]
 			if found && now-lastUse < adapterEvictionIdle {
 				continue
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -166,8 +166,8 @@
 		return false
 	}
 	c.lastSweep = now
-	held, _ := machine.OpenClaims()
-	return held > 0
+	open, _ := machine.OpenClaims()
+	return open > 0
 }
 
 // Digest returns the soft state to broadcast, or nil if no digest is due.
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -86,12 +86,12 @@
 		}
 	}
 	for _, declared := range r.versions {
-		held, isReady := present[declared.name]
+		loaded, isReady := present[declared.name]
 		if !isReady {
 			continue
 		}
 		for _, adapter := range declared.spec.Adapters {
-			if held[adapter] {
+			if loaded[adapter] {
 				continue
 			}
 			_, used := lastUsed[adapterKey{declared.name, adapter}]
@@ -124,9 +124,9 @@
 func selectPrefetchHost(hosts []*adapterHost, version string, assigned map[string]orders.AdapterTask) *adapterHost {
 	var best *adapterHost
 	for _, host := range hosts {
-		hosted, held := host.versions[version]
+		hosted, loaded := host.versions[version]
 		_, isAssigned := assigned[host.machine]
-		if !held || isAssigned || len(hosted.loading) > 0 {
+		if !loaded || isAssigned || len(hosted.loading) > 0 {
 			continue
 		}
 		if best == nil || host.usedSlots < best.usedSlots {
--- a/internal/controller/registered.go
+++ b/internal/controller/registered.go
@@ -67,20 +67,20 @@
 
 // RegisteredFleetCache keeps the snapshot of the newest revision. Snapshots are not modified.
 type RegisteredFleetCache struct {
-	Places places.Map
-	mutex  sync.Mutex
-	held   *RegisteredFleet
+	Places   places.Map
+	mutex    sync.Mutex
+	snapshot *RegisteredFleet
 }
 
 // Read returns a snapshot of the state's revision. The caller must hold the state's lock.
 func (c *RegisteredFleetCache) Read(machine *state.Machine) *RegisteredFleet {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.held == nil || c.held.revision != machine.Revision() {
-		c.held = ReadRegisteredFleet(machine)
-		c.held.places = c.Places
+	if c.snapshot == nil || c.snapshot.revision != machine.Revision() {
+		c.snapshot = ReadRegisteredFleet(machine)
+		c.snapshot.places = c.Places
 	}
-	return c.held
+	return c.snapshot
 }
 
 func (r *RegisteredFleet) add(object *wirepb.Object, spec v1.Spec, status v1.MachineStatus) {
@@ -184,8 +184,8 @@
 			continue
 		}
 		for _, replica := range r.replicas[name] {
-			adapters, held := engine.Models[replica.spec.Checkpoint]
-			if !held || written[replica.object.GetName()] {
+			adapters, loaded := engine.Models[replica.spec.Checkpoint]
+			if !loaded || written[replica.object.GetName()] {
 				continue
 			}
 			if write := adapterWrite(replica, adapters); write != nil {
@@ -227,10 +227,10 @@
 func (r *RegisteredFleet) report(machine string, engine orders.State) *wirepb.MachineReport {
 	report := &wirepb.MachineReport{Machine: machine, Incarnation: state.RegisteredIncarnation, Reachable: true, Fence: r.revision}
 	for _, replica := range r.replicas[machine] {
-		_, held := engine.Models[replica.spec.Checkpoint]
+		_, loaded := engine.Models[replica.spec.Checkpoint]
 		phase := ""
 		switch {
-		case held:
+		case loaded:
 			phase = placement.EngineReady
 		case engine.Loading == replica.spec.Checkpoint:
 			phase = placement.EngineLoading
--- a/internal/controller/registered_test.go
+++ b/internal/controller/registered_test.go
@@ -168,8 +168,8 @@
 	if result := machine.Apply(data); result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
 		t.Fatal(result.GetMessage())
 	}
-	if held := cache.Read(machine).replicas["m"]; len(held) != 0 {
-		t.Errorf("deleted record is still in the snapshot: %v", held)
+	if replicas := cache.Read(machine).replicas["m"]; len(replicas) != 0 {
+		t.Errorf("deleted record is still in the snapshot: %v", replicas)
 	}
 }
 
@@ -274,12 +274,12 @@
 func TestAdapterUpdatesShareDecisionCommit(t *testing.T) {
 	machine := fleetState(t)
 	registered := ReadRegisteredFleet(machine)
-	held := engineStateOf(orders.State{Models: map[string][]string{"red": {"a1"}}})
-	if writes := registered.Adopt(held); len(writes) != 0 {
+	engine := engineStateOf(orders.State{Models: map[string][]string{"red": {"a1"}}})
+	if writes := registered.Adopt(engine); len(writes) != 0 {
 		t.Errorf("separate writes for the adapters of a recorded replica: %v", writes)
 	}
 	other := &wirepb.ObjectWrite{Object: &wirepb.Object{Kind: string(v1.KindModel), Name: "green", Spec: []byte("{}")}}
-	writes := registered.WithAdapters([]*wirepb.ObjectWrite{other}, held)
+	writes := registered.WithAdapters([]*wirepb.ObjectWrite{other}, engine)
 	if len(writes) != 2 || writes[0] != other || writes[1].GetObject().GetName() != "record" {
 		t.Fatalf("%d writes: %v", len(writes), writes)
 	}
@@ -290,7 +290,7 @@
 	if result := machine.Apply(data); result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
 		t.Error(result.GetMessage())
 	}
-	if writes = ReadRegisteredFleet(machine).WithAdapters(nil, held); len(writes) != 0 {
+	if writes = ReadRegisteredFleet(machine).WithAdapters(nil, engine); len(writes) != 0 {
 		t.Errorf("unchanged adapters are written again: %v", writes)
 	}
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -106,15 +106,15 @@
 
 // countArrivals adds the increments of a report's counters to the fleet's. Reports omit versions with
 // unchanged counters.
-func (t *ReportTable) countArrivals(held, report *wirepb.NodeReport) {
-	counted, hasBaseline := t.counted.totalsFor(held, report)
+func (t *ReportTable) countArrivals(previous, report *wirepb.NodeReport) {
+	counted, hasBaseline := t.counted.totalsFor(previous, report)
 	for _, demand := range report.GetDemand() {
 		if isPartialDemand(demand) {
 			continue // Included in the version's entry.
 		}
 		if target := demand.GetTargetMs(); target > 0 {
-			held := t.targets[demand.GetVersion()]
-			if held == 0 || target < held {
+			shortest := t.targets[demand.GetVersion()]
+			if shortest == 0 || target < shortest {
 				t.targets[demand.GetVersion()] = target
 			}
 		}
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -70,8 +70,8 @@
 	silent := &wirepb.MachineReport{Machine: "m"}
 	table.Add(20*time.Second, report("a", 1, 2, 0, silent))
 	_, machines = table.snapshot(20 * time.Second)
-	if held := machines["m"]; held.report.GetIncarnation() != 2 || held.lastReachable != 10*time.Second {
-		t.Errorf("a report on an unreachable engine replaced its last report: %+v", held)
+	if entry := machines["m"]; entry.report.GetIncarnation() != 2 || entry.lastReachable != 10*time.Second {
+		t.Errorf("a report on an unreachable engine replaced its last report: %+v", entry)
 	}
 }
 
--- a/internal/controller/warming.go
+++ b/internal/controller/warming.go
@@ -35,7 +35,7 @@
 		machine := warming.Machine{
 			Zone: declared.Spec.Zone, Lost: declared.Status.Phase == v1.MachineLost, Declared: c.stored.warmingSpec(declared.Spec.Pool) != nil,
 		}
-		if entry, heard := entries[name]; heard {
+		if entry, reported := entries[name]; reported {
 			machine.Report = &warming.Report{
 				Received: entry.Received, Remaining: time.Duration(entry.Report.GetWarmingMs()) * time.Millisecond,
 			}
--- a/internal/instances/condense_test.go
+++ b/internal/instances/condense_test.go
@@ -67,7 +67,7 @@
 		t.Errorf("full report is %v", complete)
 	}
 	table.Add(0, "m", complete)
-	if _, held := table.Restore("m", encoder.Encode(WithContentHash(newHeartbeat(3, 2)))); !held {
+	if _, isRestored := table.Restore("m", encoder.Encode(WithContentHash(newHeartbeat(3, 2)))); !isRestored {
 		t.Error("not restored after the full report")
 	}
 }
@@ -100,8 +100,8 @@
 				t.Fatalf("seed %d: report %d is not restored from the full report", seed, sequence)
 			}
 			table.Add(time.Duration(sequence), "m", restored)
-			if held := table.Entries()["m"].Report; !proto.Equal(held, report) {
-				t.Fatalf("seed %d: stored report %v, want %v", seed, held, report)
+			if stored := table.Entries()["m"].Report; !proto.Equal(stored, report) {
+				t.Fatalf("seed %d: stored report %v, want %v", seed, stored, report)
 			}
 		}
 	}
--- a/internal/nodeview/routing.go
+++ b/internal/nodeview/routing.go
@@ -70,13 +70,13 @@
 	}
 	for _, group := range v.replicas {
 		for name, replica := range group {
-			if target, is := v.replicaTarget(name, replica); is {
+			if target, isTarget := v.replicaTarget(name, replica); isTarget {
 				add(target)
 			}
 		}
 	}
 	for name, machine := range v.machines {
-		if target, is := v.machineTarget(name, machine); is {
+		if target, isTarget := v.machineTarget(name, machine); isTarget {
 			add(target)
 		}
 	}
@@ -148,9 +148,9 @@
 	}
 	var changes dispatch.TargetChanges
 	for name := range dirty {
-		target, is := v.targetByName(name)
+		target, isTarget := v.targetByName(name)
 		switch {
-		case !is:
+		case !isTarget:
 			changes.Removed = append(changes.Removed, name)
 		case v.zoneDrains[target.Zone].Drained:
 			changes.Drained = append(changes.Drained, target)
--- a/internal/nodeview/subset_bench_test.go
+++ b/internal/nodeview/subset_bench_test.go
@@ -47,14 +47,14 @@
 	}
 	position := places.Position{Zone: "zone-1", Map: places.NewMap(zones)}
 	for _, machines := range []int{1000, 10_000, 20_000} {
-		whole := fleetEvents(machines)
+		all := fleetEvents(machines)
 		index := subset.NewIndex(position.Map)
-		index.Apply(whole, uint64(len(whole)), true)
+		index.Apply(all, uint64(len(all)), true)
 		part := index.Subset(position).Update()
 		for _, way := range []struct {
 			name   string
 			events []*wirepb.WatchEvent
-		}{{"whole", whole}, {"subset", part}} {
+		}{{"whole", all}, {"subset", part}} {
 			b.Run(fmt.Sprintf("%s/%d", way.name, machines), func(b *testing.B) {
 				for range b.N {
 					// A node has its own copy of each object.
@@ -68,7 +68,7 @@
 							Spec: append([]byte(nil), object.GetSpec()...), Status: append([]byte(nil), object.GetStatus()...),
 						}})
 					}
-					view.Apply(feed.Changes{Events: copied, Revision: uint64(len(whole)), Reset: true})
+					view.Apply(feed.Changes{Events: copied, Revision: uint64(len(all)), Reset: true})
 					copied = nil
 					b.ReportMetric(float64(heapBytes()-before)/1e6, "MB")
 					b.ReportMetric(float64(len(way.events)), "objects")
--- a/internal/nodeview/targets_test.go
+++ b/internal/nodeview/targets_test.go
@@ -85,39 +85,39 @@
 // The target changes, applied in order, must result in the list of all targets.
 func TestTargetChangesMatchFullList(t *testing.T) {
 	for seed := range uint64(30) {
-		course := &targetSimulation{t: t, random: rand.New(rand.NewPCG(seed, 9)), view: New()}
-		held, drained := map[string]dispatch.Target{}, map[string]bool{}
+		simulation := &targetSimulation{t: t, random: rand.New(rand.NewPCG(seed, 9)), view: New()}
+		targets, drained := map[string]dispatch.Target{}, map[string]bool{}
 		for number := range 400 {
-			course.step()
-			if course.random.IntN(3) == 0 {
+			simulation.step()
+			if simulation.random.IntN(3) == 0 {
 				continue // Leave several changes for the next call.
 			}
-			changes := course.view.TakeTargetChanges()
+			changes := simulation.view.TakeTargetChanges()
 			if changes.Full {
-				clear(held)
+				clear(targets)
 				clear(drained)
 			}
 			for _, target := range changes.Targets {
-				held[target.Replica] = target
+				targets[target.Replica] = target
 				delete(drained, target.Replica)
 			}
 			for _, name := range changes.Removed {
-				delete(held, name)
+				delete(targets, name)
 				delete(drained, name)
 			}
 			for _, target := range changes.Drained {
-				delete(held, target.Replica)
+				delete(targets, target.Replica)
 				drained[target.Replica] = true
 			}
-			whole := map[string]dispatch.Target{}
-			for _, target := range course.view.RegisteredTargets() {
-				whole[target.Replica] = target
+			want := map[string]dispatch.Target{}
+			for _, target := range simulation.view.RegisteredTargets() {
+				want[target.Replica] = target
 			}
-			if !reflect.DeepEqual(held, whole) {
-				t.Fatalf("seed %d, step %d: targets %v, want %v", seed, number, slices.Sorted(maps.Keys(held)), slices.Sorted(maps.Keys(whole)))
+			if !reflect.DeepEqual(targets, want) {
+				t.Fatalf("seed %d, step %d: targets %v, want %v", seed, number, slices.Sorted(maps.Keys(targets)), slices.Sorted(maps.Keys(want)))
 			}
-			if apart := course.drained(); !maps.Equal(drained, apart) {
-				t.Fatalf("seed %d, step %d: drained targets %v, want %v", seed, number, drained, apart)
+			if excluded := simulation.drained(); !maps.Equal(drained, excluded) {
+				t.Fatalf("seed %d, step %d: drained targets %v, want %v", seed, number, drained, excluded)
 			}
 		}
 	}
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -54,35 +54,35 @@
 }
 
 // engineForUpdate returns an engine and invalidates its cached state.
-func (c *Planner) engineForUpdate(machine string) *engine {
-	e := c.engine(machine)
+func (p *Planner) engineForUpdate(machine string) *engine {
+	e := p.engine(machine)
 	e.state = nil
 	return e
 }
 
-func (c *Planner) engine(machine string) *engine {
-	e := c.engines[machine]
+func (p *Planner) engine(machine string) *engine {
+	e := p.engines[machine]
 	if e == nil {
 		e = &engine{
 			models: map[string]map[string]bool{}, missing: map[string]absence{}, adapters: map[AdapterTask]time.Duration{},
 		}
-		c.engines[machine] = e
+		p.engines[machine] = e
 	}
 	return e
 }
 
 // Forget removes all engines except the listed ones.
-func (c *Planner) Forget(listed map[string]bool) {
-	for name := range c.engines {
+func (p *Planner) Forget(listed map[string]bool) {
+	for name := range p.engines {
 		if !listed[name] {
-			delete(c.engines, name)
+			delete(p.engines, name)
 		}
 	}
 }
 
 // AddReport updates the state of an engine from a report.
-func (c *Planner) AddReport(now time.Duration, machine string, report Report) {
-	e := c.engineForUpdate(machine)
+func (p *Planner) AddReport(now time.Duration, machine string, report Report) {
+	e := p.engineForUpdate(machine)
 	if report.Polled {
 		e.polling = false
 		e.pollDue = now + pollInterval
@@ -104,8 +104,8 @@
 }
 
 // PollFailed records that an engine did not answer a poll.
-func (c *Planner) PollFailed(now time.Duration, machine string) {
-	e := c.engine(machine)
+func (p *Planner) PollFailed(now time.Duration, machine string) {
+	e := p.engine(machine)
 	e.polling = false
 	e.pollDue = now + pollRetry
 	if !e.reported {
@@ -121,12 +121,12 @@
 
 // Plan returns the orders and polls that are due. The caller must report the outcome of each to
 // RecordOutcome, AddReport or PollFailed.
-func (c *Planner) Plan(now time.Duration, desired []DesiredState) Plan {
+func (p *Planner) Plan(now time.Duration, desired []DesiredState) Plan {
 	var plan Plan
 	sortByWork(desired)
-	firstPolls := c.pendingFirstPolls()
+	firstPolls := p.pendingFirstPolls()
 	for _, entry := range desired {
-		e := c.engine(entry.Machine)
+		e := p.engine(entry.Machine)
 		if !e.reported && !e.polling && now >= e.pollDue && firstPolls < maxFirstPolls {
 			firstPolls++
 			e.polling = true
@@ -145,7 +145,7 @@
 		if !e.sequenceKnown {
 			continue
 		}
-		if hasModelOrder && (!modelOrder.FromStore || c.pacer.Allow(now)) {
+		if hasModelOrder && (!modelOrder.FromStore || p.pacer.Allow(now)) {
 			modelOrder.Expected = e.sequence
 			e.sending, e.state = true, nil
 			plan.Orders = append(plan.Orders, modelOrder)
@@ -165,9 +165,9 @@
 }
 
 // pendingFirstPolls counts the polls in progress of engines that have not reported yet.
-func (c *Planner) pendingFirstPolls() int {
+func (p *Planner) pendingFirstPolls() int {
 	count := 0
-	for _, e := range c.engines {
+	for _, e := range p.engines {
 		if e.polling && !e.reported {
 			count++
 		}
@@ -190,16 +190,16 @@
 	})
 }
 
-func (w DesiredState) maxWork() float64 {
-	if len(w.Load) == 0 {
+func (d DesiredState) maxWork() float64 {
+	if len(d.Load) == 0 {
 		return 0
 	}
-	return w.Load[0].Work
+	return d.Load[0].Work
 }
 
 // RecordOutcome updates the state of an engine after an order was sent.
-func (c *Planner) RecordOutcome(now time.Duration, order Order, outcome Outcome) {
-	e := c.engineForUpdate(order.Machine)
+func (p *Planner) RecordOutcome(now time.Duration, order Order, outcome Outcome) {
+	e := p.engineForUpdate(order.Machine)
 	e.sending = false
 	if outcome != Accepted {
 		delete(e.adapters, order.adapterTask())
@@ -235,7 +235,7 @@
 	// Settled is set once there were enough reports in this term to conclude that models missing from
 	// them are not loaded.
 	Settled bool
-	// Busy is set while a model order is sent or in progress.
+	// Busy is set while an order is being sent, or a model order is in progress.
 	Busy   bool
 	Memory []string
 	Disk   []string
@@ -243,14 +243,14 @@
 
 // State returns the known state of an engine, and false if it has not reported. The state is cached
 // until the next change and must not be modified.
-func (c *Planner) State(now time.Duration, machine string) (State, bool) {
-	e := c.engines[machine]
+func (p *Planner) State(now time.Duration, machine string) (State, bool) {
+	e := p.engines[machine]
 	if e == nil || !e.reported {
 		return State{}, false
 	}
 	settled := e.reports >= minMissingReports && now-e.firstReport >= minMissingTime
 	if e.state == nil || e.state.Settled != settled {
-		c.stateBuilds++
+		p.stateBuilds++
 		e.state = e.buildState(settled)
 	}
 	return *e.state, true
--- a/internal/orders/state_test.go
+++ b/internal/orders/state_test.go
@@ -41,29 +41,29 @@
 func TestStateReflectsEveryChange(t *testing.T) {
 	planner := NewPlanner(NewPacer())
 	state := func(now time.Duration) State {
-		held, _ := planner.State(now, "m")
-		return held
+		engine, _ := planner.State(now, "m")
+		return engine
 	}
 	report := Report{Models: map[string][]string{"model": nil}, Polled: true}
 	planner.AddReport(0, "m", report)
-	if held := state(0); held.Settled || held.Busy {
-		t.Errorf("after the first report: %+v", held)
+	if engine := state(0); engine.Settled || engine.Busy {
+		t.Errorf("after the first report: %+v", engine)
 	}
 	desired := []DesiredState{{Machine: "m", Adapters: []AdapterTask{{Model: "model", Adapter: "a"}}}}
 	plan := planner.Plan(time.Millisecond, desired)
-	if held := state(time.Millisecond); len(plan.Orders) != 1 || !held.Busy || len(held.LoadingAdapters["model"]) != 1 {
-		t.Fatalf("while the order is being sent: %+v", held)
+	if engine := state(time.Millisecond); len(plan.Orders) != 1 || !engine.Busy || len(engine.LoadingAdapters["model"]) != 1 {
+		t.Fatalf("while the order is being sent: %+v", engine)
 	}
 	planner.RecordOutcome(2*time.Millisecond, plan.Orders[0], Accepted)
-	if held := state(2 * time.Millisecond); held.Busy || len(held.LoadingAdapters["model"]) != 1 {
-		t.Errorf("after the order was accepted: %+v", held)
+	if engine := state(2 * time.Millisecond); engine.Busy || len(engine.LoadingAdapters["model"]) != 1 {
+		t.Errorf("after the order was accepted: %+v", engine)
 	}
 	planner.Plan(2*AdapterLoadTime, desired)
-	if held := state(2 * AdapterLoadTime); len(held.LoadingAdapters) != 0 || len(held.Models["model"]) != 1 {
-		t.Errorf("after the adapter was loaded: %+v", held)
+	if engine := state(2 * AdapterLoadTime); len(engine.LoadingAdapters) != 0 || len(engine.Models["model"]) != 1 {
+		t.Errorf("after the adapter was loaded: %+v", engine)
 	}
 	planner.AddReport(2*time.Second, "m", Report{Models: map[string][]string{"model": {"a"}}})
-	if held := state(2 * time.Second); !held.Settled {
-		t.Errorf("after two reports: %+v", held)
+	if engine := state(2 * time.Second); !engine.Settled {
+		t.Errorf("after two reports: %+v", engine)
 	}
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -225,8 +225,8 @@
 	usable := 0
 	remaining := s.selected[g][:0:0]
 	for _, member := range s.selected[g] {
-		host, is := g.members[member]
-		if !is {
+		host, isMember := g.members[member]
+		if !isMember {
 			continue
 		}
 		remaining = append(remaining, member)
@@ -320,8 +320,8 @@
 	inside, outside := 0, firstOutside
 	names := make([]string, 0, len(sorted))
 	for inside < firstOutside || outside < len(sorted) {
-		isTurn := len(names)%otherZoneInterval == otherZoneInterval-1
-		takesOutside := outside < len(sorted) && (inside == firstOutside || sorted[outside].usable && isTurn)
+		outsideDue := len(names)%otherZoneInterval == otherZoneInterval-1
+		takesOutside := outside < len(sorted) && (inside == firstOutside || sorted[outside].usable && outsideDue)
 		if takesOutside {
 			names = append(names, sorted[outside].name)
 			outside++
