--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,7 +49,7 @@
 	// Quota bounds by how much tenants may exceed their limits.
 	Quota  quota.Bound
 	Places places.Map
-	// Routers is the number of routers known in the preceding term, if known.
+	// Routers is the number of routers in the preceding term, if known.
 	Routers int
 }
 
