--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -27,7 +27,7 @@
 				status.Learners = append(status.Learners, id)
 			}
 			peers[id] = raft.PeerState{
-				Silent: time.Duration(parseUint(t, fields[2])) * time.Second, Match: status.Last - parseUint(t, fields[3]),
+				InactiveFor: time.Duration(parseUint(t, fields[2])) * time.Second, Match: status.Last - parseUint(t, fields[3]),
 			}
 		}
 		next := NextMembership(status, peers, 3, 30*time.Second)
