--- a/internal/nodeview/subset_bench_test.go
+++ b/internal/nodeview/subset_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// fleetEvents are a fleet of engines in six zones with two replicas each: of 50 busy versions, and
-// one replica of each of 250 rare ones.
+// fleetEvents returns events that list a fleet in six zones, with two replicas on each machine: of 50
+// busy versions, and one replica each of 250 rare versions.
 func fleetEvents(machines int) []*wirepb.WatchEvent {
 	var events []*wirepb.WatchEvent
 	put := func(kind v1.Kind, name, spec, status string) {
@@ -38,27 +38,27 @@
 	return events
 }
 
-// BenchmarkFleetInAView tells the memory of a node's view of all machines, and of the subset that a
-// node of one zone learns of.
-func BenchmarkFleetInAView(b *testing.B) {
+// BenchmarkViewMemory measures the memory of a view of the whole fleet, and of the subset for a node in
+// one zone.
+func BenchmarkViewMemory(b *testing.B) {
 	zones := map[string]string{}
 	for number := range 6 {
 		zones[fmt.Sprint("zone-", number)] = "region"
 	}
 	position := places.Position{Zone: "zone-1", Map: places.NewMap(zones)}
 	for _, machines := range []int{1000, 10_000, 20_000} {
-		whole := fleetEvents(machines)
+		all := fleetEvents(machines)
 		index := subset.NewIndex(position.Map)
-		index.Apply(whole, uint64(len(whole)), true)
+		index.Apply(all, uint64(len(all)), true)
 		part := index.Subset(position).Update()
 		for _, way := range []struct {
 			name   string
 			events []*wirepb.WatchEvent
-		}{{"whole", whole}, {"subset", part}} {
+		}{{"whole", all}, {"subset", part}} {
 			b.Run(fmt.Sprintf("%s/%d", way.name, machines), func(b *testing.B) {
 				for range b.N {
-					// The objects are copied, since a node has its own.
-					before := heldBytes()
+					// A node has its own copy of each object.
+					before := heapBytes()
 					view := NewAt(position)
 					copied := make([]*wirepb.WatchEvent, 0, len(way.events))
 					for _, event := range way.events {
@@ -68,9 +68,9 @@
 							Spec: append([]byte(nil), object.GetSpec()...), Status: append([]byte(nil), object.GetStatus()...),
 						}})
 					}
-					view.Apply(feed.Changes{Events: copied, Revision: uint64(len(whole)), Reset: true})
+					view.Apply(feed.Changes{Events: copied, Revision: uint64(len(all)), Reset: true})
 					copied = nil
-					b.ReportMetric(float64(heldBytes()-before)/1e6, "MB")
+					b.ReportMetric(float64(heapBytes()-before)/1e6, "MB")
 					b.ReportMetric(float64(len(way.events)), "objects")
 					runtime.KeepAlive(view)
 				}
@@ -79,7 +79,7 @@
 	}
 }
 
-func heldBytes() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
