--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -81,7 +81,7 @@
 	t.answers.update(now, previous, report)
 	t.recordAdapterUse(now, report)
 	if t.quotas != nil && report.GetRouter() {
-		t.quotas.Take(now, quotaReport(report))
+		t.quotas.ApplyReport(now, quotaReport(report))
 	}
 	urgent := previous == nil || demandGrew(previous, report) || len(report.GetUnreachable()) > len(previous.GetUnreachable()) ||
 		len(report.GetLeaving()) > len(previous.GetLeaving())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -214,7 +214,7 @@
 func (n *Node) handleResume(time.Duration) {
 	if n.ingress != nil {
 		n.ingress.client.Woke()
-		n.ingress.ingress.Woke()
+		n.ingress.ingress.Resumed()
 	}
 	if n.router != nil {
 		n.router.client.Woke()
