--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -14,106 +14,105 @@
 
 const (
 	copyBufferBytes = 4 << 10
-	// maxDiscarded bounds what is read of an answer that is not passed on, to
-	// keep its connection.
-	maxDiscarded = 16 << 10
+	// maxDiscardBytes bounds the bytes read of a response that is not relayed. Reading
+	// it to the end allows its connection to be reused.
+	maxDiscardBytes = 16 << 10
 )
 
-// pass passes a machine's answer on to the caller, unless it proves that the
-// request may go elsewhere.
-func (j *job) pass(ctx context.Context, answer *upstream.Answer, grant *dispatch.Grant) attemptEnd {
-	verdict := j.ingress.options.Translator.Judge(answer.Status, answer.Header, j.attributes.ID)
-	j.noteStatement(grant, verdict)
+// handleResponse relays a machine's response to the client, unless the response allows a
+// retry.
+func (j *job) handleResponse(ctx context.Context, response *upstream.Answer, grant *dispatch.Grant) attemptOutcome {
+	verdict := j.ingress.options.Translator.Judge(response.Status, response.Header, j.attributes.ID)
+	j.recordStatement(grant, verdict)
 	if verdict.NotRun {
-		discard(answer)
+		discard(response)
 		if verdict.Elsewhere {
-			return endElsewhere
+			return outcomeWrongMachine
 		}
-		return endNotRun
+		return outcomeNotRun
 	}
 	j.ingress.dispatcher.Started(grant)
 	j.mayHaveRun = true
 	if !verdict.Genuine {
-		j.log("foreign_answer", "machine", grant.Target.Machine, "status", answer.Status)
-		return endFailed
+		j.log("foreign_answer", "machine", grant.Target.Machine, "status", response.Status)
+		return outcomeFailed
 	}
-	if answer.Status >= http.StatusInternalServerError && j.canRepeatError(grant.Target.Machine) {
-		j.keepError(answer)
-		return endError
+	if response.Status >= http.StatusInternalServerError && j.mayRetryError(grant.Target.Machine) {
+		j.saveError(response)
+		return outcomeRetriableError
 	}
-	end := j.relay(ctx, answer)
-	if end == endAnswered && answer.Status >= http.StatusInternalServerError {
-		return endErrorAnswered
+	outcome := j.relay(ctx, response)
+	if outcome == outcomeAnswered && response.Status >= http.StatusInternalServerError {
+		return outcomeErrorAnswered
 	}
-	return end
+	return outcome
 }
 
-// canRepeatError reports whether a machine's own failure is tried elsewhere rather
-// than passed on: nothing has gone to the caller yet, the request may run again, and
-// another machine could take it.
-func (j *job) canRepeatError(machine string) bool {
-	return j.route.Spec.Repeatable() && j.ingress.dispatcher.HasAlternative(j.wanted, machine) && j.reserveRetry()
+// mayRetryError reports whether the request is retried after a server error of a
+// machine, instead of relaying the error.
+func (j *job) mayRetryError(machine string) bool {
+	return j.route.Spec.Repeatable() && j.ingress.dispatcher.HasAlternative(j.dispatchRequest, machine) && j.reserveRetry()
 }
 
-// errorAnswer is a machine's own failure, whole.
-type errorAnswer struct {
+// errorResponse is a machine's complete error response.
+type errorResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// keepError keeps a machine's failure for the case that no other machine answers. One
-// that is too long, or breaks off, is not kept: a part must not look like the whole.
-func (j *job) keepError(answer *upstream.Answer) {
-	body, err := io.ReadAll(io.LimitReader(answer, maxDiscarded+1))
-	if err != nil || len(body) > maxDiscarded {
-		j.log("error_not_kept", "status", answer.Status, "bytes", len(body), "broke_off", err != nil)
+// saveError saves a machine's error response for the case that the retry fails. A
+// response that is too long or breaks off is not saved, as it would be truncated.
+func (j *job) saveError(response *upstream.Answer) {
+	body, err := io.ReadAll(io.LimitReader(response, maxDiscardBytes+1))
+	if err != nil || len(body) > maxDiscardBytes {
+		j.log("error_not_kept", "status", response.Status, "bytes", len(body), "broke_off", err != nil)
 		return
 	}
-	j.kept = &errorAnswer{status: answer.Status, header: upstream.EndToEnd(answer.Header), body: body}
+	j.savedError = &errorResponse{status: response.Status, header: upstream.EndToEnd(response.Header), body: body}
 }
 
-// passKeptError passes on the failure that a machine answered with before.
-func (j *job) passKeptError() {
-	j.writeHead(j.kept.status, j.kept.header, int64(len(j.kept.body)))
-	_, err := j.writer.Write(j.kept.body)
-	j.log("answered", "status", j.kept.status, "bytes", len(j.kept.body), "first_error", true, "caller_left", err != nil)
+// sendSavedError sends the saved error response to the client.
+func (j *job) sendSavedError() {
+	j.writeHeader(j.savedError.status, j.savedError.header, int64(len(j.savedError.body)))
+	_, err := j.writer.Write(j.savedError.body)
+	j.log("answered", "status", j.savedError.status, "bytes", len(j.savedError.body), "first_error", true, "caller_left", err != nil)
 	j.ingress.options.Metrics.observe(j.route, "answered", time.Since(j.arrived))
 }
 
-func discard(answer *upstream.Answer) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxDiscarded))
+func discard(response *upstream.Answer) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(response, maxDiscardBytes))
 }
 
-// relay copies head and body. Once the head is out, only the machine's own end
-// of the answer may end the caller's.
-func (j *job) relay(ctx context.Context, answer *upstream.Answer) attemptEnd {
+// relay copies the header and the body of a response to the client. It is
+// complete only if the machine's response is.
+func (j *job) relay(ctx context.Context, response *upstream.Answer) attemptOutcome {
 	length := int64(-1)
-	if answer.Header.Get("Content-Length") != "" {
-		length = answer.Length
+	if response.Header.Get("Content-Length") != "" {
+		length = response.Length
 	}
-	j.writeHead(answer.Status, upstream.EndToEnd(answer.Header), length)
+	j.writeHeader(response.Status, upstream.EndToEnd(response.Header), length)
 	controller := http.NewResponseController(j.writer)
 	if j.route.Spec.Kind == v1.RouteStream {
 		_ = controller.Flush()
 	}
 	first := time.Since(j.arrived)
-	passed, pause, err := j.copyBody(controller, answer)
+	copied, pause, err := j.copyBody(controller, response)
 	elapsed := time.Since(j.arrived)
 	if err == nil {
-		j.log("answered", "status", answer.Status, "bytes", passed, "first_ms", first.Milliseconds(), "longest_pause_ms", pause.Milliseconds())
+		j.log("answered", "status", response.Status, "bytes", copied, "first_ms", first.Milliseconds(), "longest_pause_ms", pause.Milliseconds())
 		j.ingress.options.Metrics.observe(j.route, "answered", elapsed)
-		return endAnswered
+		return outcomeAnswered
 	}
-	j.log("broken_off", "status", answer.Status, "bytes", passed, "first_ms", first.Milliseconds(), "longest_pause_ms", pause.Milliseconds(),
+	j.log("broken_off", "status", response.Status, "bytes", copied, "first_ms", first.Milliseconds(), "longest_pause_ms", pause.Milliseconds(),
 		"error", err.Error(), "caller_left", j.request.Context().Err() != nil, "deadline_passed", ctx.Err() != nil)
 	j.ingress.options.Metrics.observe(j.route, "broken_off", elapsed)
-	return endBroken
+	return outcomeBroken
 }
 
-// writeHead passes on the head of a machine's answer, with the length of its body if that
-// is not below 0.
-func (j *job) writeHead(status int, endToEnd http.Header, length int64) {
+// writeHeader sends the status and header to the client. A negative length means that the
+// length of the body is unknown.
+func (j *job) writeHeader(status int, endToEnd http.Header, length int64) {
 	header := j.writer.Header()
 	for name, values := range endToEnd {
 		header[name] = values
@@ -121,33 +120,33 @@
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	j.answered = true
+	j.headerSent = true
 	j.writer.WriteHeader(status)
 }
 
-// copyBody passes a body on as it comes. It returns how many bytes it passed on
-// and the longest pause between two parts.
-func (j *job) copyBody(controller *http.ResponseController, answer *upstream.Answer) (passed int64, pause time.Duration, err error) {
+// copyBody streams a body to the client. It returns the number of bytes copied
+// and the longest pause between two reads.
+func (j *job) copyBody(controller *http.ResponseController, response *upstream.Answer) (copied int64, pause time.Duration, err error) {
 	buffer := make([]byte, copyBufferBytes)
 	last := time.Now()
 	for {
-		count, failure := answer.Read(buffer)
+		count, failure := response.Read(buffer)
 		if count > 0 {
 			now := time.Now()
 			pause, last = max(pause, now.Sub(last)), now
 			if _, err := j.writer.Write(buffer[:count]); err != nil {
-				return passed, pause, err
+				return copied, pause, err
 			}
-			passed += int64(count)
+			copied += int64(count)
 			if err := controller.Flush(); err != nil {
-				return passed, pause, err
+				return copied, pause, err
 			}
 		}
 		if failure == io.EOF {
-			return passed, pause, nil
+			return copied, pause, nil
 		}
 		if failure != nil {
-			return passed, pause, failure
+			return copied, pause, failure
 		}
 	}
 }
--- a/internal/ingress/turns_test.go
+++ b/internal/ingress/selector_test.go
@@ -16,12 +16,12 @@
 	return targets
 }
 
-// worstError is by how much a target's share is off its weight's at most, where so many
-// requests meet so many routers at random.
+// worstError returns the largest deviation of a target's share of the requests from its share
+// of the weights, with requests spread at random over the routers.
 func worstError(random *rand.Rand, routers, requests int, targets []v1.RouteTarget) float64 {
-	all := make([]*turns, 0, routers)
+	all := make([]*targetSelector, 0, routers)
 	for range routers {
-		all = append(all, newTurns(random.Float64()))
+		all = append(all, newTargetSelector(random.Float64()))
 	}
 	counts := make([]int, len(targets))
 	for range requests {
@@ -38,9 +38,9 @@
 	return worst
 }
 
-// TestSharesOverManyRouters: with a few requests at each of many routers, the heaviest
-// target got nearly all.
-func TestSharesOverManyRouters(t *testing.T) {
+// TestWeightedSharesOverManyRouters checks that the weights hold over all routers, also with few
+// requests at each.
+func TestWeightedSharesOverManyRouters(t *testing.T) {
 	for _, test := range []struct {
 		routers, requests int
 		bound             float64
@@ -52,18 +52,18 @@
 				worst = max(worst, worstError(random, test.routers, test.requests, targets))
 			}
 		}
-		t.Logf("%d requests at %d routers: at most %.3f off", test.requests, test.routers, worst)
+		t.Logf("%d requests at %d routers: largest deviation %.3f", test.requests, test.routers, worst)
 		if worst > test.bound {
-			t.Errorf("%d requests at %d routers: %.3f off, allowed %.3f", test.requests, test.routers, worst, test.bound)
+			t.Errorf("%d requests at %d routers: deviation %.3f, allowed %.3f", test.requests, test.routers, worst, test.bound)
 		}
 	}
 }
 
-// TestTargetsWithoutWeight get nothing, wherever they stand.
-func TestTargetsWithoutWeight(t *testing.T) {
-	turns, targets := newTurns(0.3), targetsOf(0, 5, 0, 3, 0)
+// TestZeroWeightTargetsNeverChosen checks that targets with weight 0 are never chosen.
+func TestZeroWeightTargetsNeverChosen(t *testing.T) {
+	selector, targets := newTargetSelector(0.3), targetsOf(0, 5, 0, 3, 0)
 	for range 1000 {
-		if index := turns.next(targets); targets[index].Weight == 0 {
+		if index := selector.next(targets); targets[index].Weight == 0 {
 			t.Fatalf("target %d has no weight", index)
 		}
 	}
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// idleSlack is by how much longer a resting connection is kept than
-	// callers may use it, so that none is closed as it is used.
-	idleSlack = time.Second
-	// The limits in force before a declaration has brought others.
-	startHeaderTimeout = 10 * time.Second
-	startIdleTimeout   = time.Minute
-	startHeaderBytes   = 64 << 10
+	// idleTimeoutMargin is added to the declared idle timeout, so that the server does not
+	// close a connection just as the client reuses it.
+	idleTimeoutMargin = time.Second
+	// The limits before the first declaration.
+	defaultHeaderTimeout  = 10 * time.Second
+	defaultIdleTimeout    = time.Minute
+	defaultMaxHeaderBytes = 64 << 10
 )
 
-// Server accepts callers' connections and holds them to the declared limits.
-// Connections keep the limits under which they were accepted.
+// Server accepts client connections and applies the declared limits. A
+// connection keeps the limits under which it was accepted.
 type Server struct {
 	handler http.Handler
 	view    *nodeview.View
@@ -34,25 +34,25 @@
 	mutex   sync.Mutex
 	limits  v1.DeclarationSpec
 	current *limitedServer
-	all     []*limitedServer
+	servers []*limitedServer
 	stopped bool
-	// listener is set while Serve runs.
+	// listener is set by Serve.
 	listener net.Listener
 }
 
-// limitedServer is an HTTP server under one set of limits, with the
-// connections that it is given.
+// limitedServer is an HTTP server for the connections under one set of limits.
 type limitedServer struct {
 	server      *http.Server
-	connections *handedListener
+	connections *connListener
 }
 
-// NewServer returns a server; Serve starts it.
+// NewServer returns a server that is not yet listening.
 func NewServer(handler http.Handler, view *nodeview.View, logger *slog.Logger) *Server {
 	return &Server{handler: handler, view: view, logger: logger}
 }
 
-// Serve accepts connections until ctx ends or StopAccepting is called.
+// Serve accepts connections until ctx is done or StopAccepting is called. It returns when ctx
+// is done.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.mutex.Lock()
 	s.listener = listener
@@ -72,7 +72,7 @@
 			return fault.Unavailable.Wrap(err, "accepting a connection")
 		}
 		tcpopt.Apply(connection)
-		s.hand(connection)
+		s.assign(connection)
 	}
 }
 
@@ -82,8 +82,8 @@
 	return s.stopped
 }
 
-// hand gives a connection to the server of the present limits.
-func (s *Server) hand(connection net.Conn) {
+// assign passes a connection to the server of the current limits.
+func (s *Server) assign(connection net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	limits := s.limits
@@ -94,11 +94,11 @@
 	if s.current == nil || limits != s.limits {
 		s.limits = limits
 		s.current = s.start(limits)
-		s.all = append(s.all, s.current)
+		s.servers = append(s.servers, s.current)
 		s.logger.Info("limits_in_force", "header_bytes", limits.MaxHeaderBytes, "body_bytes", limits.MaxBodyBytes,
 			"header_timeout_ms", time.Duration(limits.HeaderTimeout).Milliseconds(), "idle_timeout_ms", time.Duration(limits.IdleTimeout).Milliseconds())
 	}
-	s.current.connections.hand(connection)
+	s.current.connections.deliver(connection)
 }
 
 func (s *Server) start(limits v1.DeclarationSpec) *limitedServer {
@@ -106,29 +106,29 @@
 	protocols.SetHTTP1(true)
 	server := &http.Server{
 		Handler: s.handler, Protocols: protocols,
-		ReadHeaderTimeout: startHeaderTimeout, IdleTimeout: startIdleTimeout, MaxHeaderBytes: startHeaderBytes,
+		ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: defaultMaxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(s.logger.Handler(), slog.LevelDebug),
 	}
 	if limits.HeaderTimeout > 0 {
 		server.ReadHeaderTimeout = time.Duration(limits.HeaderTimeout)
 	}
 	if limits.IdleTimeout > 0 {
-		server.IdleTimeout = time.Duration(limits.IdleTimeout) + idleSlack
+		server.IdleTimeout = time.Duration(limits.IdleTimeout) + idleTimeoutMargin
 	}
 	if limits.MaxHeaderBytes > 0 {
 		server.MaxHeaderBytes = int(limits.MaxHeaderBytes)
 	}
-	started := &limitedServer{server: server, connections: newHandedListener()}
+	started := &limitedServer{server: server, connections: newConnListener()}
 	go func() { _ = server.Serve(started.connections) }()
 	return started
 }
 
-// StopAccepting closes the listener and the connections that rest. What is in
-// flight goes on.
+// StopAccepting closes the listener and idle connections. Requests in flight
+// continue.
 func (s *Server) StopAccepting() {
 	s.mutex.Lock()
 	s.stopped = true
-	listener, all := s.listener, s.all
+	listener, all := s.listener, s.servers
 	s.mutex.Unlock()
 	if listener != nil {
 		_ = listener.Close()
@@ -142,23 +142,23 @@
 	s.StopAccepting()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, limited := range s.all {
+	for _, limited := range s.servers {
 		_ = limited.server.Close()
 	}
 }
 
-// handedListener is a listener whose connections were accepted elsewhere.
-type handedListener struct {
+// connListener is a net.Listener for connections that another listener accepted.
+type connListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
 	once        sync.Once
 }
 
-func newHandedListener() *handedListener {
-	return &handedListener{connections: make(chan net.Conn), closed: make(chan struct{})}
+func newConnListener() *connListener {
+	return &connListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (l *handedListener) hand(connection net.Conn) {
+func (l *connListener) deliver(connection net.Conn) {
 	select {
 	case l.connections <- connection:
 	case <-l.closed:
@@ -167,7 +167,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *handedListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-l.connections:
 		return connection, nil
@@ -177,10 +177,10 @@
 }
 
 // Close implements net.Listener.
-func (l *handedListener) Close() error {
+func (l *connListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (l *handedListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/ingress/statements.go
+++ b/internal/ingress/statements.go
@@ -5,12 +5,12 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// errBackedOff ends an exchange before anything was written to a machine that rests or is leaving.
-var errBackedOff = fault.Unavailable.New("the machine has asked for a rest or is leaving")
+// errBackedOff ends an attempt before the request is written to a machine that may get no requests.
+var errBackedOff = fault.Unavailable.New("the machine asked to back off or is shutting down")
 
-// noteStatement records what a machine states about itself in the head of an answer. It ignores answers of another
-// machine, or to another request.
-func (j *job) noteStatement(grant *dispatch.Grant, verdict Verdict) {
+// recordStatement records what a machine says about itself in a response. It ignores responses of another machine and
+// those to another request.
+func (j *job) recordStatement(grant *dispatch.Grant, verdict Verdict) {
 	if !verdict.Own || verdict.Elsewhere || !verdict.Genuine && !verdict.NotRun {
 		return
 	}
@@ -24,7 +24,7 @@
 	}
 	if stated.Rest > 0 {
 		j.ingress.dispatcher.Rest(machine, stated.Rest)
-		j.ingress.options.Metrics.rests.Inc()
+		j.ingress.options.Metrics.backOffs.Inc()
 		j.log("rest_requested", "machine", machine, "rest_ms", stated.Rest.Milliseconds())
 	}
 	if stated.Leaving && j.ingress.dispatcher.Leave(machine) {
--- a/internal/ingress/sleep_test.go
+++ b/internal/ingress/suspend_test.go
@@ -11,21 +11,21 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// TestSleepUsesUpTheTimeOfARequest: the router's machine sleeps while a request is being read.
-// The steady clock does not count that; the caller does.
-func TestSleepUsesUpTheTimeOfARequest(t *testing.T) {
+// TestSuspendedTimeCountsTowardsDeadline checks that time suspended while a request is being read counts
+// towards its deadline.
+func TestSuspendedTimeCountsTowardsDeadline(t *testing.T) {
 	const timeout = time.Minute
 	tests := []struct {
-		asleep time.Duration
-		status int
+		suspended time.Duration
+		status    int
 	}{
 		{0, 200},
 		{timeout / 2, 200},
 		{2 * timeout, 503},
 	}
 	for _, test := range tests {
-		t.Run(test.asleep.String(), func(t *testing.T) {
-			machine := newRawMachine(t, func(request seenRequest, _ int, connection net.Conn) bool {
+		t.Run(test.suspended.String(), func(t *testing.T) {
+			machine := newRawMachine(t, func(request receivedRequest, _ int, connection net.Conn) bool {
 				return write(connection, ok(request, "whole"))
 			})
 			d := newDeployment(t)
@@ -39,7 +39,7 @@
 			for d.handler.InFlight() == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			d.slept.Add(int64(test.asleep))
+			d.suspended.Add(int64(test.suspended))
 			write(connection, "b")
 			answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
 			if err != nil {
@@ -51,12 +51,12 @@
 			}
 			for _, seen := range machine.requests() {
 				remains, err := time.ParseDuration(seen.header.Get(headerWait))
-				if err != nil || remains > timeout-test.asleep {
-					t.Errorf("the machine was given %s (%v) of %s after a sleep of %s", remains, err, timeout, test.asleep)
+				if err != nil || remains > timeout-test.suspended {
+					t.Errorf("the machine got %s (%v) of %s after %s suspended", remains, err, timeout, test.suspended)
 				}
 			}
 			if test.status != 200 && len(machine.requests()) != 0 {
-				t.Error("a machine got a request whose time was over")
+				t.Error("a machine got a request past its deadline")
 			}
 		})
 	}
--- a/internal/ingress/table.go
+++ b/internal/ingress/table.go
@@ -9,22 +9,22 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// Route is a declared route, ready for requests.
+// Route is a declared route with its target selection state.
 type Route struct {
 	Name string
 	Spec *v1.RouteSpec
 
-	turns *turns
+	selector *targetSelector
 }
 
-// Table finds the route of a request. It is built once for each change.
+// Table finds the route of a request. It is immutable.
 type Table struct {
 	// byHost lists the routes of a host, longest prefix first.
 	byHost map[string][]*Route
 }
 
-// NewTable builds a table; routes that are as in the table before keep their
-// turns.
+// NewTable builds a table. Routes whose spec is the same as before keep their
+// target selection state.
 func NewTable(specs map[string]*v1.RouteSpec, before *Table) *Table {
 	known := map[string]*Route{}
 	if before != nil {
@@ -38,7 +38,7 @@
 	for name, spec := range specs {
 		route := known[name]
 		if route == nil || route.Spec != spec {
-			route = &Route{Name: name, Spec: spec, turns: newTurns(rand.Float64())}
+			route = &Route{Name: name, Spec: spec, selector: newTargetSelector(rand.Float64())}
 		}
 		host := strings.ToLower(spec.Host)
 		table.byHost[host] = append(table.byHost[host], route)
@@ -75,7 +75,7 @@
 	return strings.ToLower(host)
 }
 
-// NextPool returns the pool of the next request, by the weights of the targets.
+// NextPool chooses the pool of the next request by the weights of the targets.
 func (r *Route) NextPool() string {
-	return r.Spec.Targets[r.turns.next(r.Spec.Targets)].Pool
+	return r.Spec.Targets[r.selector.next(r.Spec.Targets)].Pool
 }
--- a/internal/ingress/tenant.go
+++ b/internal/ingress/tenant.go
@@ -7,20 +7,18 @@
 	"github.com/weldline/weldline/internal/problem"
 )
 
-// caller is who asks, by the key of this request: a connection may outlive its key.
-type caller struct {
-	// name is the tenant's, empty where nobody is known.
+// tenantIdentity is the tenant that a request's key belongs to, if any. Keys are checked for each
+// request, as a connection may outlive its key.
+type tenantIdentity struct {
 	name string
 	spec *v1.TenantSpec
 }
 
-// identify finds out who asks. Where tenants are declared, only anonymous routes take a
-// request whose key nobody holds; a key that is shown there still names its tenant. The
-// answer comes at once, and before the body is read.
+// authenticate finds the tenant of the request by its key. If tenants are declared, only
+// anonymous routes accept requests without a valid key. It runs before the body is read.
 //
-// A request that is under way when its key is taken away goes on: it was taken under a
-// version that was in force, and breaking off what a machine runs helps nobody.
-func (j *job) identify() *problem.Document {
+// Revoking a key does not affect requests in flight.
+func (j *job) authenticate() *problem.Document {
 	view := j.ingress.options.View
 	if !view.HasTenants() {
 		return nil
@@ -38,7 +36,7 @@
 	return problem.New(problem.TypeUnauthorized, http.StatusUnauthorized, "no tenant has the key with fingerprint "+hash.Fingerprint())
 }
 
-// priority is the tenant's, or the route's where the tenant has none.
+// priority returns the tenant's priority, or else the route's.
 func (j *job) priority() int32 {
 	if j.tenant.spec != nil && j.tenant.spec.Priority != nil {
 		return *j.tenant.spec.Priority
--- a/internal/ingress/tenant_test.go
+++ b/internal/ingress/tenant_test.go
@@ -16,7 +16,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// tenant returns an event that declares a tenant with keys.
+// tenant returns a tenant with the keys.
 func (d *deployment) tenant(name string, priority *int32, keys ...string) *tenantEvent {
 	spec := &v1.TenantSpec{Priority: priority, Unit: v1.UnitRequests}
 	for _, key := range keys {
@@ -30,7 +30,7 @@
 	spec *v1.TenantSpec
 }
 
-// declareTenants declares tenants, all at one revision.
+// declareTenants declares the tenants at one revision.
 func (d *deployment) declareTenants(tenants ...*tenantEvent) {
 	d.t.Helper()
 	var events []*wirepb.WatchEvent
@@ -40,32 +40,33 @@
 	d.apply(events...)
 }
 
-func answersOK(request seenRequest, _ int, connection net.Conn) bool {
+func respondOK(request receivedRequest, _ int, connection net.Conn) bool {
 	return write(connection, ok(request, "done"))
 }
 
 func priorityOf(value int32) *int32 { return &value }
 
-// TestCallersAreKnownByTheirKeys tables who is let in, and what the machine is told.
-func TestCallersAreKnownByTheirKeys(t *testing.T) {
-	machine := newRawMachine(t, answersOK)
+// TestAuthenticationByKey checks the authentication by key and the tenant and priority that
+// the machine is sent. A tenant header sent by the client is ignored.
+func TestAuthenticationByKey(t *testing.T) {
+	machine := newRawMachine(t, respondOK)
 	d := newDeployment(t)
 	d.serve(v1.RouteUnrepeatable, 1, long, machine.address)
 	d.declareTenants(d.tenant("blue", priorityOf(7), "b1", "b2"), d.tenant("red", nil, "r1"), d.tenant("none", nil))
 	tests := []struct {
-		key, claims  string
-		status       int
-		tenant, rank string
+		key, claimedTenant string
+		status             int
+		tenant, priority   string
 	}{
-		{key: "b1", status: 200, tenant: "blue", rank: "7"},
-		{key: "b2", claims: "red", status: 200, tenant: "blue", rank: "7"},
-		{key: "r1", claims: "blue", status: 200, tenant: "red", rank: "0"},
-		{key: "unknown", claims: "blue", status: 401},
-		{key: "", claims: "blue", status: 401},
+		{key: "b1", status: 200, tenant: "blue", priority: "7"},
+		{key: "b2", claimedTenant: "red", status: 200, tenant: "blue", priority: "7"},
+		{key: "r1", claimedTenant: "blue", status: 200, tenant: "red", priority: "0"},
+		{key: "unknown", claimedTenant: "blue", status: 401},
+		{key: "", claimedTenant: "blue", status: 401},
 		{key: "B1", status: 401},
 	}
 	for _, test := range tests {
-		headers := []string{headerTenant, test.claims}
+		headers := []string{headerTenant, test.claimedTenant}
 		if test.key != "" {
 			headers = append(headers, headerKey, test.key)
 		}
@@ -81,15 +82,15 @@
 			}
 			continue
 		}
-		if len(seen) != 1 || seen[0].header.Get(headerTenant) != test.tenant || seen[0].header.Get(headerRank) != test.rank {
+		if len(seen) != 1 || seen[0].header.Get(headerTenant) != test.tenant || seen[0].header.Get(headerPriority) != test.priority {
 			t.Errorf("key %q: the machine got %+v", test.key, seen)
 		}
 	}
 }
 
-// TestAnonymousRoutesNeedNoKey, and a key that is shown there still names its tenant.
+// TestAnonymousRoutesNeedNoKey also checks that a valid key identifies its tenant there.
 func TestAnonymousRoutesNeedNoKey(t *testing.T) {
-	machine := newRawMachine(t, answersOK)
+	machine := newRawMachine(t, respondOK)
 	d := newDeployment(t)
 	d.apply(d.object(v1.KindRoute, "open", &v1.RouteSpec{
 		Host: "shop.example", PathPrefix: "/open/", Kind: v1.RouteUnrepeatable, Timeout: v1.Duration(long), Anonymous: true,
@@ -106,10 +107,10 @@
 	}
 }
 
-// TestKeysOfEachRequestCount: a connection outlives its key, which moves to another
-// tenant, is taken away, and comes back.
-func TestKeysOfEachRequestCount(t *testing.T) {
-	machine := newRawMachine(t, answersOK)
+// TestKeyCheckedForEachRequest checks that a change of a key's tenant takes effect on the next
+// request.
+func TestKeyCheckedForEachRequest(t *testing.T) {
+	machine := newRawMachine(t, respondOK)
 	d := newDeployment(t)
 	d.serve(v1.RouteUnrepeatable, 1, long, machine.address)
 	for step, test := range []struct {
@@ -123,7 +124,7 @@
 		{status: 401},
 		{red: []string{"k"}, status: 200, tenant: "red"},
 	} {
-		// The new holder comes first in every other change.
+		// The order of the events alternates.
 		changes := []*tenantEvent{d.tenant("blue", nil, test.blue...), d.tenant("red", nil, test.red...)}
 		d.declareTenants(changes[step%2], changes[1-step%2])
 		got := d.ask(http.MethodPost, "/a/b", "id", "body", headerKey, "k")
@@ -136,10 +137,10 @@
 	}
 }
 
-// TestUnknownKeysWaitForNothing: the answer comes before the body has.
-func TestUnknownKeysWaitForNothing(t *testing.T) {
+// TestUnknownKeyRefusedBeforeBody checks that the response is sent before the body is read.
+func TestUnknownKeyRefusedBeforeBody(t *testing.T) {
 	d := newDeployment(t)
-	d.serve(v1.RouteUnrepeatable, 1, long, newRawMachine(t, answersOK).address)
+	d.serve(v1.RouteUnrepeatable, 1, long, newRawMachine(t, respondOK).address)
 	d.declareTenants(d.tenant("blue", nil, "b1"))
 	connection, err := net.Dial("tcp", d.server.Listener.Addr().String())
 	if err != nil {
@@ -153,28 +154,28 @@
 	}
 }
 
-// TestKeysStandInNoAnswerAndNoLog: a fingerprint does.
-func TestKeysStandInNoAnswerAndNoLog(t *testing.T) {
-	var log lockedBuffer
+// TestKeysNotDisclosed checks that only fingerprints of keys are disclosed.
+func TestKeysNotDisclosed(t *testing.T) {
+	var log syncBuffer
 	d := newDeploymentWith(t, slog.New(slog.NewJSONHandler(&log, nil)))
-	d.serve(v1.RouteUnrepeatable, 1, long, newRawMachine(t, answersOK).address)
+	d.serve(v1.RouteUnrepeatable, 1, long, newRawMachine(t, respondOK).address)
 	d.declareTenants(d.tenant("blue", nil, "known-secret"))
 	for _, key := range []string{"known-secret", "other-secret"} {
 		got := d.ask(http.MethodPost, "/a/b", "id", "body", headerKey, key)
 		if strings.Contains(got.body, key) {
-			t.Errorf("the answer holds the key: %s", got.body)
+			t.Errorf("the response contains the key: %s", got.body)
 		}
 	}
 	written := log.String()
 	if strings.Contains(written, "secret") {
-		t.Errorf("the log holds a key: %s", written)
+		t.Errorf("the log contains a key: %s", written)
 	}
 	if !strings.Contains(written, "request_unknown_key") || !strings.Contains(written, v1.HashKey("other-secret").Fingerprint()) || !strings.Contains(written, `"tenant":"blue"`) {
-		t.Errorf("the log names neither the key nor the tenant: %s", written)
+		t.Errorf("the log lacks the fingerprint or the tenant: %s", written)
 	}
 }
 
-// BenchmarkIdentify is the look-up among 10,000 keys.
+// BenchmarkIdentify measures the lookup of a key among 10,000.
 func BenchmarkIdentify(b *testing.B) {
 	view := viewWithKeys(b)
 	key := keyName(57, 31)
@@ -186,20 +187,20 @@
 	}
 }
 
-const benchmarkTenants, keysEach = 100, 100
+const benchmarkTenants, keysPerTenant = 100, 100
 
 func keyName(tenant, key int) string {
 	return "key-" + strconv.Itoa(tenant) + "-" + strconv.Itoa(key)
 }
 
-// viewWithKeys is a view that holds 10,000 keys.
+// viewWithKeys returns a view with benchmarkTenants*keysEach keys.
 func viewWithKeys(b *testing.B) *nodeview.View {
 	b.Helper()
 	view := nodeview.New()
 	var events []*wirepb.WatchEvent
 	for tenant := range benchmarkTenants {
 		spec := &v1.TenantSpec{Unit: v1.UnitRequests}
-		for key := range keysEach {
+		for key := range keysPerTenant {
 			spec.KeyHashes = append(spec.KeyHashes, v1.HashKey(keyName(tenant, key)).String())
 		}
 		encoded, err := json.Marshal(spec)
@@ -213,33 +214,33 @@
 	return view
 }
 
-// lockedBuffer is a writer for several goroutines.
-type lockedBuffer struct {
+// syncBuffer is a writer that is safe for concurrent use.
+type syncBuffer struct {
 	mutex   sync.Mutex
 	written strings.Builder
 }
 
-func (b *lockedBuffer) Write(data []byte) (int, error) {
+func (b *syncBuffer) Write(data []byte) (int, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.written.Write(data)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.written.String()
 }
 
-// TestOverTheLimit: a tenant that asks for more than its limit is told when to come back,
-// what did not run is not counted, and other tenants notice nothing.
-func TestOverTheLimit(t *testing.T) {
-	var log lockedBuffer
-	machine := newRawMachine(t, answersOK)
+// TestTenantOverLimit checks that a tenant over its limit gets a Retry-After, that requests which
+// did not run are not charged, and that other tenants are not affected.
+func TestTenantOverLimit(t *testing.T) {
+	var log syncBuffer
+	machine := newRawMachine(t, respondOK)
 	d := newDeploymentWith(t, slog.New(slog.NewJSONHandler(&log, nil)))
 	d.serve(v1.RouteUnrepeatable, 1, long, machine.address)
 	limited, other := d.tenant("limited", nil, "k1"), d.tenant("other", nil, "k2")
-	// The bucket holds nine tenths of the burst: two requests.
+	// The bucket holds 0.9 of the burst: two requests.
 	limited.spec.Rate, limited.spec.Burst = 0.001, 20.0/9
 	d.declareTenants(limited, other)
 	tooLong := strings.Repeat("x", 2000)
@@ -259,6 +260,6 @@
 		t.Errorf("another tenant gets %d", got.status)
 	}
 	if !strings.Contains(log.String(), "request_over_limit") {
-		t.Error("the log doesn't say why")
+		t.Error("the refusal is not logged")
 	}
 }
--- a/internal/ingress/translator.go
+++ b/internal/ingress/translator.go
@@ -7,30 +7,29 @@
 	"github.com/weldline/weldline/internal/ratelimit"
 )
 
-// Attributes are what a request states about itself.
+// Attributes are what the headers of a client request say. The zero value of a
+// field means that the request doesn't say it.
 type Attributes struct {
-	// ID names the caller's attempt.
+	// ID identifies the client's attempt.
 	ID string
-	// Key is the caller's secret; empty if it shows none.
+	// Key is the client's secret key.
 	Key string
-	// Model and Adapter are the ones that the request needs; empty for none.
+	// Model and Adapter are the ones that the request needs.
 	Model, Adapter string
-	// Wait is how long the caller waits; 0 if it does not say.
+	// Wait is the client's timeout.
 	Wait time.Duration
-	// PromptTokens are read before the answer begins, SharedTokens of them at
-	// the beginning that others share; OutputTokens are the most that it has. All
-	// are 0 where a request has no tokens.
+	// PromptTokens is the length of the prompt, SharedTokens that of its shared
+	// prefix, and OutputTokens the maximum length of the output.
 	PromptTokens, SharedTokens, OutputTokens float64
-	// Prefix identifies the beginning of the prompt that others share; 0 if
-	// there is none.
+	// Prefix identifies the shared prefix of the prompt.
 	Prefix uint64
 }
 
-// Attempt is what the headers of a request carry to its machine.
+// Attempt is what the headers of a request tell its machine.
 type Attempt struct {
 	Machine string
 	Remains time.Duration
-	// Priority orders requests at the machine; higher first.
+	// Priority orders requests at the machine; higher values come first.
 	Priority int32
 	// Tenant is the authenticated tenant, or empty.
 	Tenant string
@@ -38,37 +37,38 @@
 
 // Verdict is the interpretation of a response's status and headers.
 type Verdict struct {
-	// Own is set if the answer is to this request.
+	// Own is set if the response belongs to this request.
 	Own bool
-	// Genuine is set if it is the machine's answer, and not something that a
-	// fault put in its place.
+	// Genuine is set if the response comes from the machine itself, not from a
+	// fault between it and the router.
 	Genuine bool
-	// NotRun is set where the machine says that it did not run the request.
+	// NotRun is set if the machine states that it did not run the request.
 	NotRun bool
-	// Elsewhere is set where it did not because it is another machine, or does
-	// not hold what the request needs.
+	// Elsewhere is set if the machine did not run the request because it is not the
+	// intended one or lacks the model.
 	Elsewhere bool
-	// Stated is what the machine states about itself.
+	// Stated is what the machine says about itself.
 	Stated Statement
 }
 
-// Statement is what a machine states about itself in the head of an answer. The zero statement asks for
-// nothing.
+// Statement is what a machine says about itself in the headers of a response.
 type Statement struct {
-	// Limit is how many requests a second the machine takes from all routers together.
+	// Limit is the machine's rate limit for all routers together.
 	Limit ratelimit.Limit
-	// Rest is for how long the machine wants no request from this node; 0 if it asks for none.
+	// Rest is how long the router is asked to back off.
 	Rest time.Duration
-	// Leaving is set where the machine is about to shut down.
+	// Leaving is set if the machine is about to shut down.
 	Leaving bool
-	// Invalid holds an error of type fault.Invalid for each part that can't be used. Such a part is not set above.
+	// Invalid has an error of type fault.Invalid for each header that can't be parsed. The field of such a header
+	// is not set.
 	Invalid []error
 }
 
-// Translator knows the headers that callers and machines use.
+// Translator reads and writes the headers that clients and machines use.
 type Translator interface {
 	Describe(header http.Header) Attributes
 	// Prepare writes an attempt into the headers of a request.
 	Prepare(header http.Header, attempt Attempt)
-	Judge(status int, answer http.Header, id string) Verdict
+	// Judge interprets the response to the request with the given ID.
+	Judge(status int, response http.Header, id string) Verdict
 }
--- a/internal/ingress/waiting.go
+++ b/internal/ingress/waiting.go
@@ -7,34 +7,34 @@
 	"github.com/weldline/weldline/internal/dispatch"
 )
 
-// waitingJobs are the requests that ask for a place, so that a change of what binds them reaches
-// them at once: one that waits in a region which does not allow it any more would use up its time
-// beside a machine that it may use.
+// queuedJobs is the set of queued requests. Changes of their allowed regions are applied to them
+// at once, not only when they leave the queue.
 //
-// A job is registered while its goroutine waits for the dispatcher, and does not touch it then.
-type waitingJobs struct {
+// A job is in the set only while its goroutine is blocked in Dispatcher.Acquire, so that others may
+// access it.
+type queuedJobs struct {
 	mutex sync.Mutex
 	jobs  map[*job]struct{}
 }
 
-func newWaitingJobs() *waitingJobs {
-	return &waitingJobs{jobs: map[*job]struct{}{}}
+func newQueuedJobs() *queuedJobs {
+	return &queuedJobs{jobs: map[*job]struct{}{}}
 }
 
-func (w *waitingJobs) add(waiting *job) {
+func (w *queuedJobs) add(waiting *job) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.jobs[waiting] = struct{}{}
 }
 
-func (w *waitingJobs) remove(waiting *job) {
+func (w *queuedJobs) remove(waiting *job) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.jobs, waiting)
 }
 
-// each calls visit with all of them; none is removed meanwhile.
-func (w *waitingJobs) each(visit func(*job)) {
+// each calls visit for each job. No job is removed until it returns.
+func (w *queuedJobs) each(visit func(*job)) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for waiting := range w.jobs {
@@ -42,22 +42,22 @@
 	}
 }
 
-// acquire waits for a place, under what binds the request while it waits.
+// acquire waits for a grant from the dispatcher.
 func (j *job) acquire(ctx context.Context) (*dispatch.Grant, *dispatch.Refusal) {
-	j.ingress.waiting.add(j)
-	defer j.ingress.waiting.remove(j)
-	return j.ingress.dispatcher.Acquire(ctx, j.wanted)
+	j.ingress.queued.add(j)
+	defer j.ingress.queued.remove(j)
+	return j.ingress.dispatcher.Acquire(ctx, j.dispatchRequest)
 }
 
-// rebind binds a waiting request to what is declared now, or ends its wait if no machine may
-// serve it any more.
-func (j *job) rebind() {
-	allowed := j.allowed()
-	if j.unservable(allowed) != nil {
-		j.ingress.dispatcher.Refuse(j.wanted, dispatch.RefusedRegion)
+// updateRegions applies the current region constraint to a queued request. It refuses the request if no
+// machine may serve it any more.
+func (j *job) updateRegions() {
+	allowed := j.allowedRegions()
+	if j.unservableProblem(allowed) != nil {
+		j.ingress.dispatcher.Refuse(j.dispatchRequest, dispatch.RefusedRegion)
 		return
 	}
-	if allowed.Key() != j.wanted.Allowed.Key() {
-		j.ingress.dispatcher.Rebind(j.wanted, allowed)
+	if allowed.Key() != j.dispatchRequest.Allowed.Key() {
+		j.ingress.dispatcher.Rebind(j.dispatchRequest, allowed)
 	}
 }
--- a/internal/ingress/warming.go
+++ b/internal/ingress/warming.go
@@ -9,32 +9,32 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// warmingGuard knows which machines warm up.
-type warmingGuard struct {
+// warmingTracker tracks which machines are warming up.
+type warmingTracker struct {
 	options Options
 
 	mutex sync.Mutex
 	state *warming.State
 }
 
-func newWarmingGuard(options Options) *warmingGuard {
-	return &warmingGuard{options: options, state: warming.NewState()}
+func newWarmingTracker(options Options) *warmingTracker {
+	return &warmingTracker{options: options, state: warming.NewState()}
 }
 
-func (g *warmingGuard) takeDigest(digest *wirepb.ClusterDigest) {
+func (g *warmingTracker) applyDigest(digest *wirepb.ClusterDigest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.state.TakeDigest(g.options.Now(), nodeview.WarmingOf(digest))
 }
 
-func (g *warmingGuard) noteFailure(machine string) {
+func (g *warmingTracker) recordFailure(machine string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.state.NoteFailure(g.options.Now(), machine)
 }
 
-// machines returns those that warm up.
-func (g *warmingGuard) machines() map[string]bool {
+// machines returns the machines that are warming up.
+func (g *warmingTracker) machines() map[string]bool {
 	found := map[string]bool{}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -47,8 +47,8 @@
 	return found
 }
 
-// warms reports whether a machine of a pool is taken to warm up.
-func (g *warmingGuard) warms(pool, machine string) bool {
+// isWarming reports whether a machine of a pool counts as warming up.
+func (g *warmingTracker) isWarming(pool, machine string) bool {
 	changed, may := g.options.View.MayWarmUp(pool, machine)
 	if !may {
 		return false
@@ -58,18 +58,18 @@
 	return g.state.Warms(g.options.Now(), machine, changed)
 }
 
-// forget drops what digests said: this machine has slept since.
-func (g *warmingGuard) forget() {
+// reset discards the state of earlier digests.
+func (g *warmingTracker) reset() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.state = warming.NewState()
 }
 
-// followDigests keeps what is known of warming machines and of limits up to date until ctx ends.
+// followDigests updates the warm-up state and the limits of machines from digests until ctx is done.
 func (i *Ingress) followDigests(ctx context.Context) {
 	i.options.View.FollowDigests(ctx, func(digest *wirepb.ClusterDigest) {
-		i.permits.warming.takeDigest(digest)
+		i.permits.warming.applyDigest(digest)
 		i.dispatcher.SetWarming(i.permits.warming.machines())
-		i.permits.limits.takeDigest(digest)
+		i.permits.limits.applyDigest(digest)
 	})
 }
--- a/internal/ingress/withheld.go
+++ b/internal/ingress/withheld.go
@@ -7,52 +7,51 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// sendCheck is what the last look before a send comes to.
+// sendCheck is the result of the checks before a send.
 type sendCheck int
 
 const (
-	// sendNow: the request may go to the machine that it has a place on.
-	sendNow sendCheck = iota
-	// chooseAgain: it may not, and the place was given back.
-	chooseAgain
-	// answeredAlready: it may not go to any machine, and its caller has the answer.
-	answeredAlready
+	// checkPassed: the request may be sent to the granted machine.
+	checkPassed sendCheck = iota
+	// checkReselect: the request may not be sent there, and the grant was released.
+	checkReselect
+	// checkAnswered: the request may not be sent to any machine and has been answered.
+	checkAnswered
 )
 
-// checkBeforeSend looks at a place once more: choosing it may have taken a while, and so may what
-// is asked for here.
+// checkBeforeSend checks a grant again, as the configuration may have changed since the machine was
+// chosen. It obtains a permit if the machine requires one.
 func (j *job) checkBeforeSend(ctx context.Context, grant *dispatch.Grant) sendCheck {
 	switch {
-	case j.withheld(grant):
-		return j.chooseAnew(ctx, grant)
-	case !j.mayBeSent(ctx, grant):
-		return chooseAgain
-	case j.mustNotRun(ctx):
+	case j.isDisallowed(grant):
+		return j.reselect(ctx, grant)
+	case !j.obtainPermit(ctx, grant):
+		return checkReselect
+	case j.rejectBeforeSend(ctx):
 		j.ingress.dispatcher.Release(grant, dispatch.ResultNotSent)
-		return answeredAlready
+		return checkAnswered
 	}
-	return sendNow
+	return checkPassed
 }
 
-// tryPlace sends the request to the machine that it has a place on, unless it may not go there. How
-// the attempt ended means something only where sendNow comes back.
-func (j *job) tryPlace(ctx context.Context, grant *dispatch.Grant) (attemptEnd, sendCheck) {
-	if checked := j.checkBeforeSend(ctx, grant); checked != sendNow {
-		return endWithheld, checked
+// attemptGrant sends the request to the granted machine, if allowed. The attempt's outcome is valid only
+// if the check is checkPassed.
+func (j *job) attemptGrant(ctx context.Context, grant *dispatch.Grant) (attemptOutcome, sendCheck) {
+	if checked := j.checkBeforeSend(ctx, grant); checked != checkPassed {
+		return outcomeDisallowed, checked
 	}
-	end := j.attempt(ctx, grant)
-	if end == endWithheld {
-		return end, j.chooseAnew(ctx, grant)
+	outcome := j.attempt(ctx, grant)
+	if outcome == outcomeDisallowed {
+		return outcome, j.reselect(ctx, grant)
 	}
-	return end, sendNow
+	return outcome, checkPassed
 }
 
-// withheld reports whether the request may not go to the machine that it has a place on: its zone
-// was drained, or what binds the request to regions or where the machine stands has changed since
-// the place was chosen. Routers gather changes for a moment, and a connection may take a while, so
-// it is asked until the last.
-func (j *job) withheld(grant *dispatch.Grant) bool {
-	view, allowed := j.ingress.options.View, j.allowed()
+// isDisallowed reports whether the request may no longer be sent to the granted machine: its zone is
+// drained, or the request's allowed regions or the machine's location have changed. The grant may be
+// based on an older configuration, since rebuilds are batched.
+func (j *job) isDisallowed(grant *dispatch.Grant) bool {
+	view, allowed := j.ingress.options.View, j.allowedRegions()
 	reason := ""
 	switch {
 	case view.ZoneDrained(grant.Target.Zone):
@@ -67,28 +66,28 @@
 	return true
 }
 
-// checkWithheld is the last word before anything is written to a machine.
-func (j *job) checkWithheld(grant *dispatch.Grant) error {
-	if j.withheld(grant) {
+// checkAllowed returns an error if the request may no longer be sent to the granted machine.
+func (j *job) checkAllowed(grant *dispatch.Grant) error {
+	if j.isDisallowed(grant) {
 		return fault.Refused.New("machine %s may not get the request", grant.Target.Machine)
 	}
 	return nil
 }
 
-// chooseAnew gives back a place that the request may not use, and binds it to what is declared
-// now. It answers the request if no machine may serve it any more.
-func (j *job) chooseAnew(ctx context.Context, grant *dispatch.Grant) sendCheck {
+// reselect releases a grant that the request may not use, and updates its allowed regions. It
+// answers the request if no machine may serve it any more.
+func (j *job) reselect(ctx context.Context, grant *dispatch.Grant) sendCheck {
 	j.ingress.dispatcher.Release(grant, dispatch.ResultNotSent)
-	j.wanted.Tried = append(j.wanted.Tried, grant.Target.Machine)
-	j.wanted.Allowed = j.allowed()
-	document := j.unservable(j.wanted.Allowed)
+	j.dispatchRequest.Tried = append(j.dispatchRequest.Tried, grant.Target.Machine)
+	j.dispatchRequest.Allowed = j.allowedRegions()
+	document := j.unservableProblem(j.dispatchRequest.Allowed)
 	switch {
 	case document == nil:
-		return chooseAgain
+		return checkReselect
 	case j.mayHaveRun:
-		j.giveUp(ctx, endFailed)
+		j.answerFailure(ctx, outcomeFailed)
 	default:
 		j.fail(document, document.RetryAfter)
 	}
-	return answeredAlready
+	return checkAnswered
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,15 +1,10 @@
-// Package keys holds a process's certificate for connections to other
-// processes, operators and callers.
+// Package keys provides the TLS configurations of a process and reloads its
+// certificate when the files change.
 //
-// The problem: processes must know each other before they exchange decisions,
-// and certificates expire while processes run for months.
-//
-// The mechanism: every weldline process has a certificate of the cluster's own
-// authority and asks for one from the other side (mutual TLS). Peers are
-// reached by IP number, so what counts is the authority's signature and the
-// node's name in the certificate, which must be the one in the peer's hello.
-// The files are read again when they change, at most once a second; a pair
-// that can't be read leaves the present one in use.
+// Processes of a cluster authenticate each other by mutual TLS with certificates
+// of the cluster's own authority. Peers are addressed by IP, so the node name in
+// the certificate is checked against the peer's hello. If the changed files can't
+// be read, the previous certificate stays in use.
 package keys
 
 import (
@@ -23,7 +18,7 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// reloadInterval is how often the files are looked at.
+// reloadInterval is the minimum time between two checks of the files.
 const reloadInterval = time.Second
 
 // Files name the PEM files of a process.
@@ -34,7 +29,7 @@
 	Authority string
 }
 
-// Store gives out the present certificate. It is safe for concurrent use.
+// Store provides the current certificate. It is safe for concurrent use.
 type Store struct {
 	files Files
 	now   func() time.Time
@@ -46,7 +41,7 @@
 	modified    time.Time
 }
 
-// Load reads the files.
+// Load reads the files and returns a Store for them.
 func Load(files Files) (*Store, error) {
 	store := &Store{files: files, now: time.Now}
 	if err := store.read(); err != nil {
@@ -79,12 +74,12 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(content) {
-		return nil, fault.InvalidField(field, "the file holds no certificate")
+		return nil, fault.InvalidField(field, "the file contains no certificate")
 	}
 	return authority, nil
 }
 
-// newest is when one of the files was last changed.
+// newest returns the latest modification time of the files.
 func (s *Store) newest() time.Time {
 	var newest time.Time
 	for _, path := range []string{s.files.Certificate, s.files.Key, s.files.Authority} {
@@ -95,7 +90,7 @@
 	return newest
 }
 
-// present returns the certificate and the authority, read again if the files
+// present returns the certificate and the authority. It reloads them if the files
 // have changed.
 func (s *Store) present() (*tls.Certificate, *x509.CertPool) {
 	s.mutex.Lock()
@@ -103,13 +98,13 @@
 	if s.now().Sub(s.checked) >= reloadInterval {
 		s.checked = s.now()
 		if !s.newest().Equal(s.modified) {
-			_ = s.read() // The present pair stays in use until both files fit.
+			_ = s.read() // On failure the previous pair stays in use.
 		}
 	}
 	return s.certificate, s.authority
 }
 
-// PeerServer is for connections that other processes open.
+// PeerServer returns the configuration for connections from other processes.
 func (s *Store) PeerServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert,
@@ -118,18 +113,19 @@
 	}
 }
 
-// PeerClient is for connections to other processes.
+// PeerClient returns the configuration for connections to other processes.
 func (s *Store) PeerClient() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The name of an IP number says nothing; verifyPeer checks the chain.
+		// Peers are addressed by IP; verifyPeer verifies the chain.
 		InsecureSkipVerify:   true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.certificateNow(), nil },
 		VerifyConnection:     s.verifyPeer,
 	}
 }
 
-// PublicServer is for operators and callers, who show no certificate.
+// PublicServer returns the configuration for connections from operators and
+// callers, who have no certificate.
 func (s *Store) PublicServer() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -142,11 +138,11 @@
 	return certificate
 }
 
-// verifyPeer checks that the other side's certificate is of the cluster's
-// authority and within its time.
+// verifyPeer checks that the peer's certificate is valid and was issued by the
+// cluster's authority.
 func (s *Store) verifyPeer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return fault.Unauthorized.New("the peer showed no certificate")
+		return fault.Unauthorized.New("the peer sent no certificate")
 	}
 	_, authority := s.present()
 	intermediates := x509.NewCertPool()
@@ -163,15 +159,15 @@
 	return nil
 }
 
-// CheckName checks that a peer's certificate carries the node name that it
-// gave in its hello.
+// CheckName checks that a peer's certificate was issued for the node name in its
+// hello.
 func CheckName(state tls.ConnectionState, node string) error {
 	if len(state.PeerCertificates) == 0 {
-		return fault.Unauthorized.New("the peer showed no certificate")
+		return fault.Unauthorized.New("the peer sent no certificate")
 	}
 	certificate := state.PeerCertificates[0]
 	if certificate.Subject.CommonName == node || slices.Contains(certificate.DNSNames, node) {
 		return nil
 	}
-	return fault.Unauthorized.New("the peer calls itself %s, its certificate does not", node)
+	return fault.Unauthorized.New("the peer's certificate was not issued for node %s", node)
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -19,9 +19,9 @@
 	return certificate.Leaf.SerialNumber.String()
 }
 
-// TestChangedFilesAreReadAgain replaces the certificate while it is in use,
-// and then its key by something that is none.
-func TestChangedFilesAreReadAgain(t *testing.T) {
+// TestChangedFilesReloaded replaces the certificate while it is in use, and
+// then its key with invalid data.
+func TestChangedFilesReloaded(t *testing.T) {
 	authority := keystest.NewAuthority(t)
 	files := authority.Issue("node-1")
 	store, err := keys.Load(files)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestBadFilesAreNamed checks that errors name the setting.
-func TestBadFilesAreNamed(t *testing.T) {
+// TestLoadErrorsNameField checks that errors name the setting at fault.
+func TestLoadErrorsNameField(t *testing.T) {
 	authority := keystest.NewAuthority(t)
 	good := authority.Issue("node-1")
 	for _, entry := range []struct {
--- a/internal/keys/keystest/keystest.go
+++ b/internal/keys/keystest/keystest.go
@@ -1,4 +1,4 @@
-// Package keystest makes certificates for tests.
+// Package keystest issues certificates for tests.
 package keystest
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/weldline/weldline/internal/keys"
 )
 
-// Authority signs certificates of one cluster.
+// Authority is the certificate authority of a test cluster.
 type Authority struct {
 	t           *testing.T
 	folder      string
@@ -26,7 +26,7 @@
 	serial      int64
 }
 
-// NewAuthority makes an authority whose files live for one test.
+// NewAuthority returns an authority with its files in a temporary directory.
 func NewAuthority(t *testing.T) *Authority {
 	t.Helper()
 	authority := &Authority{t: t, folder: t.TempDir(), serial: 1}
--- a/internal/quota/enforcer.go
+++ b/internal/quota/enforcer.go
@@ -11,8 +11,8 @@
 
 // The ways of sharing.
 const (
-	// SharingAdaptive lets everything through far below the limit, and the share that the
-	// leader tells near it. Without a leader it is SharingLeased.
+	// SharingAdaptive admits everything far below the limit, and near it the share that
+	// the leader publishes. Without a leader it is SharingLeased.
 	SharingAdaptive Sharing = "adaptive"
 	// SharingLeased gives each router a rate by its share of the demand.
 	SharingLeased Sharing = "leased"
@@ -21,74 +21,73 @@
 )
 
 const (
-	// equalPart of the limit is shared equally where the rest goes by demand, so that a
-	// router that saw no demand of a tenant has some.
+	// equalPart of a limit is shared equally and the rest by demand, so that routers
+	// without demand of a tenant also have a share.
 	equalPart = 0.2
-	// startGrace is how long a router that has never heard of a leader's ledger lets
-	// everything through: a new leader needs settleTime, and one round of reports.
+	// startGrace is how long a new router admits everything until it hears of a ledger. It
+	// allows for settleTime and one round of reports.
 	startGrace = time.Second
-	// leastSeen bounds by how much averages of a router that has just started are raised.
-	leastSeen = 0.1
-	// leastRetryAfter is the shortest time after which a refused caller is asked back.
+	// leastSeen bounds the correction of the averages of a new router.
+	leastSeen       = 0.1
 	leastRetryAfter = 100 * time.Millisecond
-	// retrySpread spreads callers that come back: half of the time more or less.
+	// retrySpread is the jitter of Retry-After, as a share of it.
 	retrySpread = 0.5
-	// limitedReportInterval is how often a router reports while it sees requests of a tenant
-	// of which only a share may be let through.
+	// limitedReportInterval is the report interval while a router sees requests of a
+	// limited tenant.
 	limitedReportInterval = 250 * time.Millisecond
-	// fullReportsFor is how long after a change of leader reports list all tenants, and
-	// fullReportInterval how often they do at other times: a router whose reports were lost
-	// then would never be counted. A leader hears of it within a quarter of a window.
-	fullReportsFor     = 2 * time.Second
+	// fullReportsFor is how long after a change of leader all reports are full.
+	fullReportsFor = 2 * time.Second
+	// fullReportInterval is the interval of full reports at other times. It makes up for
+	// reports that were lost after the change of leader.
 	fullReportInterval = 2 * time.Second
 )
 
-// Refusal says why a request is over a tenant's limit, and when to come back.
+// Refusal is the reason why a request exceeds a tenant's limit.
 type Refusal struct {
 	RetryAfter time.Duration
-	// Admit is the share that the leader lets through; 1 where the router's own bucket
-	// decided.
+	// Admit is the share that the leader allows, or 1 if the router's own bucket decided.
 	Admit float64
-	// Age is that of the leader's word.
+	// Age is the time since the last allowances.
 	Age time.Duration
-	// Offered is what the tenant asks for a second, as far as it is known.
+	// Offered is the known demand of the tenant per second, over all routers.
 	Offered float64
 }
 
-// Enforcer is one router's part. It is not safe for concurrent use.
+// Enforcer enforces the limits at one router. It is not safe for concurrent use.
 type Enforcer struct {
 	bound   Bound
 	sharing Sharing
 	random  *rand.Rand
 	started time.Duration
 
-	// term is the newest leader's; since then reports list all tenants.
+	// term is the newest leader's, and termSince when it became known.
 	term      uint64
 	termSince time.Duration
 	routers   int
-	// heard is when allowances came last; they stay in force until later ones come.
-	heard      time.Duration
+	// heard is the time of the last allowances.
+	heard time.Duration
+	// known is set once there were allowances.
 	known      bool
 	allowances map[string]Allowance
 
 	tenants map[string]*localUse
-	// reported is when uses were listed last, and reportedFull when all of them were.
+	// reported is the time of the last report, and reportedFull that of the last full one.
 	reported, reportedFull time.Duration
 }
 
-// localUse is what one tenant asked of this router.
+// localUse is the use of one tenant at this router.
 type localUse struct {
-	// rate is the averaged rate of what is offered; leased is what it was when the leader
-	// was heard last.
+	// rate is the averaged demand; leased is its value at the last allowances.
 	rate, leased float64
-	// asked and admitted count since the start; reported is what asked was at the last
-	// report.
+	// asked and admitted are totals since the start; reported is the value of asked at
+	// the last report.
 	asked, admitted, reported float64
-	// level and share are the router's own bucket: what it holds, and its rate.
+	// level and share are the content and the rate of the router's own bucket.
 	level, share float64
 	updated      time.Duration
 	decayedAt    time.Duration
-	// recent is what was admitted in parts of the window, by the number of the part.
+	// recent is a ring of the costs admitted in each slot of the window, and latest the
+	// number of its newest slot.
 	recent [slots]float64
 	latest int64
 }
@@ -101,9 +100,8 @@
 	}
 }
 
-// Learn takes what a leader says of a term: how many routers there are and, where it knows,
-// the allowances of tenants near their limits.
-// It returns whether to report at once: a new leader waits for it.
+// Learn applies a leader's digest: the number of routers and, if known, the allowances of
+// tenants near their limits. It returns true if the leader is new and waits for a report.
 func (e *Enforcer) Learn(now time.Duration, term uint64, routers int, allowances []Allowance, known bool) (report bool) {
 	if term != e.term {
 		e.term, e.termSince = term, now
@@ -125,7 +123,7 @@
 	return report
 }
 
-// fresh reports whether the leader's word on a tenant is to be heeded.
+// fresh reports whether the last allowances are recent enough to be applied.
 func (e *Enforcer) fresh(now time.Duration, allowance Allowance) bool {
 	limit := staleAfter
 	if allowance.Admit < 1 {
@@ -134,8 +132,8 @@
 	return e.known && now-e.heard <= limit
 }
 
-// Admit lets a request through or returns why not. The cost is in units of the limit. What
-// was let through and then did not run is to be given back.
+// Admit admits a request or returns a refusal. The cost is in units of the limit. A
+// request that was admitted but did not run must be given back.
 func (e *Enforcer) Admit(now time.Duration, tenant string, limit Limit, cost float64) *Refusal {
 	if limit.Rate <= 0 {
 		return nil
@@ -151,14 +149,14 @@
 	return refusal
 }
 
-// GiveBack returns the cost of a request that proved not to have run.
+// GiveBack refunds the cost of a request that did not run.
 func (e *Enforcer) GiveBack(now time.Duration, tenant string, cost float64) {
 	if use := e.tenants[tenant]; use != nil {
 		use.take(now, e.bound, -cost)
 	}
 }
 
-// ReportDue reports whether the leader should hear of a tenant's requests before the next
+// ReportDue reports whether the use of a limited tenant is to be reported before the next
 // regular report.
 func (e *Enforcer) ReportDue(now time.Duration, tenant string) bool {
 	return e.allowance(tenant).Admit < 1 && now-e.reported >= limitedReportInterval
@@ -173,8 +171,8 @@
 	return held
 }
 
-// advance brings the router's own bucket up to date. It is kept also while the leader
-// decides, so that what was overdrawn then counts once the router is on its own.
+// advance updates the router's own bucket. It is also maintained while the leader's
+// allowances apply, so that their overdraft counts once the leader is lost.
 func (e *Enforcer) advance(now time.Duration, use *localUse, tenant string, limit Limit) {
 	elapsed := (now - use.updated).Seconds()
 	use.updated = now
@@ -186,11 +184,12 @@
 		use.level = depth
 	}
 	use.level = min(depth, use.level+use.share*elapsed)
-	// A debt is paid within a window.
+	// A debt is repaid within a window.
 	use.level = max(use.level, -use.share*e.bound.Window.Seconds())
 }
 
-// share is the router's part of a limit, per second. Those of all routers add up to it.
+// share returns the router's part of a limit, per second. The parts of all routers add up
+// to the limit.
 func (e *Enforcer) share(use *localUse, tenant string, limit Limit) float64 {
 	equal := limit.Rate / float64(max(1, e.routers))
 	if e.sharing == SharingEqual || !e.known {
@@ -200,7 +199,8 @@
 	return equalPart*equal + (1-equalPart)*limit.Rate*use.leased/demand
 }
 
-// allowance is the leader's word on a tenant: it lists those near their limits.
+// allowance returns the leader's allowance for a tenant. Tenants that it does not list are
+// far below their limits.
 func (e *Enforcer) allowance(tenant string) Allowance {
 	if allowance, listed := e.allowances[tenant]; listed {
 		return allowance
@@ -222,8 +222,8 @@
 			return &Refusal{RetryAfter: e.untilRoom(allowance.Admit), Admit: allowance.Admit, Age: age, Offered: allowance.Offered}
 		}
 	}
-	// A request that the bucket holds a part of is let through by that chance: requests
-	// larger than a router's bucket would never be.
+	// A request that exceeds the level is admitted with the probability level/cost, since
+	// requests larger than the bucket would otherwise never be admitted.
 	if use.level > 0 && (use.level >= cost || e.random.Float64() < use.level/cost) {
 		return nil
 	}
@@ -231,8 +231,8 @@
 	return &Refusal{RetryAfter: e.within(wait), Admit: 1, Age: age, Offered: allowance.Offered}
 }
 
-// untilRoom is how long the limit takes to make room for what it refused in a second, where
-// it lets a share through.
+// untilRoom returns the time in which the limit allows as much as it refuses per second at
+// the admitted share, with jitter.
 func (e *Enforcer) untilRoom(admit float64) time.Duration {
 	if admit <= 0 {
 		return e.within(e.bound.Window)
@@ -250,7 +250,7 @@
 	u.decayedAt = now
 }
 
-// take counts what was let through, or given back where it is below 0.
+// take counts an admitted cost. A negative cost is a refund.
 func (u *localUse) take(now time.Duration, bound Bound, cost float64) {
 	u.admitted += cost
 	u.level -= cost
@@ -258,7 +258,7 @@
 	u.recent[u.latest%slots] += cost
 }
 
-// turn empties the parts of the window that have passed.
+// turn advances the ring of slots to now.
 func (u *localUse) turn(now time.Duration, bound Bound) {
 	present := int64(now / bound.slot())
 	u.latest = max(u.latest, present-slots)
@@ -268,15 +268,15 @@
 	}
 }
 
-// Uses lists what is to be reported: tenants with news or, after a change of leader, all,
-// with what was admitted lately; then full is set.
+// Uses returns the uses to report. A full report lists all tenants with their recent use,
+// others only tenants with new requests.
 func (e *Enforcer) Uses(now time.Duration) (uses []Use, full bool) {
 	e.reported = now
 	full = now-e.termSince <= fullReportsFor || now-e.reportedFull >= fullReportInterval
 	if full {
 		e.reportedFull = now
 	}
-	// An average over a time that reaches back behind the start lacks a part.
+	// Corrects averages whose period began before the start.
 	seen := max(leastSeen, 1-decayed(now-e.started))
 	for tenant, held := range e.tenants {
 		if !full && held.asked == held.reported {
@@ -295,7 +295,7 @@
 	return uses, full
 }
 
-// parts lists the parts of the window, the latest first.
+// parts returns the slots of the window, the latest first.
 func (u *localUse) parts() []float64 {
 	parts := make([]float64, 0, slots)
 	for age := range int64(slots) {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,45 +7,42 @@
 )
 
 const (
-	// A new leader publishes nothing before it has heard of routers, and then of no new one
-	// for settleQuiet, or for settleTime: routers report as soon as they hear of it.
+	// A new ledger settles once it has met no new router for settleQuiet, or settleTime after
+	// the first one.
 	settleQuiet = 150 * time.Millisecond
 	settleTime  = time.Second
-	// offeredMemory is the time over which offered rates are averaged: long enough for a
-	// few requests of a small tenant.
+	// offeredMemory is the time constant of averaged demand. It spans a few requests of a
+	// small tenant.
 	offeredMemory = 2 * time.Second
-	// repayTime is the time within which a bucket's content is handed out, or its debt
-	// repaid. It is several times the delay between what a router does and what it hears
-	// of it, so that the regulation settles.
+	// repayTime is the time in which a bucket's content is spent or its debt repaid. It is
+	// several times the feedback delay, which keeps the control loop stable.
 	repayTime = 1500 * time.Millisecond
-	// A tenant is regulated from limitBelow of the bucket's depth until it holds
-	// freeAbove again.
+	// A tenant is limited once its bucket is below limitBelow of its depth, until it is
+	// above freeAbove.
 	limitBelow, freeAbove = 0.5, 0.95
-	// listedFrom is the share of its limit from which a tenant is listed: routers need
-	// not know of those that ask for less.
+	// listedFrom is the share of its limit from which a tenant is published.
 	listedFrom = 0.25
-	// urgentChange is a change of a share that routers learn of at once.
+	// urgentChange is the relative change of a share that is published at once.
 	urgentChange = 0.25
-	// staleAfter is how long a router heeds the last it heard of the leader, and after
-	// which the leader takes a silent router to be on its own: an election and the next
-	// leader's settleTime mostly fit in.
+	// staleAfter is how long routers apply the last allowances, and after which the leader
+	// assumes that a router which does not report uses its own bucket. It allows for an
+	// election and settleTime.
 	staleAfter = 1500 * time.Millisecond
-	// staleLimitedAfter is the same for a tenant of which only a share is let through:
-	// demand may have grown, and a digest is due.
+	// staleLimitedAfter is the same for limited tenants, whose demand may have grown.
 	staleLimitedAfter = 1200 * time.Millisecond
-	// forgetWindows is for how many windows a silent router's share is set aside.
+	// forgetWindows is the number of windows for which the share of a router that does not
+	// report is reserved.
 	forgetWindows = 2
 )
 
-// Ledger is the leader's account of what tenants use of their limits. It begins anew with
-// each term and is not safe for concurrent use.
+// Ledger is the leader's account of the use of all tenants. Each term starts a new one. It
+// is not safe for concurrent use.
 type Ledger struct {
 	bound Bound
-	// expected is how many routers the term before had, and began when this one did.
+	// expected is the number of routers of the previous term.
 	expected int
 	began    time.Duration
-	// firstMet and met are when the first and the last router were heard of for the first
-	// time.
+	// firstMet and met are the times of the first reports of the first and the last router.
 	firstMet, met time.Duration
 	updated       time.Duration
 	settled       bool
@@ -57,49 +54,49 @@
 type nodeUse struct {
 	incarnation uint64
 	heard       time.Duration
-	// unknown is the share of the last window that lies before the router's start, and so
-	// is not known, at the first report.
+	// unknown is the share of the last window before the router's start.
 	unknown float64
-	// reported is what it told last of each tenant.
+	// reported is the last use by tenant.
 	reported map[string]reportedUse
 }
 
-// reportedUse is what a router told of one tenant.
+// reportedUse is the last use of one tenant that a router reported.
 type reportedUse struct {
 	admitted float64
-	// offered is the rate at a time; it decays from then on.
+	// offered is the averaged demand at the time at.
 	offered float64
 	at      time.Duration
 }
 
-// account is one tenant's bucket.
+// account is one tenant's token bucket.
 type account struct {
-	// level is below 0 where the tenant is in debt.
+	// level is negative if the tenant is in debt.
 	level float64
-	// used is what was admitted since the last update.
+	// used is the cost admitted since the last update.
 	used float64
-	// offered is the averaged rate of what is asked for, at offeredAt.
+	// offered is the averaged demand at offeredAt.
 	offered   float64
 	offeredAt time.Duration
 	limited   bool
-	// published is the share that routers heard last.
+	// published is the last published share.
 	published float64
-	// before is what was admitted in parts of the window before the term, by the number
-	// of the part; nil once it has been replayed.
+	// before is the cost admitted in each slot of the last window before the term, by slot
+	// number. It is nil once the ledger has settled.
 	before map[int64]float64
 }
 
-// NewLedger returns the ledger of a term that begins at now, after one with so many routers.
+// NewLedger returns the ledger of a term that begins at now. The argument routers is their
+// number in the previous term.
 func NewLedger(now time.Duration, bound Bound, routers int) *Ledger {
 	return &Ledger{bound: bound, expected: routers, began: now, updated: now, nodes: map[string]*nodeUse{}, accounts: map[string]*account{}}
 }
 
-// Take takes a router's report, the newest of it so far.
+// Take applies a router's report. The reports of a router must be in order.
 func (l *Ledger) Take(now time.Duration, report Report) {
 	node := l.nodes[report.Node]
 	if node == nil {
-		// The first report over a new connection may come before the router has heard of
-		// the new leader: it holds news only, and none of the window before.
+		// A report that is not full lacks the recent use. The router sends a full one once
+		// it knows of this leader.
 		if report.Full {
 			l.meet(now, report)
 		}
@@ -115,14 +112,14 @@
 	}
 	for _, use := range report.Uses {
 		account := l.account(now, use.Tenant)
-		// What was given back since counts negative.
+		// The difference is negative after refunds.
 		account.used += use.Admitted - node.reported[use.Tenant].admitted
 		node.note(now, use, account)
 	}
 }
 
-// note keeps what a router told of a tenant, and puts its rate in the place of the one
-// before in the tenant's.
+// note records a router's use of a tenant, and replaces its previous part of the tenant's
+// demand.
 func (n *nodeUse) note(now time.Duration, use Use, account *account) {
 	before := n.reported[use.Tenant]
 	account.decay(now)
@@ -130,7 +127,7 @@
 	n.reported[use.Tenant] = reportedUse{admitted: use.Admitted, offered: use.Offered, at: now}
 }
 
-// decayed is what is left of an averaged rate after a time without requests.
+// decayed returns the factor by which an averaged rate decreases without requests.
 func decayed(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / offeredMemory.Seconds())
 }
@@ -140,8 +137,8 @@
 	a.offeredAt = now
 }
 
-// meet takes the first report of a router in this term: its totals tell nothing of when
-// they came about, the parts of the last window do.
+// meet applies the first report of a router in this term. It counts only the recent use,
+// as the totals don't say when requests were admitted.
 func (l *Ledger) meet(now time.Duration, report Report) {
 	node := &nodeUse{incarnation: report.Incarnation, heard: now, reported: map[string]reportedUse{}}
 	node.unknown = max(0, 1-report.Uptime.Seconds()/l.bound.Window.Seconds())
@@ -155,7 +152,7 @@
 		node.note(now, use, account)
 		for age, admitted := range use.Recent {
 			if account.before == nil {
-				account.used += admitted // The bucket has been replayed already.
+				account.used += admitted // The ledger has settled already.
 				continue
 			}
 			account.before[int64((now-time.Duration(age)*l.bound.slot())/l.bound.slot())] += admitted
@@ -166,7 +163,7 @@
 func (l *Ledger) account(now time.Duration, tenant string) *account {
 	held := l.accounts[tenant]
 	if held == nil {
-		// A bucket that nothing was taken from is full.
+		// The level is reduced to the depth by the next update.
 		held = &account{published: 1, offeredAt: now, level: math.MaxFloat64}
 		if !l.settled {
 			held.before = map[int64]float64{}
@@ -176,7 +173,7 @@
 	return held
 }
 
-// Update brings the buckets up to date. It returns whether routers should hear at once.
+// Update updates the buckets. It reports whether allowances are to be published at once.
 func (l *Ledger) Update(now time.Duration, limits map[string]Limit) (urgent bool) {
 	if !l.settled {
 		if !l.maySettle(now) {
@@ -206,8 +203,8 @@
 	return len(l.nodes) > 0 && (now-l.met >= settleQuiet || now-l.firstMet >= settleTime)
 }
 
-// settle replays the buckets over the window before, in which a new leader has seen
-// nothing itself.
+// settle computes the levels of the buckets from the use that routers reported for the
+// last window.
 func (l *Ledger) settle(now time.Duration, limits map[string]Limit) {
 	l.settled = true
 	l.updated = now
@@ -218,22 +215,22 @@
 	for tenant, held := range l.accounts {
 		limit := limits[tenant]
 		depth := l.bound.depth(limit)
-		// The bucket is taken to have been empty: what stays below the limit fills it
-		// within the window.
+		// The replay starts with an empty bucket, which use below the limit fills within the
+		// window.
 		held.level = 0
 		present := int64(now / l.bound.slot())
 		for number := present - slots + 1; number <= present; number++ {
 			passed := min(l.bound.slot(), now-time.Duration(number)*l.bound.slot())
 			held.level = min(depth, held.level+limit.Rate*passed.Seconds()) - held.before[number]
 		}
-		// What routers used before they started is taken to be all that there was.
+		// For the time before a router's start the worst case is assumed.
 		held.level -= unknown*depth + held.used
 		held.before, held.used = nil, 0
 	}
 }
 
-// silentShare is the share of the routers that are not heard of, or not yet in this term, and
-// may go on by themselves. Routers that have been silent for long are forgotten.
+// silentShare returns the share of routers that don't report, or not yet in this term, and
+// may use their own buckets. It removes routers that have not reported for forgetWindows.
 func (l *Ledger) silentShare(now time.Duration) float64 {
 	silent := 0
 	for name, node := range l.nodes {
@@ -263,7 +260,7 @@
 	}
 }
 
-// admit is the share of what is offered that the limit has room for.
+// admit returns the share of the demand that the limit allows.
 func (a *account) admit(limit Limit, own float64) float64 {
 	if !a.limited || limit.Rate <= 0 {
 		return 1
@@ -275,8 +272,8 @@
 	return allowed / a.offered
 }
 
-// Allowances lists the tenants that come near their limits, by name, for routers. It
-// reports whether the ledger knows enough to be heeded.
+// Allowances returns the allowances of tenants near their limits, by name. It reports
+// whether the ledger has settled.
 func (l *Ledger) Allowances(now time.Duration, limits map[string]Limit) (allowances []Allowance, known bool) {
 	if !l.settled {
 		return nil, false
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestWaysOfSharing prints, for each way and scenario, the worst window as a share of what
-// is allowed and the requests below the limit that were refused, in 1,000.
-func TestWaysOfSharing(t *testing.T) {
+// TestSharingModes checks SharingAdaptive against the bound in all scenarios. For each way of
+// sharing it logs the worst window, relative to Bound.Most, and the refusals per 1,000 requests
+// below the limit.
+func TestSharingModes(t *testing.T) {
 	const seeds = 6
 	for _, course := range scenarios() {
 		for _, sharing := range []Sharing{SharingEqual, SharingLeased, SharingAdaptive} {
@@ -28,7 +29,6 @@
 				if sharing == SharingAdaptive && worst > course.most() {
 					t.Errorf("%s: %s used %.3f of what a window allows", course.name, name, worst)
 				}
-				// What usual traffic never meets must cost it nothing.
 				if sharing == SharingAdaptive && course.name == "usual" && below > mostRefusedBelow[name] {
 					t.Errorf("%s: %.1f in 1,000 requests of %s that are below the limit were refused", course.name, below, name)
 				}
@@ -38,19 +38,19 @@
 	}
 }
 
-// mostRefusedBelow are the requests below the limit, in 1,000, that may be refused on usual
-// days. One request of the small tenant is up to one and a half seconds of its limit.
+// mostRefusedBelow is the allowed number of refusals per 1,000 requests below the limit under
+// usual demand. A request of the small tenant may cost 1.5 s of its limit.
 var mostRefusedBelow = map[string]float64{"large": 0.5, "small": 5}
 
-// TestMutationsAreCaught: the bound is broken where new leaders aren't told of the window
-// before, and where routers heed a leader that is gone.
+// TestMutationsAreCaught checks that the simulation detects an exceeded bound if routers don't
+// report their recent use, or apply the last allowances without end.
 func TestMutationsAreCaught(t *testing.T) {
 	mutations := []struct {
 		name, course string
 		mutate       func(played *simulation)
 	}{
-		{"routers don't tell of the window before", "hot, leaders change again and again", func(played *simulation) { played.forgets = true }},
-		{"routers heed a leader that is gone", "hot while cut off, all routers", func(played *simulation) { played.trusts = true }},
+		{"routers don't report recent use", "hot, leaders change again and again", func(played *simulation) { played.forgets = true }},
+		{"routers apply stale allowances", "hot while cut off, all routers", func(played *simulation) { played.trusts = true }},
 	}
 	for _, mutation := range mutations {
 		for _, course := range scenarios() {
@@ -61,14 +61,15 @@
 			mutation.mutate(played)
 			played.run()
 			if worst := max(played.worst(tenants[0], limits[0]), played.worst(tenants[1], limits[1])); worst <= 1 {
-				t.Errorf("%s: not caught, %.3f", mutation.name, worst)
+				t.Errorf("%s: not detected, %.3f", mutation.name, worst)
 			}
 		}
 	}
 }
 
-// TestGivenBackCountsNowhere: a request that proved not to have run uses nothing up.
-func TestGivenBackCountsNowhere(t *testing.T) {
+// TestRefund checks that refunded requests use up neither the bucket nor the
+// reported use.
+func TestRefund(t *testing.T) {
 	limit := Limit{Rate: 1000, Burst: 1000}
 	enforcer := NewEnforcer(0, Bound{Window: 8 * time.Second}, SharingEqual, rand.New(rand.NewPCG(1, 1)))
 	for range 100 {
@@ -88,12 +89,12 @@
 		t.Fatalf("%+v", refusal)
 	}
 	if again := enforcer.Admit(refusal.RetryAfter, "a", limit, 900); again != nil {
-		t.Errorf("refused when told to come back: %+v", again)
+		t.Errorf("refused after Retry-After: %+v", again)
 	}
 }
 
-// TestLimitThatFalls binds at once; one that rises or goes lets through.
-func TestLimitThatFalls(t *testing.T) {
+// TestLoweredLimit checks that a lower limit is enforced within a window.
+func TestLoweredLimit(t *testing.T) {
 	played, tenants, _ := scenarios()[0].simulation(SharingAdaptive, 3)
 	low := Limit{Rate: largeLimit.Rate / 10, Burst: largeLimit.Burst / 10}
 	const falls, rises = 10 * time.Second, 30 * time.Second
@@ -114,6 +115,6 @@
 		}
 	}
 	if sum > simBound.Most(low) || sum < low.Rate*simBound.Window.Seconds()/2 {
-		t.Errorf("%.0f were let through in a window under a limit that allows %.0f", sum, simBound.Most(low))
+		t.Errorf("%.0f admitted in a window, the limit allows %.0f", sum, simBound.Most(low))
 	}
 }
--- a/internal/quota/courses_test.go
+++ b/internal/quota/scenarios_test.go
@@ -9,7 +9,7 @@
 	return func(time.Duration) float64 { return value }
 }
 
-// between is the factor from one time to another and 1 outside.
+// between returns usual, multiplied by factor between the two times.
 func between(from, until time.Duration, factor, usual float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < until {
@@ -23,28 +23,27 @@
 	return func(time.Duration) Limit { return limit }
 }
 
-// The tenants' limits: a large one's, 1.8 times the usual, and its floor.
+// The limits of the two tenants, in tokens.
 var (
 	largeLimit = Limit{Rate: 852_230, Burst: 852_230}
 	smallLimit = Limit{Rate: 29_000, Burst: 29_000}
 )
 
+// usualShare is the usual demand of a tenant, as a share of its limit.
 const usualShare = 1 / 1.8
 
-// scenario is one course of demand and faults.
+// scenario is a course of demand and faults. Its faults are described at simulation.
 type scenario struct {
 	name string
-	// large and small are the demands of the two tenants, as shares of their usual.
+	// large and small are the demands of the two tenants, relative to their usual ones.
 	large, small func(at time.Duration) float64
 	cut          func(router int, at time.Duration) bool
 	hasLeader    func(at time.Duration) bool
 	changes      []time.Duration
 	restarts     []time.Duration
-	// reconnects are when all routers find a control node again, and report at once.
-	reconnects []time.Duration
-	// unheard reports whether a router hears of the leader and is not heard.
-	unheard func(router int, at time.Duration) bool
-	// bound is how much of what a window allows may be used; 0 stands for all.
+	reconnects   []time.Duration
+	unheard      func(router int, at time.Duration) bool
+	// bound is the allowed use in a window, relative to Bound.Most; 0 means 1.
 	bound float64
 }
 
@@ -82,21 +81,21 @@
 		{name: "hot, a quarter of the routers is cut off", large: hot, small: hot, cut: cutOff(20, 9*second, 20*second)},
 		{name: "hot while cut off, all routers", large: between(12*second, 21*second, 6, 1), small: hot, cut: cutOff(81, 9*second, 20*second)},
 		{
-			// As on the bench (scale-2): the control node of all routers is cut off with the leader.
+			// The leader is the control node of all routers.
 			name: "hot, all routers lose their control node", large: hot, small: hot,
 			cut:     cutOff(81, 10_500*time.Millisecond, 12_010*time.Millisecond),
 			changes: []time.Duration{11 * second}, reconnects: []time.Duration{12_010 * time.Millisecond},
 		},
 		{
-			// A new leader takes a router's first report only if it holds the window before.
+			// A new leader ignores reports of a router before its first full report.
 			name: "hot, half of the routers is not heard at a change of leader", large: hot, small: hot,
 			changes: []time.Duration{9 * second}, unheard: cutOff(40, 8900*time.Millisecond, 11_500*time.Millisecond),
-			// See docs/FINDINGS.md: a small tenant's largest request is a ninth of its window.
+			// A small tenant's largest request is a ninth of its window.
 			bound: 1.15,
 		},
 		{
-			name: "hot, everything starts anew", large: hot, small: hot, restarts: []time.Duration{14 * second},
-			// Nobody knows what was used before: docs/FINDINGS.md, "quota after a restart of everything".
+			name: "hot, everything restarts", large: hot, small: hot, restarts: []time.Duration{14 * second},
+			// The use before the restart is lost.
 			bound: 1.01,
 		},
 	}
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -7,8 +7,6 @@
 	"time"
 )
 
-// The fleet of the tests: as many routers as serve the largest deployment so far, and the
-// intervals of nodes.
 const (
 	simRouters        = 81
 	simStep           = 10 * time.Millisecond
@@ -16,45 +14,44 @@
 	simDigestInterval = 500 * time.Millisecond
 	simPassInterval   = 100 * time.Millisecond
 	simLength         = 40 * time.Second
-	// simDown is how long nothing is served after a loss of power everywhere.
+	// simDown is how long no requests are served after a restart of everything.
 	simDown = time.Second
 	// simLargest is the largest request, in tokens.
 	simLargest = 46_000
 )
 
-// simBound is that of a deployment.
 var simBound = Bound{Window: 8 * time.Second, Overage: 0.1, Slack: 110_000}
 
 // simTenant is a tenant with its demand.
 type simTenant struct {
-	name string
-	// limit is what is declared at a time.
+	name  string
 	limit func(at time.Duration) Limit
-	// demand is what it asks for, in tokens a second.
+	// demand is in tokens per second.
 	demand func(at time.Duration) float64
 }
 
-// simulation plays routers and leaders in virtual time.
+// simulation runs routers and leaders in virtual time.
 type simulation struct {
 	random  *rand.Rand
 	sharing Sharing
 	tenants []simTenant
-	// cut reports whether a router hears nothing and is not heard; hasLeader, whether
-	// there is one.
+	// cut reports whether a router is partitioned from the leader in both directions.
 	cut       func(router int, at time.Duration) bool
 	hasLeader func(at time.Duration) bool
-	// changes are when another leader takes over; restarts, when all routers start anew.
-	changes, restarts []time.Duration
-	// reconnects are when all routers report at once, before they hear of a leader.
+	// changes are the times of leader changes.
+	changes []time.Duration
+	// restarts are the times at which all routers and the leader restart.
+	restarts []time.Duration
+	// reconnects are the times at which all routers report, before they hear of a leader.
 	reconnects []time.Duration
-	// unheard reports whether a router hears of the leader and is not heard.
+	// unheard reports whether a router's reports are lost while it receives digests.
 	unheard func(router int, at time.Duration) bool
-	// forgets is a fault: routers don't tell new leaders of the window before.
+	// forgets injects a fault: routers don't report their recent use.
 	forgets bool
-	// trusts is a fault: routers heed what they last heard for ever.
+	// trusts injects a fault: routers apply the last allowances without end.
 	trusts bool
 
-	// down is until when no router takes requests after a restart.
+	// down is the time until which no router accepts requests after a restart.
 	down      time.Duration
 	now       time.Duration
 	term      uint64
@@ -65,8 +62,8 @@
 	digested  time.Duration
 	messages  []simMessage
 	admitted  map[string][]simEvent
-	// fair and refusedBelow count requests that a single bucket for the whole fleet would
-	// have let through, and those of them that were refused.
+	// fair counts requests that a single bucket for the whole fleet would have admitted, and
+	// refusedBelow those of them that were refused.
 	fair, refusedBelow map[string]int
 	reference          map[string]*simBucket
 }
@@ -94,7 +91,7 @@
 	for range simRouters {
 		s.enforcers = append(s.enforcers, nil)
 	}
-	// Traffic begins a while after the routers have started.
+	// Traffic begins after the routers and the leader have settled.
 	const before = 10 * time.Second
 	s.startAll(-before)
 	s.lead(-before)
@@ -158,7 +155,7 @@
 	s.messages = append(later, s.messages...)
 }
 
-// send delivers after the delay of a link and of two processes.
+// send delivers a message after a random network delay.
 func (s *simulation) send(deliver func()) {
 	delay := 5*time.Millisecond + time.Duration(s.random.Int64N(int64(60*time.Millisecond)))
 	s.messages = append(s.messages, simMessage{due: s.now + delay, deliver: deliver})
@@ -235,7 +232,7 @@
 	}
 }
 
-// size is that of a long, a short or a plain request.
+// size returns the random cost of a request.
 func (s *simulation) size() float64 {
 	switch draw := s.random.Float64(); {
 	case draw < 0.35:
@@ -265,7 +262,7 @@
 	}
 }
 
-// fairly reports whether one bucket for the whole fleet would let the request through.
+// fairly reports whether a single bucket for the whole fleet would admit the request.
 func (s *simulation) fairly(tenant string, limit Limit, cost float64) bool {
 	held := s.reference[tenant]
 	if held == nil {
@@ -281,8 +278,8 @@
 	return true
 }
 
-// worst is the highest share of what is allowed in a window that a tenant used, for limits
-// that stand for the whole run.
+// worst returns the highest use of a tenant in any window, relative to Bound.Most, for a limit
+// that doesn't change.
 func (s *simulation) worst(tenant simTenant, limit Limit) float64 {
 	events, worst, sum, first := s.admitted[tenant.name], 0.0, 0.0, 0
 	for _, event := range events {
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,31 +1,25 @@
-// Package retrybudget bounds the requests that are sent again.
+// Package retrybudget bounds the retries of all routers in a sliding window.
 //
-// The problem: retries help where a few requests fail and do harm where many
-// do. The bound holds for all routers together, in every window of time, and a
-// router knows only its own traffic. A window's requests are those in it, in the
-// window before it, or in the one half a window before, whichever has the most:
-// repeats follow their requests.
-//
-// The mechanism: in any window a router sends again at most a ratio of the
-// requests that it has sent a first time, and its share of a fixed slack. It
-// keeps below both, since windows are counted elsewhere too; a router that has
-// just started may have spent its share in an earlier life and gets it bit by
-// bit. Time is an argument.
+// In any window a router sends at most a ratio of its first sends, plus its share
+// of a fixed slack, as retries. The bound holds for the fleet relative to the
+// first sends of the window or of one that began up to a window earlier.
 package retrybudget
 
 import "time"
 
 const (
-	// buckets is into how many parts the window is cut.
+	// buckets is the number of parts of the sliding window.
 	buckets = 20
-	// caution is the share of the bound that is used: the others' clocks and
-	// counts differ, and routers come and go.
+	// caution is the share of the bound that is used. It allows for different
+	// clocks and for routers that join and leave.
 	caution = 0.7
 )
 
 // Config is the bound for all routers together.
 type Config struct {
-	Ratio  float64
+	// Ratio of retries to first sends.
+	Ratio float64
+	// Slack is the number of retries allowed regardless of first sends.
 	Slack  int
 	Window time.Duration
 }
@@ -40,7 +34,7 @@
 	current int64
 }
 
-// New returns a budget that begins at now.
+// New returns a budget of a router that starts at now.
 func New(config Config, now time.Duration) *Budget {
 	return &Budget{config: config, started: now}
 }
@@ -61,13 +55,13 @@
 	}
 }
 
-// Sent counts a request that is sent for the first time.
+// Sent counts a first send.
 func (b *Budget) Sent(now time.Duration) {
 	b.advance(now)
 	b.first[b.current%buckets]++
 }
 
-// Spend reports whether a request may be sent again now, and counts it.
+// Spend reports whether a retry is allowed now, and counts it if so.
 func (b *Budget) Spend(now time.Duration, routers int) bool {
 	b.advance(now)
 	if float64(total(b.again)+1) > b.allowed(now, routers) {
@@ -77,7 +71,9 @@
 	return true
 }
 
-// allowed is how many requests may be sent again in the present window.
+// allowed returns the number of retries allowed in the current window. The slack
+// of a new router grows over a window, as it may have used its share before a
+// restart.
 func (b *Budget) allowed(now time.Duration, routers int) float64 {
 	slack := float64(b.config.Slack) / float64(max(1, routers))
 	if age := now - b.started; age < b.config.Window {
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -6,11 +6,10 @@
 	"time"
 )
 
-// TestBoundHoldsForAllRouters: whatever the traffic, and though routers start
-// anew, all together keep below the bound in every window, wherever it begins. The
-// requests that count are those of the window, of the one before it, or of the
-// one half a window before, whichever has the most.
-func TestBoundHoldsForAllRouters(t *testing.T) {
+// TestFleetBound checks the bound in all windows under random traffic
+// with restarts of routers. The first sends that count are those of the window, of
+// the one half a window earlier or of the one before, whichever has the most.
+func TestFleetBound(t *testing.T) {
 	config := Config{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 	const routers = 7
 	for seed := range uint64(20) {
@@ -21,7 +20,7 @@
 			budgets[position] = New(config, 0)
 		}
 		for now := time.Duration(0); now < 60*time.Second; now += 20 * time.Millisecond {
-			// Traffic rises and falls, and now and then everything fails.
+			// The rate varies, and at times all requests fail.
 			rate := 1 + int(3*now.Seconds())%5
 			failing := int(now.Seconds())/7%2 == 0
 			for range rate {
@@ -64,9 +63,9 @@
 	return count
 }
 
-// TestSmallAfterAStart: a router that has just started may have spent its share
-// in an earlier life.
-func TestSmallAfterAStart(t *testing.T) {
+// TestSlackGrowsAfterStart checks that the slack grows after a start, since the router
+// may have used its share before a restart.
+func TestSlackGrowsAfterStart(t *testing.T) {
 	config := Config{Ratio: 0, Slack: 100, Window: 10 * time.Second}
 	budget := New(config, time.Hour)
 	if budget.Spend(time.Hour, 1) {
