--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -61,7 +61,7 @@
 	}
 	s.certificate, s.authority = &certificate, authority
 	s.checked = s.now()
-	s.modified = s.newest()
+	s.modified = s.lastModified()
 	return nil
 }
 
@@ -79,25 +79,25 @@
 	return authority, nil
 }
 
-// newest returns the latest modification time of the files.
-func (s *Store) newest() time.Time {
-	var newest time.Time
+// lastModified returns the latest modification time of the files.
+func (s *Store) lastModified() time.Time {
+	var latest time.Time
 	for _, path := range []string{s.files.Certificate, s.files.Key, s.files.Authority} {
-		if info, err := os.Stat(path); err == nil && info.ModTime().After(newest) {
-			newest = info.ModTime()
+		if info, err := os.Stat(path); err == nil && info.ModTime().After(latest) {
+			latest = info.ModTime()
 		}
 	}
-	return newest
+	return latest
 }
 
-// present returns the certificate and the authority. It reloads them if the files
+// current returns the certificate and the authority. It reloads them if the files
 // have changed.
-func (s *Store) present() (*tls.Certificate, *x509.CertPool) {
+func (s *Store) current() (*tls.Certificate, *x509.CertPool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.now().Sub(s.checked) >= reloadInterval {
 		s.checked = s.now()
-		if !s.newest().Equal(s.modified) {
+		if !s.lastModified().Equal(s.modified) {
 			_ = s.read() // On failure the previous pair stays in use.
 		}
 	}
@@ -108,7 +108,7 @@
 func (s *Store) PeerServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert,
-		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.certificateNow(), nil },
+		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.currentCertificate(), nil },
 		VerifyConnection: s.verifyPeer,
 	}
 }
@@ -119,7 +119,7 @@
 		MinVersion: tls.VersionTLS13,
 		// Peers are addressed by IP; verifyPeer verifies the chain.
 		InsecureSkipVerify:   true,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.certificateNow(), nil },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.currentCertificate(), nil },
 		VerifyConnection:     s.verifyPeer,
 	}
 }
@@ -129,12 +129,12 @@
 func (s *Store) PublicServer() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.certificateNow(), nil },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.currentCertificate(), nil },
 	}
 }
 
-func (s *Store) certificateNow() *tls.Certificate {
-	certificate, _ := s.present()
+func (s *Store) currentCertificate() *tls.Certificate {
+	certificate, _ := s.current()
 	return certificate
 }
 
@@ -144,7 +144,7 @@
 	if len(state.PeerCertificates) == 0 {
 		return fault.Unauthorized.New("the peer sent no certificate")
 	}
-	_, authority := s.present()
+	_, authority := s.current()
 	intermediates := x509.NewCertPool()
 	for _, certificate := range state.PeerCertificates[1:] {
 		intermediates.AddCert(certificate)
--- a/internal/keys/keystest/keystest.go
+++ b/internal/keys/keystest/keystest.go
@@ -20,7 +20,7 @@
 // Authority is the certificate authority of a test cluster.
 type Authority struct {
 	t           *testing.T
-	folder      string
+	dir         string
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	serial      int64
@@ -29,7 +29,7 @@
 // NewAuthority returns an authority with its files in a temporary directory.
 func NewAuthority(t *testing.T) *Authority {
 	t.Helper()
-	authority := &Authority{t: t, folder: t.TempDir(), serial: 1}
+	authority := &Authority{t: t, dir: t.TempDir(), serial: 1}
 	authority.key = authority.newKey()
 	template := authority.template("authority")
 	template.IsCA, template.BasicConstraintsValid = true, true
@@ -76,12 +76,12 @@
 	return keys.Files{
 		Certificate: a.write(node+".pem", "CERTIFICATE", der),
 		Key:         a.write(node+".key", "EC PRIVATE KEY", encoded),
-		Authority:   filepath.Join(a.folder, "authority.pem"),
+		Authority:   filepath.Join(a.dir, "authority.pem"),
 	}
 }
 
 func (a *Authority) write(name, kind string, der []byte) string {
-	path := filepath.Join(a.folder, name)
+	path := filepath.Join(a.dir, name)
 	content := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 	if err := os.WriteFile(path, content, 0o600); err != nil {
 		a.t.Fatal(err)
