--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -285,7 +285,7 @@
 func (i *Ingress) countFirstSend(pool string) {
 	i.budgetMutex.Lock()
 	defer i.budgetMutex.Unlock()
-	i.budget(pool).Sent(time.Since(i.started))
+	i.budget(pool).CountFirstSend(time.Since(i.started))
 }
 
 // spendRetry takes one retry from a pool's budget, if there is one left.
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -10,9 +10,9 @@
 const (
 	// buckets is the number of parts of the sliding window.
 	buckets = 20
-	// caution is the share of the bound that is used. It allows for different
+	// safetyFactor is the share of the bound that is used. It allows for different
 	// clocks and for routers that join and leave.
-	caution = 0.7
+	safetyFactor = 0.7
 )
 
 // Config is the bound for all routers together.
@@ -27,11 +27,11 @@
 // Budget is one router's share of the bound for one pool. It is not safe for
 // concurrent use.
 type Budget struct {
-	config  Config
-	started time.Duration
-	first   [buckets]int
-	again   [buckets]int
-	current int64
+	config     Config
+	started    time.Duration
+	firstSends [buckets]int
+	retries    [buckets]int
+	current    int64
 }
 
 // New returns a budget of a router that starts at now.
@@ -50,24 +50,24 @@
 		if position-b.current >= buckets {
 			b.current = position - buckets + 1
 		}
-		b.first[b.current%buckets] = 0
-		b.again[b.current%buckets] = 0
+		b.firstSends[b.current%buckets] = 0
+		b.retries[b.current%buckets] = 0
 	}
 }
 
-// Sent counts a first send.
-func (b *Budget) Sent(now time.Duration) {
+// CountFirstSend counts a first send.
+func (b *Budget) CountFirstSend(now time.Duration) {
 	b.advance(now)
-	b.first[b.current%buckets]++
+	b.firstSends[b.current%buckets]++
 }
 
 // Spend reports whether a retry is allowed now, and counts it if so.
 func (b *Budget) Spend(now time.Duration, routers int) bool {
 	b.advance(now)
-	if float64(total(b.again)+1) > b.allowed(now, routers) {
+	if float64(total(b.retries)+1) > b.allowed(now, routers) {
 		return false
 	}
-	b.again[b.current%buckets]++
+	b.retries[b.current%buckets]++
 	return true
 }
 
@@ -79,7 +79,7 @@
 	if age := now - b.started; age < b.config.Window {
 		slack *= age.Seconds() / b.config.Window.Seconds()
 	}
-	return caution * (b.config.Ratio*float64(total(b.first)) + slack)
+	return safetyFactor * (b.config.Ratio*float64(total(b.firstSends)) + slack)
 }
 
 func total(counts [buckets]int) int {
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -14,7 +14,7 @@
 	const routers = 7
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		var first, again []time.Duration
+		var firstSends, retries []time.Duration
 		budgets := make([]*Budget, routers)
 		for position := range budgets {
 			budgets[position] = New(config, 0)
@@ -26,28 +26,28 @@
 			for range rate {
 				budget := budgets[random.IntN(routers)]
 				if random.IntN(4) == 0 {
-					budget.Sent(now)
-					first = append(first, now)
+					budget.CountFirstSend(now)
+					firstSends = append(firstSends, now)
 				}
 				if failing && budget.Spend(now, routers) {
-					again = append(again, now)
+					retries = append(retries, now)
 				}
 			}
 			if random.IntN(400) == 0 {
 				budgets[random.IntN(routers)] = New(config, now)
 			}
 		}
-		if len(again) == 0 {
+		if len(retries) == 0 {
 			t.Fatal("nothing was ever sent again")
 		}
 		for start := time.Duration(0); start < 60*time.Second; start += 100 * time.Millisecond {
-			repeats := within(again, start, config.Window)
+			retried := within(retries, start, config.Window)
 			requests := 0
 			for _, before := range []time.Duration{0, config.Window / 2, config.Window} {
-				requests = max(requests, within(first, start-before, config.Window))
+				requests = max(requests, within(firstSends, start-before, config.Window))
 			}
-			if float64(repeats) > config.Ratio*float64(requests)+float64(config.Slack) {
-				t.Fatalf("seed %d: from %s, %d of %d requests were sent again", seed, start, repeats, requests)
+			if float64(retried) > config.Ratio*float64(requests)+float64(config.Slack) {
+				t.Fatalf("seed %d: from %s, %d of %d requests were sent again", seed, start, retried, requests)
 			}
 		}
 	}
