--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -44,7 +44,7 @@
 func (q *quotas) applyDigest(digest *wirepb.ClusterDigest) (report bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.enforcer.Learn(q.now(), digest.GetTerm(), int(digest.GetRouters()), nodeview.AllowancesOf(digest), digest.GetTenantsKnown())
+	return q.enforcer.ApplyDigest(q.now(), digest.GetTerm(), int(digest.GetRouters()), nodeview.AllowancesOf(digest), digest.GetTenantsKnown())
 }
 
 // admit charges a request or returns a refusal. The second result is set if the leader needs
@@ -60,7 +60,7 @@
 func (q *quotas) refund(tenant string, cost float64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.enforcer.GiveBack(q.now(), tenant, cost)
+	q.enforcer.Refund(q.now(), tenant, cost)
 }
 
 // TenantUses returns the use of tenants at this node, for reports, and whether the list is
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -17,11 +17,11 @@
 	// repayTime is the time in which a bucket's content is spent or its debt repaid. It is
 	// several times the feedback delay, which keeps the control loop stable.
 	repayTime = 1500 * time.Millisecond
-	// A tenant is limited once its bucket is below limitBelow of its depth, until it is
-	// above freeAbove.
-	limitBelow, freeAbove = 0.5, 0.95
-	// listedFrom is the share of its limit from which a tenant is published.
-	listedFrom = 0.25
+	// A tenant is limited once its bucket is below limitBelowLevel of its depth, until it is
+	// above unlimitAboveLevel.
+	limitBelowLevel, unlimitAboveLevel = 0.5, 0.95
+	// publishThreshold is the share of its limit from which a tenant is published.
+	publishThreshold = 0.25
 	// urgentChange is the relative change of a share that is published at once.
 	urgentChange = 0.25
 	// staleAfter is how long routers apply the last allowances, and after which the leader
@@ -30,9 +30,9 @@
 	staleAfter = 1500 * time.Millisecond
 	// staleLimitedAfter is the same for limited tenants, whose demand may have grown.
 	staleLimitedAfter = 1200 * time.Millisecond
-	// forgetWindows is the number of windows for which the share of a router that does not
+	// expiryWindows is the number of windows for which the share of a router that does not
 	// report is reserved.
-	forgetWindows = 2
+	expiryWindows = 2
 )
 
 // Ledger is the leader's account of the use of all tenants. Each term starts a new one. It
@@ -40,22 +40,22 @@
 type Ledger struct {
 	bound Bound
 	// expected is the number of routers of the previous term.
-	expected int
-	began    time.Duration
-	// firstMet and met are the times of the first reports of the first and the last router.
-	firstMet, met time.Duration
-	updated       time.Duration
-	settled       bool
-	nodes         map[string]*nodeUse
-	accounts      map[string]*account
+	expected  int
+	startedAt time.Duration
+	// firstMet and lastMet are the times of the first reports of the first and the last router.
+	firstMet, lastMet time.Duration
+	updated           time.Duration
+	settled           bool
+	nodes             map[string]*nodeUse
+	accounts          map[string]*account
 }
 
 // nodeUse is what one router has reported.
 type nodeUse struct {
 	incarnation uint64
 	heard       time.Duration
-	// unknown is the share of the last window before the router's start.
-	unknown float64
+	// unknownShare is the share of the last window before the router's start.
+	unknownShare float64
 	// reported is the last use by tenant.
 	reported map[string]reportedUse
 }
@@ -78,17 +78,17 @@
 	offered   float64
 	offeredAt time.Duration
 	limited   bool
-	// published is the last published share.
-	published float64
-	// before is the cost admitted in each slot of the last window before the term, by slot
+	// publishedShare is the last published share.
+	publishedShare float64
+	// priorUse is the cost admitted in each slot of the last window before the term, by slot
 	// number. It is nil once the ledger has settled.
-	before map[int64]float64
+	priorUse map[int64]float64
 }
 
 // NewLedger returns the ledger of a term that begins at now. The argument routers is their
 // number in the previous term.
 func NewLedger(now time.Duration, bound Bound, routers int) *Ledger {
-	return &Ledger{bound: bound, expected: routers, began: now, updated: now, nodes: map[string]*nodeUse{}, accounts: map[string]*account{}}
+	return &Ledger{bound: bound, expected: routers, startedAt: now, updated: now, nodes: map[string]*nodeUse{}, accounts: map[string]*account{}}
 }
 
 // Take applies a router's report. The reports of a router must be in order.
@@ -98,7 +98,7 @@
 		// A report that is not full lacks the recent use. The router sends a full one once
 		// it knows of this leader.
 		if report.Full {
-			l.meet(now, report)
+			l.addNode(now, report)
 		}
 		return
 	}
@@ -114,63 +114,63 @@
 		account := l.account(now, use.Tenant)
 		// The difference is negative after refunds.
 		account.used += use.Admitted - node.reported[use.Tenant].admitted
-		node.note(now, use, account)
+		node.record(now, use, account)
 	}
 }
 
-// note records a router's use of a tenant, and replaces its previous part of the tenant's
+// record records a router's use of a tenant, and replaces its previous part of the tenant's
 // demand.
-func (n *nodeUse) note(now time.Duration, use Use, account *account) {
+func (n *nodeUse) record(now time.Duration, use Use, account *account) {
 	before := n.reported[use.Tenant]
 	account.decay(now)
-	account.offered += use.Offered - before.offered*decayed(now-before.at)
+	account.offered += use.Offered - before.offered*decayFactor(now-before.at)
 	n.reported[use.Tenant] = reportedUse{admitted: use.Admitted, offered: use.Offered, at: now}
 }
 
-// decayed returns the factor by which an averaged rate decreases without requests.
-func decayed(elapsed time.Duration) float64 {
+// decayFactor returns the factor by which an averaged rate decreases without requests.
+func decayFactor(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / offeredMemory.Seconds())
 }
 
 func (a *account) decay(now time.Duration) {
-	a.offered = max(0, a.offered*decayed(now-a.offeredAt))
+	a.offered = max(0, a.offered*decayFactor(now-a.offeredAt))
 	a.offeredAt = now
 }
 
-// meet applies the first report of a router in this term. It counts only the recent use,
+// addNode applies the first report of a router in this term. It counts only the recent use,
 // as the totals don't say when requests were admitted.
-func (l *Ledger) meet(now time.Duration, report Report) {
+func (l *Ledger) addNode(now time.Duration, report Report) {
 	node := &nodeUse{incarnation: report.Incarnation, heard: now, reported: map[string]reportedUse{}}
-	node.unknown = max(0, 1-report.Uptime.Seconds()/l.bound.Window.Seconds())
+	node.unknownShare = max(0, 1-report.Uptime.Seconds()/l.bound.Window.Seconds())
 	if len(l.nodes) == 0 {
 		l.firstMet = now
 	}
 	l.nodes[report.Node] = node
-	l.met = now
+	l.lastMet = now
 	for _, use := range report.Uses {
 		account := l.account(now, use.Tenant)
-		node.note(now, use, account)
+		node.record(now, use, account)
 		for age, admitted := range use.Recent {
-			if account.before == nil {
+			if account.priorUse == nil {
 				account.used += admitted // The ledger has settled already.
 				continue
 			}
-			account.before[int64((now-time.Duration(age)*l.bound.slot())/l.bound.slot())] += admitted
+			account.priorUse[int64((now-time.Duration(age)*l.bound.slot())/l.bound.slot())] += admitted
 		}
 	}
 }
 
 func (l *Ledger) account(now time.Duration, tenant string) *account {
-	held := l.accounts[tenant]
-	if held == nil {
+	found := l.accounts[tenant]
+	if found == nil {
 		// The level is reduced to the depth by the next update.
-		held = &account{published: 1, offeredAt: now, level: math.MaxFloat64}
+		found = &account{publishedShare: 1, offeredAt: now, level: math.MaxFloat64}
 		if !l.settled {
-			held.before = map[int64]float64{}
+			found.priorUse = map[int64]float64{}
 		}
-		l.accounts[tenant] = held
+		l.accounts[tenant] = found
 	}
-	return held
+	return found
 }
 
 // Update updates the buckets. It reports whether allowances are to be published at once.
@@ -184,7 +184,7 @@
 	}
 	elapsed := max(0, now-l.updated).Seconds()
 	l.updated = now
-	own := 1 - l.silentShare(now)
+	reporting := 1 - l.unreportedShare(now)
 	for tenant, held := range l.accounts {
 		limit, declared := limits[tenant]
 		if !declared {
@@ -192,15 +192,15 @@
 			continue
 		}
 		held.decay(now)
-		held.update(elapsed, limit, l.bound.depth(limit), own)
-		admit := held.admit(limit, own)
-		urgent = urgent || math.Abs(admit-held.published) > urgentChange*held.published
+		held.update(elapsed, limit, l.bound.depth(limit), reporting)
+		admit := held.admitShare(limit, reporting)
+		urgent = urgent || math.Abs(admit-held.publishedShare) > urgentChange*held.publishedShare
 	}
 	return urgent
 }
 
 func (l *Ledger) maySettle(now time.Duration) bool {
-	return len(l.nodes) > 0 && (now-l.met >= settleQuiet || now-l.firstMet >= settleTime)
+	return len(l.nodes) > 0 && (now-l.lastMet >= settleQuiet || now-l.firstMet >= settleTime)
 }
 
 // settle computes the levels of the buckets from the use that routers reported for the
@@ -210,7 +210,7 @@
 	l.updated = now
 	unknown := 0.0
 	for _, node := range l.nodes {
-		unknown += node.unknown / float64(len(l.nodes))
+		unknown += node.unknownShare / float64(len(l.nodes))
 	}
 	for tenant, held := range l.accounts {
 		limit := limits[tenant]
@@ -218,54 +218,54 @@
 		// The replay starts with an empty bucket, which use below the limit fills within the
 		// window.
 		held.level = 0
-		present := int64(now / l.bound.slot())
-		for number := present - slots + 1; number <= present; number++ {
+		current := int64(now / l.bound.slot())
+		for number := current - slotsPerWindow + 1; number <= current; number++ {
 			passed := min(l.bound.slot(), now-time.Duration(number)*l.bound.slot())
-			held.level = min(depth, held.level+limit.Rate*passed.Seconds()) - held.before[number]
+			held.level = min(depth, held.level+limit.Rate*passed.Seconds()) - held.priorUse[number]
 		}
 		// For the time before a router's start the worst case is assumed.
 		held.level -= unknown*depth + held.used
-		held.before, held.used = nil, 0
+		held.priorUse, held.used = nil, 0
 	}
 }
 
-// silentShare returns the share of routers that don't report, or not yet in this term, and
-// may use their own buckets. It removes routers that have not reported for forgetWindows.
-func (l *Ledger) silentShare(now time.Duration) float64 {
-	silent := 0
+// unreportedShare returns the share of routers that don't report, or not yet in this term, and
+// may use their own buckets. It removes routers that have not reported for expiryWindows.
+func (l *Ledger) unreportedShare(now time.Duration) float64 {
+	unreported := 0
 	for name, node := range l.nodes {
 		switch age := now - node.heard; {
-		case age > forgetWindows*l.bound.Window:
+		case age > expiryWindows*l.bound.Window:
 			delete(l.nodes, name)
 		case age > staleAfter:
-			silent++
+			unreported++
 		}
 	}
 	routers := len(l.nodes)
-	if now-l.began <= forgetWindows*l.bound.Window {
+	if now-l.startedAt <= expiryWindows*l.bound.Window {
 		routers = max(routers, l.expected)
 	}
-	silent += routers - len(l.nodes)
-	return float64(silent) / float64(max(1, routers))
+	unreported += routers - len(l.nodes)
+	return float64(unreported) / float64(max(1, routers))
 }
 
-func (a *account) update(elapsed float64, limit Limit, depth, own float64) {
-	a.level = min(depth, a.level+own*limit.Rate*elapsed) - a.used
+func (a *account) update(elapsed float64, limit Limit, depth, reporting float64) {
+	a.level = min(depth, a.level+reporting*limit.Rate*elapsed) - a.used
 	a.used = 0
 	switch {
-	case a.level < limitBelow*depth:
+	case a.level < limitBelowLevel*depth:
 		a.limited = true
-	case a.level >= freeAbove*depth:
+	case a.level >= unlimitAboveLevel*depth:
 		a.limited = false
 	}
 }
 
-// admit returns the share of the demand that the limit allows.
-func (a *account) admit(limit Limit, own float64) float64 {
+// admitShare returns the share of the demand that the limit allows.
+func (a *account) admitShare(limit Limit, reporting float64) float64 {
 	if !a.limited || limit.Rate <= 0 {
 		return 1
 	}
-	allowed := max(0, own*limit.Rate+a.level/repayTime.Seconds())
+	allowed := max(0, reporting*limit.Rate+a.level/repayTime.Seconds())
 	if a.offered <= allowed {
 		return 1
 	}
@@ -278,12 +278,12 @@
 	if !l.settled {
 		return nil, false
 	}
-	own := 1 - l.silentShare(now)
+	reporting := 1 - l.unreportedShare(now)
 	for tenant, held := range l.accounts {
 		limit := limits[tenant]
-		held.published = held.admit(limit, own)
-		if limit.Rate > 0 && (held.limited || held.offered > listedFrom*limit.Rate) {
-			allowances = append(allowances, Allowance{Tenant: tenant, Offered: held.offered, Admit: held.published})
+		held.publishedShare = held.admitShare(limit, reporting)
+		if limit.Rate > 0 && (held.limited || held.offered > publishThreshold*limit.Rate) {
+			allowances = append(allowances, Allowance{Tenant: tenant, Offered: held.offered, Admit: held.publishedShare})
 		}
 	}
 	sort.Slice(allowances, func(i, j int) bool { return allowances[i].Tenant < allowances[j].Tenant })
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// slots is the number of parts of a window in which routers report their recent use.
-const slots = 16
+// slotsPerWindow is the number of parts of a window in which routers report their recent use.
+const slotsPerWindow = 16
 
 const (
 	// depthOfBurst and depthOfSlack are the shares of the burst and of the slack that make
@@ -47,7 +47,7 @@
 }
 
 func (b Bound) slot() time.Duration {
-	return max(time.Millisecond, b.Window/slots)
+	return max(time.Millisecond, b.Window/slotsPerWindow)
 }
 
 // Use is the use of one tenant at one router.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,25 +12,25 @@
 // below the limit.
 func TestSharingModes(t *testing.T) {
 	const seeds = 6
-	for _, course := range scenarios() {
+	for _, scenario := range scenarios() {
 		for _, sharing := range []Sharing{SharingEqual, SharingLeased, SharingAdaptive} {
-			line := fmt.Sprintf("%-42s %-9s", course.name, sharing)
+			line := fmt.Sprintf("%-42s %-9s", scenario.name, sharing)
 			for position, name := range []string{"large", "small"} {
-				worst, fair, refused := 0.0, 0, 0
+				worst, withinLimit, refused := 0.0, 0, 0
 				for seed := range uint64(seeds) {
-					played, tenants, limits := course.simulation(sharing, seed)
-					played.run()
-					worst = max(worst, played.worst(tenants[position], limits[position]))
-					fair += played.fair[name]
-					refused += played.refusedBelow[name]
+					sim, tenants, limits := scenario.simulation(sharing, seed)
+					sim.run()
+					worst = max(worst, sim.worstWindow(tenants[position], limits[position]))
+					withinLimit += sim.withinLimit[name]
+					refused += sim.refusedWithinLimit[name]
 				}
-				below := 1000 * float64(refused) / float64(max(1, fair))
-				line += fmt.Sprintf("  %s %.3f, %6.1f", name, worst, below)
-				if sharing == SharingAdaptive && worst > course.most() {
-					t.Errorf("%s: %s used %.3f of what a window allows", course.name, name, worst)
+				refusedPer1000 := 1000 * float64(refused) / float64(max(1, withinLimit))
+				line += fmt.Sprintf("  %s %.3f, %6.1f", name, worst, refusedPer1000)
+				if sharing == SharingAdaptive && worst > scenario.maxUse() {
+					t.Errorf("%s: %s used %.3f of what a window allows", scenario.name, name, worst)
 				}
-				if sharing == SharingAdaptive && course.name == "usual" && below > mostRefusedBelow[name] {
-					t.Errorf("%s: %.1f in 1,000 requests of %s that are below the limit were refused", course.name, below, name)
+				if sharing == SharingAdaptive && scenario.name == "usual" && refusedPer1000 > maxRefusedWithinLimit[name] {
+					t.Errorf("%s: %.1f in 1,000 requests of %s that are below the limit were refused", scenario.name, refusedPer1000, name)
 				}
 			}
 			t.Log(line)
@@ -38,29 +38,29 @@
 	}
 }
 
-// mostRefusedBelow is the allowed number of refusals per 1,000 requests below the limit under
+// maxRefusedWithinLimit is the allowed number of refusals per 1,000 requests below the limit under
 // usual demand. A request of the small tenant may cost 1.5 s of its limit.
-var mostRefusedBelow = map[string]float64{"large": 0.5, "small": 5}
+var maxRefusedWithinLimit = map[string]float64{"large": 0.5, "small": 5}
 
 // TestMutationsAreCaught checks that the simulation detects an exceeded bound if routers don't
 // report their recent use, or apply the last allowances without end.
 func TestMutationsAreCaught(t *testing.T) {
 	mutations := []struct {
-		name, course string
-		mutate       func(played *simulation)
+		name, scenario string
+		mutate         func(sim *simulation)
 	}{
-		{"routers don't report recent use", "hot, leaders change again and again", func(played *simulation) { played.forgets = true }},
-		{"routers apply stale allowances", "hot while cut off, all routers", func(played *simulation) { played.trusts = true }},
+		{"routers don't tell of the window before", "hot, leaders change again and again", func(sim *simulation) { sim.omitRecent = true }},
+		{"routers heed a leader that is gone", "hot while cut off, all routers", func(sim *simulation) { sim.ignoreStaleness = true }},
 	}
 	for _, mutation := range mutations {
-		for _, course := range scenarios() {
-			if course.name != mutation.course {
+		for _, scenario := range scenarios() {
+			if scenario.name != mutation.scenario {
 				continue
 			}
-			played, tenants, limits := course.simulation(SharingAdaptive, 1)
-			mutation.mutate(played)
-			played.run()
-			if worst := max(played.worst(tenants[0], limits[0]), played.worst(tenants[1], limits[1])); worst <= 1 {
+			sim, tenants, limits := scenario.simulation(SharingAdaptive, 1)
+			mutation.mutate(sim)
+			sim.run()
+			if worst := max(sim.worstWindow(tenants[0], limits[0]), sim.worstWindow(tenants[1], limits[1])); worst <= 1 {
 				t.Errorf("%s: not detected, %.3f", mutation.name, worst)
 			}
 		}
@@ -76,7 +76,7 @@
 		if refusal := enforcer.Admit(0, "a", limit, 900); refusal != nil {
 			t.Fatalf("refused: %+v", refusal)
 		}
-		enforcer.GiveBack(0, "a", 900)
+		enforcer.Refund(0, "a", 900)
 	}
 	if uses, _ := enforcer.Uses(0); len(uses) != 1 || uses[0].Admitted != 0 || uses[0].Recent[0] != 0 {
 		t.Errorf("%+v", uses)
@@ -95,10 +95,10 @@
 
 // TestLoweredLimit checks that a lower limit is enforced within a window.
 func TestLoweredLimit(t *testing.T) {
-	played, tenants, _ := scenarios()[0].simulation(SharingAdaptive, 3)
+	sim, tenants, _ := scenarios()[0].simulation(SharingAdaptive, 3)
 	low := Limit{Rate: largeLimit.Rate / 10, Burst: largeLimit.Burst / 10}
 	const falls, rises = 10 * time.Second, 30 * time.Second
-	played.tenants[0].limit = func(at time.Duration) Limit {
+	sim.tenants[0].limit = func(at time.Duration) Limit {
 		switch {
 		case at < falls:
 			return largeLimit
@@ -107,9 +107,9 @@
 		}
 		return Limit{}
 	}
-	played.run()
+	sim.run()
 	sum := 0.0
-	for _, event := range played.admitted[tenants[0].name] {
+	for _, event := range sim.admitted[tenants[0].name] {
 		if event.at >= falls+simBound.Window && event.at < falls+2*simBound.Window {
 			sum += event.cost
 		}
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -37,33 +37,33 @@
 	name string
 	// large and small are the demands of the two tenants, relative to their usual ones.
 	large, small func(at time.Duration) float64
-	cut          func(router int, at time.Duration) bool
+	partitioned  func(router int, at time.Duration) bool
 	hasLeader    func(at time.Duration) bool
 	changes      []time.Duration
 	restarts     []time.Duration
 	reconnects   []time.Duration
-	unheard      func(router int, at time.Duration) bool
+	reportsLost  func(router int, at time.Duration) bool
 	// bound is the allowed use in a window, relative to Bound.Most; 0 means 1.
 	bound float64
 }
 
-func (c scenario) most() float64 {
-	if c.bound > 0 {
-		return c.bound
+func (s scenario) maxUse() float64 {
+	if s.bound > 0 {
+		return s.bound
 	}
 	return 1
 }
 
 func never(int, time.Duration) bool { return false }
 
-func ever(time.Duration) bool { return true }
+func alwaysUp(time.Duration) bool { return true }
 
 func scenarios() []scenario {
 	second := time.Second
 	outage := func(from, until time.Duration) func(time.Duration) bool {
 		return func(at time.Duration) bool { return at < from || at >= until }
 	}
-	cutOff := func(count int, from, until time.Duration) func(int, time.Duration) bool {
+	partition := func(count int, from, until time.Duration) func(int, time.Duration) bool {
 		return func(router int, at time.Duration) bool { return router < count && at >= from && at < until }
 	}
 	hot := between(10*second, 21*second, 6, 1)
@@ -78,50 +78,50 @@
 		{name: "hot, no leader from its start", large: hot, small: hot, hasLeader: outage(10*second, 15*second), changes: []time.Duration{15 * second}},
 		// A small tenant's largest request is a ninth of its window.
 		{name: "hot, leaders change again and again", large: hot, small: hot, changes: []time.Duration{11 * second, 14 * second, 17 * second}, bound: 1.01},
-		{name: "hot, a quarter of the routers is cut off", large: hot, small: hot, cut: cutOff(20, 9*second, 20*second)},
-		{name: "hot while cut off, all routers", large: between(12*second, 21*second, 6, 1), small: hot, cut: cutOff(81, 9*second, 20*second)},
+		{name: "hot, a quarter of the routers is cut off", large: hot, small: hot, partitioned: partition(20, 9*second, 20*second)},
+		{name: "hot while cut off, all routers", large: between(12*second, 21*second, 6, 1), small: hot, partitioned: partition(81, 9*second, 20*second)},
 		{
 			// The leader is the control node of all routers.
 			name: "hot, all routers lose their control node", large: hot, small: hot,
-			cut:     cutOff(81, 10_500*time.Millisecond, 12_010*time.Millisecond),
-			changes: []time.Duration{11 * second}, reconnects: []time.Duration{12_010 * time.Millisecond},
+			partitioned: partition(81, 10_500*time.Millisecond, 12_010*time.Millisecond),
+			changes:     []time.Duration{11 * second}, reconnects: []time.Duration{12_010 * time.Millisecond},
 		},
 		{
 			// A new leader ignores reports of a router before its first full report.
 			name: "hot, half of the routers is not heard at a change of leader", large: hot, small: hot,
-			changes: []time.Duration{9 * second}, unheard: cutOff(40, 8900*time.Millisecond, 11_500*time.Millisecond),
+			changes: []time.Duration{9 * second}, reportsLost: partition(40, 8900*time.Millisecond, 11_500*time.Millisecond),
 			// A small tenant's largest request is a ninth of its window.
 			bound: 1.15,
 		},
 		{
-			name: "hot, everything restarts", large: hot, small: hot, restarts: []time.Duration{14 * second},
+			name: "hot, everything starts anew", large: hot, small: hot, restarts: []time.Duration{14 * second},
 			// The use before the restart is lost.
 			bound: 1.01,
 		},
 	}
 }
 
-func (c scenario) simulation(sharing Sharing, seed uint64) (*simulation, []simTenant, []Limit) {
+func (s scenario) simulation(sharing Sharing, seed uint64) (*simulation, []simTenant, []Limit) {
 	limits := []Limit{largeLimit, smallLimit}
-	scaled := func(course func(time.Duration) float64, limit Limit) func(time.Duration) float64 {
-		return func(at time.Duration) float64 { return course(at) * limit.Rate * usualShare }
+	scaled := func(demand func(time.Duration) float64, limit Limit) func(time.Duration) float64 {
+		return func(at time.Duration) float64 { return demand(at) * limit.Rate * usualShare }
 	}
 	tenants := []simTenant{
-		{name: "large", limit: always(largeLimit), demand: scaled(c.large, largeLimit)},
-		{name: "small", limit: always(smallLimit), demand: scaled(c.small, smallLimit)},
+		{name: "large", limit: always(largeLimit), demand: scaled(s.large, largeLimit)},
+		{name: "small", limit: always(smallLimit), demand: scaled(s.small, smallLimit)},
 	}
 	created := &simulation{
 		random: rand.New(rand.NewPCG(seed, 28)), sharing: sharing, tenants: tenants,
-		cut: c.cut, hasLeader: c.hasLeader, changes: c.changes, restarts: c.restarts, reconnects: c.reconnects, unheard: c.unheard,
+		partitioned: s.partitioned, hasLeader: s.hasLeader, changes: s.changes, restarts: s.restarts, reconnects: s.reconnects, reportsLost: s.reportsLost,
 	}
-	if created.unheard == nil {
-		created.unheard = never
+	if created.reportsLost == nil {
+		created.reportsLost = never
 	}
-	if created.cut == nil {
-		created.cut = never
+	if created.partitioned == nil {
+		created.partitioned = never
 	}
 	if created.hasLeader == nil {
-		created.hasLeader = ever
+		created.hasLeader = alwaysUp
 	}
 	return created, tenants, limits
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -35,37 +35,37 @@
 	random  *rand.Rand
 	sharing Sharing
 	tenants []simTenant
-	// cut reports whether a router is partitioned from the leader in both directions.
-	cut       func(router int, at time.Duration) bool
-	hasLeader func(at time.Duration) bool
+	// partitioned reports whether a router is partitioned from the leader in both directions.
+	partitioned func(router int, at time.Duration) bool
+	hasLeader   func(at time.Duration) bool
 	// changes are the times of leader changes.
 	changes []time.Duration
 	// restarts are the times at which all routers and the leader restart.
 	restarts []time.Duration
 	// reconnects are the times at which all routers report, before they hear of a leader.
 	reconnects []time.Duration
-	// unheard reports whether a router's reports are lost while it receives digests.
-	unheard func(router int, at time.Duration) bool
-	// forgets injects a fault: routers don't report their recent use.
-	forgets bool
-	// trusts injects a fault: routers apply the last allowances without end.
-	trusts bool
+	// reportsLost reports whether a router's reports are lost while it receives digests.
+	reportsLost func(router int, at time.Duration) bool
+	// omitRecent injects a fault: routers don't report their recent use.
+	omitRecent bool
+	// ignoreStaleness injects a fault: routers apply the last allowances without end.
+	ignoreStaleness bool
 
-	// down is the time until which no router accepts requests after a restart.
-	down      time.Duration
-	now       time.Duration
-	term      uint64
-	enforcers []*Enforcer
-	started   []time.Duration
-	lives     []uint64
-	ledger    *Ledger
-	digested  time.Duration
-	messages  []simMessage
-	admitted  map[string][]simEvent
-	// fair counts requests that a single bucket for the whole fleet would have admitted, and
-	// refusedBelow those of them that were refused.
-	fair, refusedBelow map[string]int
-	reference          map[string]*simBucket
+	// downUntil is the time until which no router accepts requests after a restart.
+	downUntil    time.Duration
+	now          time.Duration
+	term         uint64
+	enforcers    []*Enforcer
+	started      []time.Duration
+	incarnations []uint64
+	ledger       *Ledger
+	lastDigest   time.Duration
+	messages     []simMessage
+	admitted     map[string][]simEvent
+	// withinLimit counts requests that a single bucket for the whole fleet would have admitted, and
+	// refusedWithinLimit those of them that were refused.
+	withinLimit, refusedWithinLimit map[string]int
+	reference                       map[string]*simBucket
 }
 
 type simEvent struct {
@@ -85,8 +85,8 @@
 
 func (s *simulation) run() {
 	s.admitted, s.reference = map[string][]simEvent{}, map[string]*simBucket{}
-	s.fair, s.refusedBelow = map[string]int{}, map[string]int{}
-	s.lives = make([]uint64, simRouters)
+	s.withinLimit, s.refusedWithinLimit = map[string]int{}, map[string]int{}
+	s.incarnations = make([]uint64, simRouters)
 	s.started = make([]time.Duration, simRouters)
 	for range simRouters {
 		s.enforcers = append(s.enforcers, nil)
@@ -94,7 +94,7 @@
 	// Traffic begins after the routers and the leader have settled.
 	const before = 10 * time.Second
 	s.startAll(-before)
-	s.lead(-before)
+	s.startTerm(-before)
 	for s.now = -before; s.now < simLength; s.now += simStep {
 		s.faults()
 		s.deliver()
@@ -109,20 +109,20 @@
 	for router := range s.enforcers {
 		s.enforcers[router] = NewEnforcer(at, simBound, s.sharing, s.random)
 		s.started[router] = at
-		s.lives[router]++
+		s.incarnations[router]++
 	}
 }
 
-func (s *simulation) lead(at time.Duration) {
+func (s *simulation) startTerm(at time.Duration) {
 	s.term++
 	s.ledger = NewLedger(at, simBound, simRouters)
-	s.digested = at - simDigestInterval
+	s.lastDigest = at - simDigestInterval
 }
 
 func (s *simulation) faults() {
 	for _, at := range s.changes {
 		if at == s.now {
-			s.lead(at)
+			s.startTerm(at)
 		}
 	}
 	for _, at := range s.reconnects {
@@ -135,8 +135,8 @@
 	for _, at := range s.restarts {
 		if at == s.now {
 			s.startAll(at)
-			s.lead(at)
-			s.down = at + simDown
+			s.startTerm(at)
+			s.downUntil = at + simDown
 		}
 	}
 }
@@ -161,8 +161,8 @@
 	s.messages = append(s.messages, simMessage{due: s.now + delay, deliver: deliver})
 }
 
-func (s *simulation) reaches(router int) bool {
-	return s.hasLeader(s.now) && !s.cut(router, s.now)
+func (s *simulation) isConnected(router int) bool {
+	return s.hasLeader(s.now) && !s.partitioned(router, s.now)
 }
 
 func (s *simulation) control() {
@@ -180,16 +180,16 @@
 	for _, tenant := range s.tenants {
 		limits[tenant.name] = tenant.limit(s.now)
 	}
-	if !s.ledger.Update(s.now, limits) && s.now-s.digested < simDigestInterval {
+	if !s.ledger.Update(s.now, limits) && s.now-s.lastDigest < simDigestInterval {
 		return
 	}
-	s.digested = s.now
+	s.lastDigest = s.now
 	allowances, known := s.ledger.Allowances(s.now, limits)
 	term := s.term
 	for router := range s.enforcers {
-		if s.reaches(router) {
+		if s.isConnected(router) {
 			s.send(func() {
-				if s.enforcers[router].Learn(s.now, term, simRouters, allowances, known) {
+				if s.enforcers[router].ApplyDigest(s.now, term, simRouters, allowances, known) {
 					s.report(router)
 				}
 			})
@@ -199,41 +199,41 @@
 
 func (s *simulation) report(router int) {
 	uses, full := s.enforcers[router].Uses(s.now)
-	if !s.reaches(router) || s.unheard(router, s.now) {
+	if !s.isConnected(router) || s.reportsLost(router, s.now) {
 		return
 	}
-	if s.forgets {
+	if s.omitRecent {
 		for position := range uses {
 			uses[position].Recent = nil
 		}
 	}
-	report := Report{Node: fmt.Sprint(router), Incarnation: s.lives[router], Uptime: s.now - s.started[router], Uses: uses, Full: full}
+	report := Report{Node: fmt.Sprint(router), Incarnation: s.incarnations[router], Uptime: s.now - s.started[router], Uses: uses, Full: full}
 	ledger := s.ledger
 	s.send(func() { ledger.Take(s.now, report) })
 }
 
 func (s *simulation) traffic() {
-	if s.trusts {
+	if s.ignoreStaleness {
 		for _, enforcer := range s.enforcers {
-			if enforcer.known {
-				enforcer.heard = s.now
+			if enforcer.hasAllowances {
+				enforcer.allowancesAt = s.now
 			}
 		}
 	}
-	if s.now < s.down {
+	if s.now < s.downUntil {
 		return
 	}
 	for _, tenant := range s.tenants {
 		mean := 0.35*9_200 + 0.25*1_300 + 0.4*200
 		expected := tenant.demand(s.now) * simStep.Seconds() / mean
 		for ; s.random.Float64() < expected; expected-- {
-			s.request(tenant, s.size())
+			s.request(tenant, s.randomCost())
 		}
 	}
 }
 
-// size returns the random cost of a request.
-func (s *simulation) size() float64 {
+// randomCost returns the random cost of a request.
+func (s *simulation) randomCost() float64 {
 	switch draw := s.random.Float64(); {
 	case draw < 0.35:
 		const mean, spread = 9_200, 1.0
@@ -246,24 +246,24 @@
 
 func (s *simulation) request(tenant simTenant, cost float64) {
 	limit := tenant.limit(s.now)
-	fair := s.fairly(tenant.name, limit, cost)
+	fair := s.fitsReference(tenant.name, limit, cost)
 	router := s.random.IntN(simRouters)
 	refusal := s.enforcers[router].Admit(s.now, tenant.name, limit, cost)
 	if s.enforcers[router].ReportDue(s.now, tenant.name) {
 		s.report(router)
 	}
 	if fair {
-		s.fair[tenant.name]++
+		s.withinLimit[tenant.name]++
 	}
 	if refusal == nil {
 		s.admitted[tenant.name] = append(s.admitted[tenant.name], simEvent{at: s.now, cost: cost})
 	} else if fair {
-		s.refusedBelow[tenant.name]++
+		s.refusedWithinLimit[tenant.name]++
 	}
 }
 
-// fairly reports whether a single bucket for the whole fleet would admit the request.
-func (s *simulation) fairly(tenant string, limit Limit, cost float64) bool {
+// fitsReference reports whether a single bucket for the whole fleet would admit the request.
+func (s *simulation) fitsReference(tenant string, limit Limit, cost float64) bool {
 	held := s.reference[tenant]
 	if held == nil {
 		held = &simBucket{level: limit.Burst, updated: s.now}
@@ -278,9 +278,9 @@
 	return true
 }
 
-// worst returns the highest use of a tenant in any window, relative to Bound.Most, for a limit
+// worstWindow returns the highest use of a tenant in any window, relative to Bound.Most, for a limit
 // that doesn't change.
-func (s *simulation) worst(tenant simTenant, limit Limit) float64 {
+func (s *simulation) worstWindow(tenant simTenant, limit Limit) float64 {
 	events, worst, sum, first := s.admitted[tenant.name], 0.0, 0.0, 0
 	for _, event := range events {
 		sum += event.cost
