--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -21,33 +21,33 @@
 
 // Dispatcher queues requests and grants them targets. It is safe for concurrent use.
 type Dispatcher struct {
-	mutex   sync.Mutex
-	core    *dispatch.Core
-	waiting map[uint64]chan verdict
-	nextID  uint64
-	nudge   func()
-	// mustTick is signaled when a request is queued.
-	mustTick chan struct{}
+	mutex    sync.Mutex
+	core     *dispatch.Core
+	waiting  map[uint64]chan result
+	nextID   uint64
+	onQueued func()
+	// queueStarted is signaled when a request is queued.
+	queueStarted chan struct{}
 }
 
-// verdict is the result of a queued request; exactly one field is set.
-type verdict struct {
+// result is the result of a queued request; exactly one field is set.
+type result struct {
 	grant   *dispatch.Grant
 	refusal *dispatch.Refusal
 }
 
 // New returns a dispatcher. It calls nudge when a request is queued.
-func New(config dispatch.Config, nudge func()) *Dispatcher {
+func New(config dispatch.Config, onQueued func()) *Dispatcher {
 	return &Dispatcher{
 		core:    dispatch.New(config),
-		waiting: map[uint64]chan verdict{}, nudge: nudge, mustTick: make(chan struct{}, 1),
+		waiting: map[uint64]chan result{}, onQueued: onQueued, queueStarted: make(chan struct{}, 1),
 	}
 }
 
 // Acquire waits for a grant or a refusal. The first call assigns the request's ID;
 // later calls are further attempts of the same request.
 func (d *Dispatcher) Acquire(ctx context.Context, request *dispatch.Request) (*dispatch.Grant, *dispatch.Refusal) {
-	reply := make(chan verdict, 1)
+	reply := make(chan result, 1)
 	d.mutex.Lock()
 	now := time.Now()
 	first := request.ID == 0
@@ -63,28 +63,28 @@
 		outcome = d.core.Resubmit(now, request)
 	}
 	d.deliver(outcome)
-	_, mustWait := d.waiting[request.ID]
+	_, queued := d.waiting[request.ID]
 	d.mutex.Unlock()
-	if mustWait {
-		d.wakeTick()
-		d.nudge()
+	if queued {
+		d.signalQueued()
+		d.onQueued()
 	}
 	select {
-	case result := <-reply:
-		return result.grant, result.refusal
+	case received := <-reply:
+		return received.grant, received.refusal
 	case <-ctx.Done():
-		return d.abandon(request, reply)
+		return d.cancel(request, reply)
 	}
 }
 
-// abandon cancels a request whose context is done, unless it has got its result
+// cancel cancels a request whose context is done, unless it has got its result
 // meanwhile.
-func (d *Dispatcher) abandon(request *dispatch.Request, reply chan verdict) (*dispatch.Grant, *dispatch.Refusal) {
+func (d *Dispatcher) cancel(request *dispatch.Request, reply chan result) (*dispatch.Grant, *dispatch.Refusal) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	select {
-	case result := <-reply:
-		return result.grant, result.refusal
+	case received := <-reply:
+		return received.grant, received.refusal
 	default:
 	}
 	delete(d.waiting, request.ID)
@@ -96,18 +96,18 @@
 func (d *Dispatcher) deliver(outcome dispatch.Outcome) {
 	for position := range outcome.Grants {
 		grant := outcome.Grants[position]
-		d.answer(grant.Request.ID, verdict{grant: &grant})
+		d.resolve(grant.Request.ID, result{grant: &grant})
 	}
 	for position := range outcome.Refusals {
 		refusal := outcome.Refusals[position]
-		d.answer(refusal.Request.ID, verdict{refusal: &refusal})
+		d.resolve(refusal.Request.ID, result{refusal: &refusal})
 	}
 }
 
-func (d *Dispatcher) answer(id uint64, result verdict) {
+func (d *Dispatcher) resolve(id uint64, received result) {
 	if reply := d.waiting[id]; reply != nil {
 		delete(d.waiting, id)
-		reply <- result
+		reply <- received
 	}
 }
 
@@ -119,8 +119,8 @@
 	return d.core.HasAlternative(time.Now(), request, machine)
 }
 
-// Rebind changes the allowed regions of a request if it is still queued.
-func (d *Dispatcher) Rebind(request *dispatch.Request, allowed places.Constraint) {
+// SetAllowed changes the allowed regions of a request if it is still queued.
+func (d *Dispatcher) SetAllowed(request *dispatch.Request, allowed places.Constraint) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.waiting[request.ID] != nil {
@@ -146,29 +146,29 @@
 }
 
 // Hold grants no requests to a machine for the given time.
-func (d *Dispatcher) Hold(machine string, span time.Duration) {
+func (d *Dispatcher) Hold(machine string, duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.core.Hold(now, machine, now.Add(span))
+	d.core.Hold(now, machine, now.Add(duration))
 }
 
-// HoldPaced grants no requests to any machine that requires permits for the given time.
-func (d *Dispatcher) HoldPaced(span time.Duration) {
+// HoldPermitMachines grants no requests to any machine that requires permits for the given time.
+func (d *Dispatcher) HoldPermitMachines(duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.HoldPaced(time.Now().Add(span))
+	d.core.HoldPaced(time.Now().Add(duration))
 }
 
-// Rest grants no requests to a machine for a time that it asked for.
-func (d *Dispatcher) Rest(machine string, span time.Duration) {
+// BackOff grants no requests to a machine for a time that it asked for.
+func (d *Dispatcher) BackOff(machine string, duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.Rest(time.Now(), machine, span))
+	d.deliver(d.core.Rest(time.Now(), machine, duration))
 }
 
-// Leave grants no further requests to a machine that announced its shutdown. It reports whether that was news.
-func (d *Dispatcher) Leave(machine string) (changed bool) {
+// MarkLeaving grants no further requests to a machine that announced its shutdown. It reports whether that was news.
+func (d *Dispatcher) MarkLeaving(machine string) (changed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	outcome, changed := d.core.Leave(time.Now(), machine)
@@ -183,16 +183,16 @@
 	return d.core.Leaving()
 }
 
-// RestingMachines returns the number of machines that asked to back off and still get no requests.
-func (d *Dispatcher) RestingMachines() int {
+// BackedOffMachines returns the number of machines that asked to back off and still get no requests.
+func (d *Dispatcher) BackedOffMachines() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.RestingMachines(time.Now())
 }
 
-// RetryAfterRest returns the time until a machine may be tried again, if all that could take the request asked to
+// RetryAfterBackOff returns the time until a machine may be tried again, if all that could take the request asked to
 // back off.
-func (d *Dispatcher) RetryAfterRest(request *dispatch.Request) (retryAfter time.Duration, allRest bool) {
+func (d *Dispatcher) RetryAfterBackOff(request *dispatch.Request) (retryAfter time.Duration, allBackedOff bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.RetryAfterRest(time.Now(), request)
@@ -270,8 +270,8 @@
 	d.deliver(d.core.ChangeTargets(now, changes))
 }
 
-// TakeDigest applies the leader's loads and estimates.
-func (d *Dispatcher) TakeDigest(now time.Time, digest *wirepb.ClusterDigest) {
+// ApplyDigest applies the leader's loads and estimates.
+func (d *Dispatcher) ApplyDigest(now time.Time, digest *wirepb.ClusterDigest) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.SetWork(now, nodeview.WorkOf(digest))
@@ -282,16 +282,16 @@
 
 // FollowDigests applies each digest of the view until ctx is done.
 func (d *Dispatcher) FollowDigests(ctx context.Context, view *nodeview.View) {
-	view.FollowDigests(ctx, func(digest *wirepb.ClusterDigest) { d.TakeDigest(time.Now(), digest) })
+	view.FollowDigests(ctx, func(digest *wirepb.ClusterDigest) { d.ApplyDigest(time.Now(), digest) })
 }
 
-// Tick runs the timers of queued requests until ctx is done.
-func (d *Dispatcher) Tick(ctx context.Context) {
+// RunTicks runs the timers of queued requests until ctx is done.
+func (d *Dispatcher) RunTicks(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.mustTick:
+		case <-d.queueStarted:
 			d.tickWhileWaiting(ctx)
 		}
 	}
@@ -323,9 +323,9 @@
 	return true
 }
 
-func (d *Dispatcher) wakeTick() {
+func (d *Dispatcher) signalQueued() {
 	select {
-	case d.mustTick <- struct{}{}:
+	case d.queueStarted <- struct{}{}:
 	default:
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -152,8 +152,8 @@
 	defer workers.Wait()
 	workers.Go(func() { g.claims.Run(ctx) })
 	workers.Go(func() { g.crashes.Run(ctx) })
-	workers.Go(func() { g.dispatcher.Tick(ctx) })
-	workers.Go(func() { g.services.Tick(ctx) })
+	workers.Go(func() { g.dispatcher.RunTicks(ctx) })
+	workers.Go(func() { g.services.RunTicks(ctx) })
 	workers.Go(func() { g.dispatcher.FollowDigests(ctx, g.options.View) })
 	for {
 		changed := g.options.View.Changed()
--- a/internal/ingress/errors_test.go
+++ b/internal/ingress/errors_test.go
@@ -43,10 +43,10 @@
 		body      string
 		sends     int64
 	}{
-		{"resumable", true, 2, succeeds, 200, "second", 2},
-		{"not resumable", false, 2, succeeds, 500, "broken model", 1},
+		{"may run again", true, 2, succeeds, 200, "second", 2},
+		{"may not run again", false, 2, succeeds, 500, "broken model", 1},
 		{"one attempt", true, 1, succeeds, 500, "broken model", 1},
-		{"the retry is reset", true, 2, resets, 500, "broken model", 2},
+		{"the second breaks off", true, 2, resets, 500, "broken model", 2},
 		{"there is no other machine", true, 2, nil, 500, "broken model", 1},
 	}
 	for _, test := range tests {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -124,7 +124,7 @@
 func (i *Ingress) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
-	workers.Go(func() { i.dispatcher.Tick(ctx) })
+	workers.Go(func() { i.dispatcher.RunTicks(ctx) })
 	workers.Go(func() { i.dispatcher.FollowDigests(ctx, i.options.View) })
 	workers.Go(func() { i.followDigests(ctx) })
 	workers.Go(func() { i.quotas.followDigests(ctx, i.options.View, i.options.Nudge) })
@@ -196,7 +196,7 @@
 			i.permits.limits.retain(i.isKnown)
 			i.dispatcher.Retain(i.isKnown)
 			i.options.Metrics.leaving.Set(float64(len(i.LeavingMachines())))
-			i.options.Metrics.backedOff.Set(float64(i.dispatcher.RestingMachines()))
+			i.options.Metrics.backedOff.Set(float64(i.dispatcher.BackedOffMachines()))
 		}
 	}
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -38,14 +38,14 @@
 		sends  int
 	}{
 		{
-			"complete response", v1.RouteUnrepeatable,
+			"whole answer", v1.RouteUnrepeatable,
 			func(request receivedRequest, _ int, connection net.Conn) bool {
 				return write(connection, ok(request, "fine"))
 			},
 			200, "fine", false, 1,
 		},
 		{
-			"error response is relayed", v1.RouteUnrepeatable,
+			"own failure is passed on", v1.RouteUnrepeatable,
 			func(request receivedRequest, _ int, connection net.Conn) bool {
 				return write(connection, "HTTP/1.1 500 Oops\r\n"+headerSeal+": s\r\nContent-Length: 4\r\n\r\noops")
 			},
@@ -66,12 +66,12 @@
 			503, "full", false, 1,
 		},
 		{
-			"reset before a response", v1.RouteUnrepeatable,
+			"reset before an answer", v1.RouteUnrepeatable,
 			func(_ receivedRequest, _ int, connection net.Conn) bool { return reset(connection) },
 			502, "unknown", false, 1,
 		},
 		{
-			"bytes that are no HTTP response", v1.RouteUnrepeatable,
+			"bytes that are no answer", v1.RouteUnrepeatable,
 			func(_ receivedRequest, _ int, connection net.Conn) bool {
 				write(connection, "\x00\x01 nothing of the kind\r\n\r\n")
 				return false
@@ -86,7 +86,7 @@
 			502, "unknown", false, 1,
 		},
 		{
-			"response to another request first", v1.RouteUnrepeatable,
+			"answer to another request first", v1.RouteUnrepeatable,
 			func(request receivedRequest, _ int, connection net.Conn) bool {
 				stranger := receivedRequest{header: http.Header{headerID: {"stranger"}}}
 				return write(connection, ok(stranger, "theirs")+ok(request, "mine"))
@@ -102,7 +102,7 @@
 			200, "", true, 1,
 		},
 		{
-			"reset within a response without length", v1.RouteUnrepeatable,
+			"reset in the middle of an answer without length", v1.RouteUnrepeatable,
 			func(request receivedRequest, _ int, connection net.Conn) bool {
 				head := "HTTP/1.1 200 OK\r\n" + headerID + ": " + request.header.Get(headerID) + "\r\n" + headerSeal + ": s\r\n\r\n"
 				write(connection, head+strings.Repeat("x", 10_000))
@@ -170,7 +170,7 @@
 		second   int
 	}{
 		{"not run, unrepeatable", v1.RouteUnrepeatable, 2, notRun, 200, 1},
-		{"misdirected, unrepeatable", v1.RouteUnrepeatable, 2, elsewhere, 200, 1},
+		{"another machine, unrepeatable", v1.RouteUnrepeatable, 2, elsewhere, 200, 1},
 		{"not run, one attempt", v1.RouteUnrepeatable, 1, notRun, 503, 0},
 		{"reset, unrepeatable", v1.RouteUnrepeatable, 2, resets, 502, 0},
 		{"reset, stream", v1.RouteStream, 2, resets, 502, 0},
--- a/internal/ingress/limits_test.go
+++ b/internal/ingress/limits_test.go
@@ -64,11 +64,11 @@
 		inform func(d *deployment, machine *limitingMachine)
 		got    int
 	}{
-		{"from a response", func(d *deployment, machine *limitingMachine) {
+		{"by an answer", func(d *deployment, machine *limitingMachine) {
 			machine.setLimit("0.5")
 			d.askBriefly("first")
 		}, 1},
-		{"from a digest", func(d *deployment, _ *limitingMachine) {
+		{"by a digest", func(d *deployment, _ *limitingMachine) {
 			d.view.TakeDigest(&wirepb.ClusterDigest{Term: 1, Sequence: 1, Roster: &wirepb.Roster{}, Limits: []*wirepb.MachineLimit{
 				{Machine: "m0", Limited: true, PerSecond: 0.5},
 			}})
--- a/internal/ingress/permits.go
+++ b/internal/ingress/permits.go
@@ -152,7 +152,7 @@
 		dispatcher.Hold(machine, result.retryDelay)
 	}
 	if result.retryDelay > 0 && result.outcome == permitUnanswered {
-		dispatcher.HoldPaced(result.retryDelay)
+		dispatcher.HoldPermitMachines(result.retryDelay)
 	}
 	dispatcher.Release(grant, dispatch.ResultNotSent)
 	return false
--- a/internal/ingress/regions_test.go
+++ b/internal/ingress/regions_test.go
@@ -98,7 +98,7 @@
 		hasRetryAfter bool
 	}{
 		{name: "nothing declared", machines: []string{"za"}, served: "za"},
-		{name: "nothing declared, unknown region", machines: []string{"nowhere"}, served: "nowhere"},
+		{name: "nothing declared, place not known", machines: []string{"nowhere"}, served: "nowhere"},
 		{name: "route", route: []string{"b"}, machines: []string{"za", "zb", "zc", "nowhere"}, served: "zb"},
 		{name: "tenant", tenant: []string{"c"}, machines: []string{"za", "zb", "zc", "nowhere"}, served: "zc"},
 		{name: "both", route: []string{"a", "b"}, tenant: []string{"b", "c"}, machines: []string{"za", "zb", "zc", "nowhere"}, served: "zb"},
@@ -135,7 +135,7 @@
 		answer responseScript
 	}{
 		{"reset", func(_ receivedRequest, _ int, connection net.Conn) bool { return reset(connection) }},
-		{"error response", func(request receivedRequest, _ int, connection net.Conn) bool {
+		{"own failure", func(request receivedRequest, _ int, connection net.Conn) bool {
 			return write(connection, "HTTP/1.1 500 Failed\r\n"+headerID+": "+request.header.Get(headerID)+"\r\nContent-Length: 0\r\n\r\n")
 		}},
 		{"not run", func(request receivedRequest, _ int, connection net.Conn) bool {
@@ -289,17 +289,17 @@
 		name   string
 		change func(r *regional) *wirepb.WatchEvent
 	}{
-		{"the machine is in another region", func(r *regional) *wirepb.WatchEvent {
+		{"the machine is elsewhere", func(r *regional) *wirepb.WatchEvent {
 			return r.object(v1.KindMachine, "m-za", &v1.MachineSpec{
 				Endpoint: "http://" + r.machines["za"].address, Zone: "zc", Pool: "pool", Slots: 4,
 			}, &v1.MachineStatus{Phase: v1.MachineLive})
 		}},
-		{"the machine is in an unknown region", func(r *regional) *wirepb.WatchEvent {
+		{"its zone is in no region", func(r *regional) *wirepb.WatchEvent {
 			return r.object(v1.KindMachine, "m-za", &v1.MachineSpec{
 				Endpoint: "http://" + r.machines["za"].address, Zone: "nowhere", Pool: "pool", Slots: 4,
 			}, &v1.MachineStatus{Phase: v1.MachineLive})
 		}},
-		{"its address belongs to another machine", func(r *regional) *wirepb.WatchEvent {
+		{"its address is another's", func(r *regional) *wirepb.WatchEvent {
 			return r.object(v1.KindMachine, "other", &v1.MachineSpec{
 				Endpoint: "http://" + r.machines["za"].address, Zone: "zc", Pool: "pool", Slots: 4,
 			}, &v1.MachineStatus{Phase: v1.MachineLive})
--- a/internal/ingress/statements.go
+++ b/internal/ingress/statements.go
@@ -23,11 +23,11 @@
 		j.ingress.options.Nudge() // The leader publishes the limit to the other routers.
 	}
 	if stated.Rest > 0 {
-		j.ingress.dispatcher.Rest(machine, stated.Rest)
+		j.ingress.dispatcher.BackOff(machine, stated.Rest)
 		j.ingress.options.Metrics.backOffs.Inc()
 		j.log("rest_requested", "machine", machine, "rest_ms", stated.Rest.Milliseconds())
 	}
-	if stated.Leaving && j.ingress.dispatcher.Leave(machine) {
+	if stated.Leaving && j.ingress.dispatcher.MarkLeaving(machine) {
 		j.log("machine_leaving", "machine", machine)
 		j.ingress.options.Nudge() // The leader replaces what the machine holds.
 	}
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -85,8 +85,8 @@
 		before func(d *deployment)
 	}{
 		{"new", func(*deployment) {}},
-		{"reported as warming", func(d *deployment) { d.digest(1, 200) }},
-		{"state not reported", func(d *deployment) { d.digest(1, warming.Unsaid) }},
+		{"said to warm up", func(d *deployment) { d.digest(1, 200) }},
+		{"nobody vouches for it", func(d *deployment) { d.digest(1, warming.Unsaid) }},
 		{"its drain has ended", func(d *deployment) {
 			d.digest(1, 0)
 			d.apply(d.object(v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{}, nil))
@@ -96,7 +96,7 @@
 			machine, _ := d.view.Machine("m0")
 			d.apply(d.object(v1.KindMachine, "m0", machine.Spec, &v1.MachineStatus{Phase: v1.MachineLive}))
 		}},
-		{"the router was suspended", func(d *deployment) {
+		{"the router has slept", func(d *deployment) {
 			d.digest(1, 0)
 			d.handler.Woke()
 		}},
