--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -14,59 +14,59 @@
 )
 
 const (
-	// maxPlainAnswer bounds the body of a response that is not a stream.
-	maxPlainAnswer = 32 << 20
-	eventStream    = "text/event-stream"
+	// maxPlainBodyBytes bounds the body of a response that is not a stream.
+	maxPlainBodyBytes = 32 << 20
+	eventStream       = "text/event-stream"
 )
 
 // attempt sends the request to a granted replica and relays the response.
 //
-// The context parent is the client's; waiting also has the deadline, which applies
+// The context parent is the client's; deadlineCtx also has the deadline, which applies
 // until the first byte.
-func (g *Gateway) attempt(parent, waiting context.Context, writer http.ResponseWriter, created *job, grant *dispatch.Grant, number int) attemptEnd {
+func (g *Gateway) attempt(parent, deadlineCtx context.Context, writer http.ResponseWriter, j *job, grant *dispatch.Grant, number int) attemptOutcome {
 	if g.options.View.ZoneDrained(grant.Target.Zone) {
-		return endNotRun
+		return outcomeNotRun
 	}
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	attemptID := created.id + "." + strconv.Itoa(number)
-	stop := context.AfterFunc(waiting, cancel)
+	attemptID := j.id + "." + strconv.Itoa(number)
+	stop := context.AfterFunc(deadlineCtx, cancel)
 	defer stop()
-	response, err := g.engines.Do(engineRequest(ctx, created, grant, attemptID))
+	response, err := g.engines.Do(engineRequest(ctx, j, grant, attemptID))
 	if err != nil {
 		if ctx.Err() == nil && !notConnected(err) {
-			g.noteBroken(created, grant)
+			g.reportBroken(j, grant)
 		}
-		return failedBy(waiting)
+		return failureOutcome(deadlineCtx)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.Header.Get(engine.HeaderRequestID) != attemptID {
 		g.options.Metrics.discarded.Inc()
-		return endFailed
+		return outcomeFailed
 	}
 	if response.Header.Get(engine.HeaderOutcome) == engine.OutcomeNotRun {
-		return endNotRun
+		return outcomeNotRun
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		return endFailed
+		return outcomeFailed
 	}
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), eventStream) {
-		return g.passPlain(ctx, waiting, writer, created, grant, response)
+		return g.relayPlain(ctx, deadlineCtx, writer, j, grant, response)
 	}
-	relay := &streamRelay{gateway: g, writer: writer, created: created, grant: grant, attemptID: attemptID, waiting: waiting}
+	relay := &streamRelay{gateway: g, writer: writer, job: j, grant: grant, attemptID: attemptID, deadlineCtx: deadlineCtx}
 	return relay.run(ctx, stop, response)
 }
 
-// failedBy distinguishes a deadline from a failure of the engine.
-func failedBy(waiting context.Context) attemptEnd {
-	if waiting.Err() != nil {
-		return endDeadline
+// failureOutcome distinguishes a deadline from a failure of the engine.
+func failureOutcome(deadlineCtx context.Context) attemptOutcome {
+	if deadlineCtx.Err() != nil {
+		return outcomeDeadline
 	}
-	return endFailed
+	return outcomeFailed
 }
 
-func engineRequest(ctx context.Context, created *job, grant *dispatch.Grant, attemptID string) *http.Request {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, grant.Target.Endpoint+created.path, bytes.NewReader(created.body))
+func engineRequest(ctx context.Context, j *job, grant *dispatch.Grant, attemptID string) *http.Request {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, grant.Target.Endpoint+j.path, bytes.NewReader(j.body))
 	if err != nil {
 		// Endpoints are validated when they are declared.
 		request = &http.Request{Method: http.MethodPost, Header: http.Header{}}
@@ -74,35 +74,35 @@
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(engine.HeaderRequestID, attemptID)
 	request.Header.Set(engine.HeaderReplica, grant.Target.Replica)
-	request.Header.Set(engine.HeaderPriority, strconv.Itoa(int(created.spec.Priority)))
-	request.Header.Set(HeaderTraceParent, created.traceParent)
-	if created.target.Adapter != "" {
-		request.Header.Set(engine.HeaderAdapter, created.target.Adapter)
+	request.Header.Set(engine.HeaderPriority, strconv.Itoa(int(j.spec.Priority)))
+	request.Header.Set(HeaderTraceParent, j.traceParent)
+	if j.target.Adapter != "" {
+		request.Header.Set(engine.HeaderAdapter, j.target.Adapter)
 	}
 	return request
 }
 
-// passPlain reads the complete response before it sends any of it to the client,
+// relayPlain reads the complete response before it sends any of it to the client,
 // so that a truncated one can be retried.
-func (g *Gateway) passPlain(ctx, waiting context.Context, writer http.ResponseWriter, created *job, grant *dispatch.Grant, response *http.Response) attemptEnd {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxPlainAnswer+1))
+func (g *Gateway) relayPlain(ctx, deadlineCtx context.Context, writer http.ResponseWriter, j *job, grant *dispatch.Grant, response *http.Response) attemptOutcome {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPlainBodyBytes+1))
 	if err != nil {
 		if ctx.Err() == nil {
-			g.noteBroken(created, grant)
+			g.reportBroken(j, grant)
 		}
-		return failedBy(waiting)
+		return failureOutcome(deadlineCtx)
 	}
-	if len(body) > maxPlainAnswer {
-		return endFailed
+	if len(body) > maxPlainBodyBytes {
+		return outcomeFailed
 	}
-	g.options.Metrics.firstByte.Observe(time.Since(created.arrived).Seconds())
-	copyAnswerHeaders(writer.Header(), response.Header)
+	g.options.Metrics.firstByte.Observe(time.Since(j.arrived).Seconds())
+	copyResponseHeaders(writer.Header(), response.Header)
 	writer.WriteHeader(response.StatusCode)
 	_, _ = writer.Write(body)
-	return endAnswered
+	return outcomeAnswered
 }
 
-func copyAnswerHeaders(to, from http.Header) {
+func copyResponseHeaders(to, from http.Header) {
 	for _, name := range []string{"Content-Type", "Cache-Control"} {
 		if value := from.Get(name); value != "" {
 			to.Set(name, value)
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -3,8 +3,8 @@
 import "sync"
 
 const (
-	budgetPerRequest = 0.2
-	budgetMax        = 100.0
+	retryTokensPerRequest = 0.2
+	maxRetryTokens        = 100.0
 )
 
 // retryBudget is a token bucket that bounds retries to a share of the requests, so
@@ -15,16 +15,16 @@
 }
 
 func newRetryBudget() *retryBudget {
-	return &retryBudget{tokens: budgetMax / 2}
+	return &retryBudget{tokens: maxRetryTokens / 2}
 }
 
-func (b *retryBudget) earn() {
+func (b *retryBudget) deposit() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.tokens = min(budgetMax, b.tokens+budgetPerRequest)
+	b.tokens = min(maxRetryTokens, b.tokens+retryTokensPerRequest)
 }
 
-func (b *retryBudget) spend() bool {
+func (b *retryBudget) withdraw() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.tokens < 1 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,9 +56,9 @@
 	crashes    *crashwatch.Watcher
 	drains     *drainlog.Log
 	engines    *http.Client
-	// once sends unrepeatable requests, each on a new connection, so that a
+	// singleUse sends unrepeatable requests, each on a new connection, so that a
 	// failed dial proves that nothing was sent.
-	once *http.Client
+	singleUse *http.Client
 
 	// inFlight includes responses that are still to be recorded.
 	inFlight atomic.Int64
@@ -83,7 +83,7 @@
 			DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdlePerEngine,
 			IdleConnTimeout: idleConnTimeout, DisableCompression: true,
 		}},
-		once: &http.Client{Transport: &http.Transport{
+		singleUse: &http.Client{Transport: &http.Transport{
 			DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true,
 		}},
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -249,7 +249,7 @@
 		{"unrepeatable without a key", "POST", "/v1/services/seats/holds/1", "{}", nil, 400, "idempotency-key-missing", "Idempotency-Key"},
 		{"key too long", "POST", "/v1/services/seats/holds/1", "{}", []string{"Idempotency-Key", strings.Repeat("k", 300)}, 400, "invalid", "Idempotency-Key"},
 		{"body too large", "POST", "/v1/completions", strings.Repeat("x", 2<<20), nil, 413, "too-large", ""},
-		{"no replica before the deadline", "POST", "/v1/completions", `{"model":"cold"}`, []string{gateway.HeaderDeadline, "50ms"}, 504, "deadline", ""},
+		{"nobody can serve it in time", "POST", "/v1/completions", `{"model":"cold"}`, []string{gateway.HeaderDeadline, "50ms"}, 504, "deadline", ""},
 	}
 	for _, entry := range cases {
 		t.Run(entry.name, func(t *testing.T) {
--- a/internal/gateway/inference.go
+++ b/internal/gateway/inference.go
@@ -12,116 +12,116 @@
 )
 
 const (
-	backoffFirst = 10 * time.Millisecond
-	backoffMax   = 500 * time.Millisecond
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 	// maxFailedAttempts bounds the attempts that may have run.
 	maxFailedAttempts = 3
 )
 
-// attemptEnd is the outcome of an attempt.
-type attemptEnd int
+// attemptOutcome is the outcome of an attempt.
+type attemptOutcome int
 
 const (
-	// endAnswered: the complete response was sent to the client.
-	endAnswered attemptEnd = iota
-	// endNotRun: the request did not run; nothing was sent to the client.
-	endNotRun
-	// endFailed: the request may have run; nothing was sent to the client.
-	endFailed
-	// endBroken: a partial stream and a typed error were sent to the client.
-	endBroken
-	// endDeadline: there was no response before the deadline.
-	endDeadline
+	// outcomeAnswered: the complete response was sent to the client.
+	outcomeAnswered attemptOutcome = iota
+	// outcomeNotRun: the request did not run; nothing was sent to the client.
+	outcomeNotRun
+	// outcomeFailed: the request may have run; nothing was sent to the client.
+	outcomeFailed
+	// outcomeBroken: a partial stream and a typed error were sent to the client.
+	outcomeBroken
+	// outcomeDeadline: there was no response before the deadline.
+	outcomeDeadline
 )
 
-func (e attemptEnd) String() string {
-	return [...]string{"answered", "not-run", "failed", "broken", "deadline"}[e]
+func (o attemptOutcome) String() string {
+	return [...]string{"answered", "not-run", "failed", "broken", "deadline"}[o]
 }
 
-func (e attemptEnd) health() dispatch.Result {
-	switch e {
-	case endNotRun:
+func (o attemptOutcome) result() dispatch.Result {
+	switch o {
+	case outcomeNotRun:
 		return dispatch.ResultNotRun
-	case endFailed, endBroken:
+	case outcomeFailed, outcomeBroken:
 		return dispatch.ResultFailed
 	}
 	return dispatch.ResultOK
 }
 
 func (g *Gateway) serveInference(writer http.ResponseWriter, request *http.Request) {
-	created, document := g.newJob(writer, request)
+	j, document := g.newJob(writer, request)
 	if document == nil {
-		document = g.readInference(created, request)
+		document = g.readInference(j, request)
 	}
 	if document != nil {
-		g.refuse(writer, created.id, document)
+		g.refuse(writer, j.id, document)
 		return
 	}
-	release, document := g.enterLimits(created)
+	release, document := g.acquireLimits(j)
 	if document != nil {
-		g.refuse(writer, created.id, document)
+		g.refuse(writer, j.id, document)
 		return
 	}
 	defer release()
-	g.budget.earn()
-	result := g.runInference(request.Context(), writer, created)
-	g.options.Metrics.requests.WithLabelValues(created.service, result).Inc()
+	g.budget.deposit()
+	result := g.runInference(request.Context(), writer, j)
+	g.options.Metrics.requests.WithLabelValues(j.service, result).Inc()
 }
 
 // runInference sends the request to replicas until one answers. It returns the
 // result for the metrics.
-func (g *Gateway) runInference(parent context.Context, writer http.ResponseWriter, created *job) string {
-	ctx, cancel := created.context(parent)
+func (g *Gateway) runInference(parent context.Context, writer http.ResponseWriter, j *job) string {
+	ctx, cancel := j.context(parent)
 	defer cancel()
-	if document := g.crashes.Refusal(created.identity); document != nil {
-		return g.answerQuarantined(writer, created, document, false)
+	if document := g.crashes.Refusal(j.identity); document != nil {
+		return g.refuseQuarantined(writer, j, document, false)
 	}
-	wanted := &dispatch.Request{
-		Version: created.target.Version, Adapter: created.target.Adapter, Priority: created.spec.Priority,
-		Arrived: created.arrived, Deadline: created.deadline, Prefix: created.prefix,
+	dispatchRequest := &dispatch.Request{
+		Version: j.target.Version, Adapter: j.target.Adapter, Priority: j.spec.Priority,
+		Arrived: j.arrived, Deadline: j.deadline, Prefix: j.prefix,
 	}
 	failures := 0
 	for attempt := 1; ; attempt++ {
-		grant, refusal := g.dispatcher.Acquire(ctx, wanted)
+		grant, refusal := g.dispatcher.Acquire(ctx, dispatchRequest)
 		if refusal != nil {
-			return g.answerRefusal(writer, created, refusal, failures > 0)
+			return g.answerRefusal(writer, j, refusal, failures > 0)
 		}
-		if document := g.crashes.Refusal(created.identity); document != nil {
+		if document := g.crashes.Refusal(j.identity); document != nil {
 			g.dispatcher.Release(grant, dispatch.ResultNotRun)
-			return g.answerQuarantined(writer, created, document, failures > 0)
+			return g.refuseQuarantined(writer, j, document, failures > 0)
 		}
 		if grant.Waited {
-			waited := time.Since(created.arrived)
+			waited := time.Since(j.arrived)
 			g.options.Metrics.replicaWait.Observe(waited.Seconds())
 			writer.Header().Set(HeaderReplicaWait, strconv.FormatInt(waited.Milliseconds(), 10))
 		}
-		end := g.attempt(parent, ctx, writer, created, grant, attempt)
-		g.dispatcher.Release(grant, end.health())
-		g.options.Metrics.attempts.WithLabelValues(end.String()).Inc()
-		switch end {
-		case endAnswered, endBroken:
-			g.noteCompleted(created, end)
-			return end.String()
-		case endDeadline:
-			g.failUnknown(writer, created, "no answer from the engine before the deadline")
-			return end.String()
-		case endFailed:
+		outcome := g.attempt(parent, ctx, writer, j, grant, attempt)
+		g.dispatcher.Release(grant, outcome.result())
+		g.options.Metrics.attempts.WithLabelValues(outcome.String()).Inc()
+		switch outcome {
+		case outcomeAnswered, outcomeBroken:
+			g.reportCompleted(j, outcome)
+			return outcome.String()
+		case outcomeDeadline:
+			g.failUnknown(writer, j, "no answer from the engine before the deadline")
+			return outcome.String()
+		case outcomeFailed:
 			failures++
-			if failures >= maxFailedAttempts || !g.budget.spend() {
-				g.failEngine(writer, created)
-				return end.String()
+			if failures >= maxFailedAttempts || !g.budget.withdraw() {
+				g.failEngine(writer, j)
+				return outcome.String()
 			}
 		}
-		wanted.Avoid = grant.Target.Replica
-		if !pause(ctx, attempt) {
-			wanted.Deadline = time.Now() // Makes the dispatcher refuse it.
+		dispatchRequest.Avoid = grant.Target.Replica
+		if !backOff(ctx, attempt) {
+			dispatchRequest.Deadline = time.Now() // Makes the dispatcher refuse it.
 		}
 	}
 }
 
-// pause backs off with full jitter. It returns false if ctx is done.
-func pause(ctx context.Context, attempt int) bool {
-	longest := min(backoffMax, backoffFirst<<min(attempt-1, 8))
+// backOff backs off with full jitter. It returns false if ctx is done.
+func backOff(ctx context.Context, attempt int) bool {
+	longest := min(maxBackoff, initialBackoff<<min(attempt-1, 8))
 	select {
 	case <-time.After(rand.N(longest)):
 		return true
@@ -132,7 +132,7 @@
 
 // answerRefusal answers with a refusal of the dispatcher. The outcome is unknown
 // if an earlier attempt may have run.
-func (g *Gateway) answerRefusal(writer http.ResponseWriter, created *job, refusal *dispatch.Refusal, mayHaveRun bool) string {
+func (g *Gateway) answerRefusal(writer http.ResponseWriter, j *job, refusal *dispatch.Refusal, mayHaveRun bool) string {
 	var document *problem.Document
 	switch refusal.Reason {
 	case dispatch.RefusedOverload:
@@ -147,22 +147,22 @@
 	document.RetryAfter = refusal.RetryAfter
 	if mayHaveRun {
 		document.Outcome = problem.OutcomeUnknown
-		g.fail(writer, created.id, document)
+		g.fail(writer, j.id, document)
 		return "unknown"
 	}
-	g.refuse(writer, created.id, document)
+	g.refuse(writer, j.id, document)
 	return "refused"
 }
 
-func (g *Gateway) failUnknown(writer http.ResponseWriter, created *job, detail string) {
+func (g *Gateway) failUnknown(writer http.ResponseWriter, j *job, detail string) {
 	document := problem.New(problem.TypeDeadline, http.StatusGatewayTimeout, detail)
 	document.Outcome = problem.OutcomeUnknown
-	g.fail(writer, created.id, document)
+	g.fail(writer, j.id, document)
 }
 
-func (g *Gateway) failEngine(writer http.ResponseWriter, created *job) {
+func (g *Gateway) failEngine(writer http.ResponseWriter, j *job) {
 	document := problem.New(problem.TypeEngineFailed, http.StatusBadGateway, "the engines failed the request")
 	document.Outcome = problem.OutcomeUnknown
 	document.RetryAfter = time.Second
-	g.fail(writer, created.id, document)
+	g.fail(writer, j.id, document)
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -84,22 +84,22 @@
 
 // newJob reads the common headers and the body of a request.
 func (g *Gateway) newJob(writer http.ResponseWriter, request *http.Request) (*job, *problem.Document) {
-	created := &job{
+	j := &job{
 		id: request.Header.Get(HeaderRequestID), path: request.URL.Path, arrived: time.Now(),
 		caller: request.Header.Get(HeaderCaller), contentType: request.Header.Get("Content-Type"),
 		traceParent: traceParentOf(request.Header.Get(HeaderTraceParent)),
 	}
-	if created.id == "" {
-		created.id = newRequestID()
+	if j.id == "" {
+		j.id = newRequestID()
 	}
-	writer.Header().Set(HeaderRequestID, created.id)
-	writer.Header().Set(HeaderTraceParent, created.traceParent)
+	writer.Header().Set(HeaderRequestID, j.id)
+	writer.Header().Set(HeaderTraceParent, j.traceParent)
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, g.options.MaxBodyBytes))
 	if err != nil {
-		return created, problem.New(problem.TypeTooLarge, http.StatusRequestEntityTooLarge, "the body could not be read whole: "+err.Error())
+		return j, problem.New(problem.TypeTooLarge, http.StatusRequestEntityTooLarge, "the body could not be read whole: "+err.Error())
 	}
-	created.body = body
-	return created, nil
+	j.body = body
+	return j, nil
 }
 
 // setDeadline sets the deadline from the header, or else from the service.
@@ -123,9 +123,9 @@
 }
 
 // readInference parses an inference request and resolves its model and service.
-func (g *Gateway) readInference(created *job, request *http.Request) *problem.Document {
+func (g *Gateway) readInference(j *job, request *http.Request) *problem.Document {
 	var body inferenceBody
-	if err := json.Unmarshal(created.body, &body); err != nil {
+	if err := json.Unmarshal(j.body, &body); err != nil {
 		return invalid("body", "the body is not a JSON object: %s", err.Error())
 	}
 	if body.Model == "" {
@@ -137,17 +137,17 @@
 		document.Field = "model"
 		return document
 	}
-	created.target = target
-	created.stream = body.Stream
-	created.prefix = prefixOf(body)
+	j.target = target
+	j.stream = body.Stream
+	j.prefix = prefixOf(body)
 	named := request.Header.Get(HeaderService)
-	created.service, created.spec = g.options.View.ServiceOf(target.Model, named)
-	if created.spec == nil {
+	j.service, j.spec = g.options.View.ServiceOf(target.Model, named)
+	if j.spec == nil {
 		document := problem.New(problem.TypeNotFound, http.StatusNotFound, "no such service offers model "+target.Model)
 		document.Field = HeaderService
 		return document
 	}
-	return created.setDeadline(request.Header.Get(HeaderDeadline))
+	return j.setDeadline(request.Header.Get(HeaderDeadline))
 }
 
 func prefixOf(body inferenceBody) uint64 {
@@ -161,15 +161,15 @@
 	return xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
 }
 
-// enterLimits applies the limits of the service. It returns a function that
+// acquireLimits applies the limits of the service. It returns a function that
 // releases what the request holds of them.
-func (g *Gateway) enterLimits(created *job) (func(), *problem.Document) {
-	specs := g.options.View.Limits(created.service)
+func (g *Gateway) acquireLimits(j *job) (func(), *problem.Document) {
+	specs := g.options.View.Limits(j.service)
 	if len(specs) == 0 {
 		return func() {}, nil
 	}
 	routers := int(g.options.View.Digest().GetRouters())
-	release, refusal := g.limits.Acquire(created.arrived, specs, created.caller, routers)
+	release, refusal := g.limits.Acquire(j.arrived, specs, j.caller, routers)
 	if refusal == nil {
 		return release, nil
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -16,28 +16,28 @@
 	return quarantine.Identify(quarantine.Content{Tenant: j.caller, Method: http.MethodPost, Target: j.path, Body: j.body})
 }
 
-// answerQuarantined answers a quarantined request.
-func (g *Gateway) answerQuarantined(writer http.ResponseWriter, created *job, document *problem.Document, mayHaveRun bool) string {
+// refuseQuarantined answers a quarantined request.
+func (g *Gateway) refuseQuarantined(writer http.ResponseWriter, j *job, document *problem.Document, mayHaveRun bool) string {
 	if mayHaveRun {
-		g.failEngine(writer, created)
+		g.failEngine(writer, j)
 		return "failed"
 	}
-	g.refuse(writer, created.id, document)
+	g.refuse(writer, j.id, document)
 	return "refused"
 }
 
-// noteBroken reports a request whose connection broke after it was sent.
-func (g *Gateway) noteBroken(created *job, grant *dispatch.Grant) {
+// reportBroken reports a request whose connection broke after it was sent.
+func (g *Gateway) reportBroken(j *job, grant *dispatch.Grant) {
 	g.crashes.Broken(quarantine.Run{
 		Machine: grant.Target.Machine, Life: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
-		Identity: created.identity(), Route: created.service, Tenant: created.caller,
+		Identity: j.identity(), Route: j.service, Tenant: j.caller,
 	})
 }
 
-// noteCompleted reports a request that an engine completed.
-func (g *Gateway) noteCompleted(created *job, end attemptEnd) {
-	if end == endAnswered {
-		g.crashes.Completed(created.identity)
+// reportCompleted reports a request that an engine completed.
+func (g *Gateway) reportCompleted(j *job, outcome attemptOutcome) {
+	if outcome == outcomeAnswered {
+		g.crashes.Completed(j.identity)
 	}
 }
 
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// maxRecordedAnswer bounds the body of a response that is recorded for resends.
-	maxRecordedAnswer = 64 << 10
+	// maxRecordedBodyBytes bounds the body of a response that is recorded for resends.
+	maxRecordedBodyBytes = 64 << 10
 	// recordTimeout bounds the recording of a result. The sweep of open claims
 	// closes claims whose result was not recorded.
 	recordTimeout = 10 * time.Second
@@ -45,53 +45,53 @@
 }
 
 func (g *Gateway) serveService(writer http.ResponseWriter, request *http.Request) {
-	created, document := g.newJob(writer, request)
+	j, document := g.newJob(writer, request)
 	if document != nil {
-		g.refuse(writer, created.id, document)
+		g.refuse(writer, j.id, document)
 		return
 	}
-	entry, document := g.readCall(created, request)
+	c, document := g.readCall(j, request)
 	if document != nil {
-		g.refuse(writer, created.id, document)
+		g.refuse(writer, j.id, document)
 		return
 	}
-	release, document := g.enterLimits(created)
+	release, document := g.acquireLimits(j)
 	if document != nil {
-		g.refuse(writer, created.id, document)
+		g.refuse(writer, j.id, document)
 		return
 	}
 	defer release()
-	g.budget.earn()
-	ctx, cancel := created.context(request.Context())
+	g.budget.deposit()
+	ctx, cancel := j.context(request.Context())
 	defer cancel()
 	result := ""
-	if isUnrepeatable(created.spec.Backend, entry) {
-		result = g.runOnce(ctx, writer, entry)
+	if isUnrepeatable(j.spec.Backend, c) {
+		result = g.runUnrepeatable(ctx, writer, c)
 	} else {
-		result = g.runRepeatable(ctx, writer, entry)
+		result = g.runRepeatable(ctx, writer, c)
 	}
-	g.options.Metrics.requests.WithLabelValues(created.service, result).Inc()
+	g.options.Metrics.requests.WithLabelValues(j.service, result).Inc()
 }
 
-func (g *Gateway) readCall(created *job, request *http.Request) (*call, *problem.Document) {
+func (g *Gateway) readCall(j *job, request *http.Request) (*call, *problem.Document) {
 	variables := mux.Vars(request)
-	created.service = variables["service"]
-	created.spec = g.options.View.Service(created.service)
-	if created.spec == nil || created.spec.Backend == nil {
-		document := problem.New(problem.TypeNotFound, http.StatusNotFound, "there is no back-end service "+created.service)
+	j.service = variables["service"]
+	j.spec = g.options.View.Service(j.service)
+	if j.spec == nil || j.spec.Backend == nil {
+		document := problem.New(problem.TypeNotFound, http.StatusNotFound, "there is no back-end service "+j.service)
 		document.Field = "service"
 		return nil, document
 	}
-	entry := &call{job: created, method: request.Method, target: "/" + variables["path"]}
+	c := &call{job: j, method: request.Method, target: "/" + variables["path"]}
 	if request.URL.RawQuery != "" {
-		entry.target += "?" + request.URL.RawQuery
+		c.target += "?" + request.URL.RawQuery
 	}
-	if document := created.setDeadline(request.Header.Get(HeaderDeadline)); document != nil {
+	if document := j.setDeadline(request.Header.Get(HeaderDeadline)); document != nil {
 		return nil, document
 	}
-	entry.key = request.Header.Get(engine.HeaderIdempotencyKey)
-	entry.owner = g.options.Node + "/" + created.id + "/" + strconv.FormatUint(g.sequence.Add(1), 10)
-	return entry, entry.checkKey()
+	c.key = request.Header.Get(engine.HeaderIdempotencyKey)
+	c.owner = g.options.Node + "/" + j.id + "/" + strconv.FormatUint(g.sequence.Add(1), 10)
+	return c, c.checkKey()
 }
 
 func (c *call) checkKey() *problem.Document {
@@ -106,12 +106,12 @@
 	return nil
 }
 
-func isUnrepeatable(backend *v1.BackendSpec, entry *call) bool {
-	if entry.method != http.MethodPost {
+func isUnrepeatable(backend *v1.BackendSpec, c *call) bool {
+	if c.method != http.MethodPost {
 		return false
 	}
 	for _, prefix := range backend.Unrepeatable {
-		if strings.HasPrefix(entry.target, prefix) {
+		if strings.HasPrefix(c.target, prefix) {
 			return true
 		}
 	}
@@ -130,23 +130,23 @@
 	return digest.Sum64()
 }
 
-// runOnce runs an unrepeatable request under a claim, by the steps of
+// runUnrepeatable runs an unrepeatable request under a claim, by the steps of
 // claims.Attempt.
-func (g *Gateway) runOnce(ctx context.Context, writer http.ResponseWriter, entry *call) string {
+func (g *Gateway) runUnrepeatable(ctx context.Context, writer http.ResponseWriter, c *call) string {
 	attempt := &claims.Attempt{}
-	result, err := g.claims.Open(ctx, entry.claimKey(), entry.fingerprint(), entry.owner, entry.deadline)
+	result, err := g.claims.Open(ctx, c.claimKey(), c.fingerprint(), c.owner, c.deadline)
 	switch attempt.Claimed(result.GetState(), err) {
 	case claims.StepSend:
-		return g.sendOnce(ctx, writer, entry, attempt)
+		return g.sendClaimed(ctx, writer, c, attempt)
 	case claims.StepReplay:
 		return replay(writer, result.GetAnswer())
 	case claims.StepMismatch:
 		document := problem.New(problem.TypeKeyMismatch, http.StatusUnprocessableEntity, "the key was used for a different request")
 		document.Field = engine.HeaderIdempotencyKey
-		g.refuse(writer, entry.id, document)
+		g.refuse(writer, c.id, document)
 		return "refused"
 	}
-	return g.answerUnknown(writer, entry, unclaimedDetail(result, err))
+	return g.answerUnknown(writer, c, unclaimedDetail(result, err))
 }
 
 func unclaimedDetail(result *wirepb.ClaimResult, err error) string {
@@ -167,84 +167,84 @@
 	return "replayed"
 }
 
-func (g *Gateway) answerUnknown(writer http.ResponseWriter, entry *call, detail string) string {
+func (g *Gateway) answerUnknown(writer http.ResponseWriter, c *call, detail string) string {
 	document := problem.New(problem.TypeUnknown, http.StatusGatewayTimeout, detail)
 	document.Outcome = problem.OutcomeUnknown
 	document.RetryAfter = time.Second
-	g.fail(writer, entry.id, document)
+	g.fail(writer, c.id, document)
 	return "unknown"
 }
 
-// sendOnce sends a claimed request. It is retried only after an attempt that did
+// sendClaimed sends a claimed request. It is retried only after an attempt that did
 // not run.
-func (g *Gateway) sendOnce(ctx context.Context, writer http.ResponseWriter, entry *call, attempt *claims.Attempt) string {
-	wanted := &dispatch.Request{Version: entry.service, Priority: entry.spec.Priority, Arrived: entry.arrived, Deadline: entry.deadline}
+func (g *Gateway) sendClaimed(ctx context.Context, writer http.ResponseWriter, c *call, attempt *claims.Attempt) string {
+	dispatchRequest := &dispatch.Request{Version: c.service, Priority: c.spec.Priority, Arrived: c.arrived, Deadline: c.deadline}
 	for number := 1; ; number++ {
-		grant, refusal := g.services.Acquire(ctx, wanted)
+		grant, refusal := g.services.Acquire(ctx, dispatchRequest)
 		if refusal != nil {
-			return g.closeNotRun(writer, entry, attempt, refusal)
+			return g.closeNotRun(writer, c, attempt, refusal)
 		}
-		answer, end := g.callBackend(ctx, g.once, entry, grant, number)
-		g.services.Release(grant, end.health())
-		g.options.Metrics.attempts.WithLabelValues(end.String()).Inc()
-		switch attempt.Sent(sendEnd(end)) {
+		response, outcome := g.callBackend(ctx, g.singleUse, c, grant, number)
+		g.services.Release(grant, outcome.result())
+		g.options.Metrics.attempts.WithLabelValues(outcome.String()).Inc()
+		switch attempt.Sent(claimOutcome(outcome)) {
 		case claims.StepAnswer:
-			g.recordAnswer(entry, answer)
-			answer.write(writer)
-			return end.String()
+			g.recordResponse(c, response)
+			response.write(writer)
+			return outcome.String()
 		case claims.StepSend:
-			wanted.Avoid = grant.Target.Replica
-			if !pause(ctx, number) {
-				wanted.Deadline = time.Now()
+			dispatchRequest.Avoid = grant.Target.Replica
+			if !backOff(ctx, number) {
+				dispatchRequest.Deadline = time.Now()
 			}
 		default:
-			g.recordUnknown(entry)
-			return g.answerUnknown(writer, entry, "the back end did not answer; the request may have run")
+			g.recordUnknown(c)
+			return g.answerUnknown(writer, c, "the back end did not answer; the request may have run")
 		}
 	}
 }
 
-func sendEnd(end attemptEnd) claims.SendEnd {
-	switch end {
-	case endAnswered:
+func claimOutcome(outcome attemptOutcome) claims.SendEnd {
+	switch outcome {
+	case outcomeAnswered:
 		return claims.SendAnswered
-	case endNotRun:
+	case outcomeNotRun:
 		return claims.SendNotRun
 	}
 	return claims.SendUnknown
 }
 
 // closeNotRun closes the claim and answers "not run".
-func (g *Gateway) closeNotRun(writer http.ResponseWriter, entry *call, attempt *claims.Attempt, refusal *dispatch.Refusal) string {
+func (g *Gateway) closeNotRun(writer http.ResponseWriter, c *call, attempt *claims.Attempt, refusal *dispatch.Refusal) string {
 	if attempt.Refused() != claims.StepCloseNotRun {
-		return g.answerUnknown(writer, entry, "the request may have run")
+		return g.answerUnknown(writer, c, "the request may have run")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	err := g.claims.CloseNotRun(ctx, entry.claimKey(), entry.owner)
+	err := g.claims.CloseNotRun(ctx, c.claimKey(), c.owner)
 	if attempt.Closed(err) != claims.StepAnswerNotRun {
-		return g.answerUnknown(writer, entry, "the request was not sent, but its claim could not be closed")
+		return g.answerUnknown(writer, c, "the request was not sent, but its claim could not be closed")
 	}
-	return g.answerRefusal(writer, entry.job, refusal, false)
+	return g.answerRefusal(writer, c.job, refusal, false)
 }
 
-// recordAnswer records the response for resends, in the background. Until then a
+// recordResponse records the response for resends, in the background. Until then a
 // resend waits for the open claim.
-func (g *Gateway) recordAnswer(entry *call, answer *backendAnswer) {
-	if len(answer.body) > maxRecordedAnswer {
-		g.recordUnknown(entry)
+func (g *Gateway) recordResponse(c *call, response *backendResponse) {
+	if len(response.body) > maxRecordedBodyBytes {
+		g.recordUnknown(c)
 		return
 	}
 	g.record(func(ctx context.Context) error {
-		return g.claims.Complete(ctx, entry.claimKey(), entry.owner, &wirepb.RecordedAnswer{
-			Status: uint32(answer.status), ContentType: answer.contentType, Body: answer.body,
+		return g.claims.Complete(ctx, c.claimKey(), c.owner, &wirepb.RecordedAnswer{
+			Status: uint32(response.status), ContentType: response.contentType, Body: response.body,
 		})
 	})
 }
 
-func (g *Gateway) recordUnknown(entry *call) {
+func (g *Gateway) recordUnknown(c *call) {
 	g.record(func(ctx context.Context) error {
-		return g.claims.CloseUnknown(ctx, entry.claimKey(), entry.owner)
+		return g.claims.CloseUnknown(ctx, c.claimKey(), c.owner)
 	})
 }
 
@@ -261,41 +261,41 @@
 }
 
 // runRepeatable sends the request to back ends until one answers.
-func (g *Gateway) runRepeatable(ctx context.Context, writer http.ResponseWriter, entry *call) string {
-	wanted := &dispatch.Request{Version: entry.service, Priority: entry.spec.Priority, Arrived: entry.arrived, Deadline: entry.deadline}
+func (g *Gateway) runRepeatable(ctx context.Context, writer http.ResponseWriter, c *call) string {
+	dispatchRequest := &dispatch.Request{Version: c.service, Priority: c.spec.Priority, Arrived: c.arrived, Deadline: c.deadline}
 	failures := 0
 	for attempt := 1; ; attempt++ {
-		grant, refusal := g.services.Acquire(ctx, wanted)
+		grant, refusal := g.services.Acquire(ctx, dispatchRequest)
 		if refusal != nil {
-			return g.answerRefusal(writer, entry.job, refusal, failures > 0)
+			return g.answerRefusal(writer, c.job, refusal, failures > 0)
 		}
-		answer, end := g.callBackend(ctx, g.engines, entry, grant, attempt)
-		g.services.Release(grant, end.health())
-		g.options.Metrics.attempts.WithLabelValues(end.String()).Inc()
-		if end == endAnswered {
-			answer.write(writer)
-			return end.String()
+		response, outcome := g.callBackend(ctx, g.engines, c, grant, attempt)
+		g.services.Release(grant, outcome.result())
+		g.options.Metrics.attempts.WithLabelValues(outcome.String()).Inc()
+		if outcome == outcomeAnswered {
+			response.write(writer)
+			return outcome.String()
 		}
-		if end == endDeadline {
-			g.failUnknown(writer, entry.job, "no answer from the back end before the deadline")
-			return end.String()
+		if outcome == outcomeDeadline {
+			g.failUnknown(writer, c.job, "no answer from the back end before the deadline")
+			return outcome.String()
 		}
-		if end == endFailed {
+		if outcome == outcomeFailed {
 			failures++
-			if !isSafe(entry.method) || failures >= maxFailedAttempts || !g.budget.spend() {
-				g.failEngine(writer, entry.job)
-				return end.String()
+			if !isIdempotent(c.method) || failures >= maxFailedAttempts || !g.budget.withdraw() {
+				g.failEngine(writer, c.job)
+				return outcome.String()
 			}
 		}
-		wanted.Avoid = grant.Target.Replica
-		if !pause(ctx, attempt) {
-			wanted.Deadline = time.Now()
+		dispatchRequest.Avoid = grant.Target.Replica
+		if !backOff(ctx, attempt) {
+			dispatchRequest.Deadline = time.Now()
 		}
 	}
 }
 
-// isSafe reports whether HTTP defines the method as idempotent.
-func isSafe(method string) bool {
+// isIdempotent follows RFC 9110.
+func isIdempotent(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
 		return true
@@ -303,63 +303,63 @@
 	return false
 }
 
-// backendAnswer is a back end's complete response.
-type backendAnswer struct {
+// backendResponse is a back end's complete response.
+type backendResponse struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-func (a *backendAnswer) write(writer http.ResponseWriter) {
-	writer.Header().Set("Content-Type", a.contentType)
-	writer.WriteHeader(a.status)
-	_, _ = writer.Write(a.body)
+func (r *backendResponse) write(writer http.ResponseWriter) {
+	writer.Header().Set("Content-Type", r.contentType)
+	writer.WriteHeader(r.status)
+	_, _ = writer.Write(r.body)
 }
 
 // callBackend sends one attempt and reads the complete response. An attempt did
 // not run if there was no connection or the back end says so.
-func (g *Gateway) callBackend(ctx context.Context, client *http.Client, entry *call, grant *dispatch.Grant, number int) (*backendAnswer, attemptEnd) {
+func (g *Gateway) callBackend(ctx context.Context, client *http.Client, c *call, grant *dispatch.Grant, number int) (*backendResponse, attemptOutcome) {
 	connected := false
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected = true },
 	})
-	attemptID := entry.id + "." + strconv.Itoa(number)
-	request, err := http.NewRequestWithContext(traced, entry.method, grant.Target.Endpoint+entry.target, bytes.NewReader(entry.body))
+	attemptID := c.id + "." + strconv.Itoa(number)
+	request, err := http.NewRequestWithContext(traced, c.method, grant.Target.Endpoint+c.target, bytes.NewReader(c.body))
 	if err != nil {
-		return nil, endNotRun
+		return nil, outcomeNotRun
 	}
 	// Without GetBody net/http can't retry requests with an Idempotency-Key.
 	request.GetBody = nil
 	request.Header.Set(engine.HeaderRequestID, attemptID)
-	request.Header.Set(HeaderTraceParent, entry.traceParent)
-	if entry.contentType != "" {
-		request.Header.Set("Content-Type", entry.contentType)
+	request.Header.Set(HeaderTraceParent, c.traceParent)
+	if c.contentType != "" {
+		request.Header.Set("Content-Type", c.contentType)
 	}
-	if entry.key != "" {
-		request.Header.Set(engine.HeaderIdempotencyKey, entry.key)
+	if c.key != "" {
+		request.Header.Set(engine.HeaderIdempotencyKey, c.key)
 	}
 	response, err := client.Do(request)
 	if err != nil {
 		if !connected {
-			return nil, endNotRun
+			return nil, outcomeNotRun
 		}
-		return nil, failedBy(ctx)
+		return nil, failureOutcome(ctx)
 	}
 	defer func() { _ = response.Body.Close() }()
-	return g.readAnswer(ctx, response, attemptID)
+	return g.readResponse(ctx, response, attemptID)
 }
 
-func (g *Gateway) readAnswer(ctx context.Context, response *http.Response, attemptID string) (*backendAnswer, attemptEnd) {
+func (g *Gateway) readResponse(ctx context.Context, response *http.Response, attemptID string) (*backendResponse, attemptOutcome) {
 	if echoed := response.Header.Get(engine.HeaderRequestID); echoed != "" && echoed != attemptID {
 		g.options.Metrics.discarded.Inc()
-		return nil, endFailed
+		return nil, outcomeFailed
 	}
 	if response.Header.Get(engine.HeaderOutcome) == engine.OutcomeNotRun {
-		return nil, endNotRun
+		return nil, outcomeNotRun
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxPlainAnswer+1))
-	if err != nil || len(body) > maxPlainAnswer {
-		return nil, failedBy(ctx)
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPlainBodyBytes+1))
+	if err != nil || len(body) > maxPlainBodyBytes {
+		return nil, failureOutcome(ctx)
 	}
-	return &backendAnswer{status: response.StatusCode, contentType: response.Header.Get("Content-Type"), body: body}, endAnswered
+	return &backendResponse{status: response.StatusCode, contentType: response.Header.Get("Content-Type"), body: body}, outcomeAnswered
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -24,46 +24,46 @@
 	resumeDelay  = 50 * time.Millisecond
 )
 
-var streamEnd = []byte("data: [DONE]")
+var streamEndMarker = []byte("data: [DONE]")
 
 // streamRelay relays a stream of server-sent events. It sends only complete
 // events and counts them, so that a broken stream can be resumed at the next one.
 type streamRelay struct {
-	gateway   *Gateway
-	writer    http.ResponseWriter
-	created   *job
-	grant     *dispatch.Grant
-	attemptID string
-	waiting   context.Context
+	gateway     *Gateway
+	writer      http.ResponseWriter
+	job         *job
+	grant       *dispatch.Grant
+	attemptID   string
+	deadlineCtx context.Context
 
-	passed   int
+	relayed  int
 	finished bool
-	// callerGone is set when a write to the client failed.
-	callerGone bool
+	// clientGone is set when a write to the client failed.
+	clientGone bool
 }
 
 // run relays the stream to its end. It calls stop at the first event to remove the
 // deadline.
-func (s *streamRelay) run(ctx context.Context, stop func() bool, response *http.Response) attemptEnd {
+func (s *streamRelay) run(ctx context.Context, stop func() bool, response *http.Response) attemptOutcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.copyEvents(response, cancel, stop)
-	if !s.finished && !s.callerGone && ctx.Err() == nil {
-		s.gateway.noteBroken(s.created, s.grant)
+	if !s.finished && !s.clientGone && ctx.Err() == nil {
+		s.gateway.reportBroken(s.job, s.grant)
 	}
-	for resumes := 0; !s.finished && !s.callerGone; resumes++ {
-		if s.passed == 0 {
-			return failedBy(s.waiting)
+	for resumes := 0; !s.finished && !s.clientGone; resumes++ {
+		if s.relayed == 0 {
+			return failureOutcome(s.deadlineCtx)
 		}
 		if resumes == maxResumes || ctx.Err() != nil {
-			s.writeBroken()
-			return endBroken
+			s.writeStreamError()
+			return outcomeBroken
 		}
 		if !s.resume(ctx, cancel) {
 			time.Sleep(resumeDelay)
 		}
 	}
-	return endAnswered
+	return outcomeAnswered
 }
 
 // copyEvents relays events until the stream ends or breaks.
@@ -77,23 +77,23 @@
 			return
 		}
 		stall.Reset(stallTimeout)
-		if s.passed == 0 {
+		if s.relayed == 0 {
 			stop()
-			s.begin(response)
+			s.writeHeader(response)
 		}
 		if _, err := s.writer.Write(event); err != nil {
-			s.callerGone = true
+			s.clientGone = true
 			return
 		}
 		_ = http.NewResponseController(s.writer).Flush()
-		s.passed++
-		s.finished = bytes.Contains(event, streamEnd)
+		s.relayed++
+		s.finished = bytes.Contains(event, streamEndMarker)
 	}
 }
 
-func (s *streamRelay) begin(response *http.Response) {
-	s.gateway.options.Metrics.firstByte.Observe(time.Since(s.created.arrived).Seconds())
-	copyAnswerHeaders(s.writer.Header(), response.Header)
+func (s *streamRelay) writeHeader(response *http.Response) {
+	s.gateway.options.Metrics.firstByte.Observe(time.Since(s.job.arrived).Seconds())
+	copyResponseHeaders(s.writer.Header(), response.Header)
 	s.writer.WriteHeader(response.StatusCode)
 }
 
@@ -118,7 +118,7 @@
 // resume requests the rest of the stream from the engine. It returns false if the
 // engine is unreachable or does not know the request.
 func (s *streamRelay) resume(ctx context.Context, cancel context.CancelFunc) bool {
-	path := "/v1/requests/" + url.PathEscape(s.attemptID) + "/stream?from=" + strconv.Itoa(s.passed)
+	path := "/v1/requests/" + url.PathEscape(s.attemptID) + "/stream?from=" + strconv.Itoa(s.relayed)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, s.grant.Target.Endpoint+path, nil)
 	if err != nil {
 		return false
@@ -137,12 +137,12 @@
 	return true
 }
 
-// writeBroken ends the client's stream with a typed error and without the end
+// writeStreamError ends the client's stream with a typed error and without the end
 // marker.
-func (s *streamRelay) writeBroken() {
-	document := problem.New(problem.TypeStreamBroken, http.StatusBadGateway, "the stream broke after "+strconv.Itoa(s.passed)+" events")
+func (s *streamRelay) writeStreamError() {
+	document := problem.New(problem.TypeStreamBroken, http.StatusBadGateway, "the stream broke after "+strconv.Itoa(s.relayed)+" events")
 	document.Outcome = problem.OutcomeUnknown
-	document.RequestID = s.created.id
+	document.RequestID = s.job.id
 	s.gateway.options.Metrics.problems.WithLabelValues(document.Kind(), string(document.Outcome)).Inc()
 	encoded, err := json.Marshal(struct {
 		Error *problem.Document `json:"error"`
