--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -38,10 +38,9 @@
 	// partitioned reports whether a router is partitioned from the leader in both directions.
 	partitioned func(router int, at time.Duration) bool
 	hasLeader   func(at time.Duration) bool
-	// changes are the times of leader changes.
-	changes []time.Duration
-	// restarts are the times at which all routers and the leader restart.
-	restarts []time.Duration
+	// changes are the times of leader changes, and restarts those at which all routers and the
+	// leader restart.
+	changes, restarts []time.Duration
 	// reconnects are the times at which all routers report, before they hear of a leader.
 	reconnects []time.Duration
 	// reportsLost reports whether a router's reports are lost while it receives digests.
