--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -161,15 +161,15 @@
 	return report
 }
 
-// answer is the response that a client got.
-type answer struct {
+// reply is the response that a client got.
+type reply struct {
 	status  int
 	header  http.Header
 	body    string
 	problem struct{ Type, Field, Outcome string }
 }
 
-func (d *deployment) ask(method, path, body string, headers ...string) answer {
+func (d *deployment) send(method, path, body string, headers ...string) reply {
 	d.t.Helper()
 	request, err := http.NewRequest(method, d.server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -187,7 +187,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	result := answer{status: response.StatusCode, header: response.Header, body: string(content)}
+	result := reply{status: response.StatusCode, header: response.Header, body: string(content)}
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "application/problem+json") {
 		if err := json.Unmarshal(content, &result.problem); err != nil {
 			d.t.Fatal(err)
@@ -253,7 +253,7 @@
 	}
 	for _, entry := range cases {
 		t.Run(entry.name, func(t *testing.T) {
-			got := d.ask(entry.method, entry.path, entry.body, entry.headers...)
+			got := d.send(entry.method, entry.path, entry.body, entry.headers...)
 			kind := got.problem.Type[strings.LastIndex(got.problem.Type, "/")+1:]
 			if got.status != entry.status || kind != entry.kind || got.problem.Field != entry.field || got.problem.Outcome != "not-run" {
 				t.Errorf("%d %+v", got.status, got.problem)
@@ -268,8 +268,8 @@
 // TestUnrepeatableRequestRunsOnce resends an unrepeatable request concurrently after its response.
 func TestUnrepeatableRequestRunsOnce(t *testing.T) {
 	d := deploy(t, "")
-	hold := func(body string) answer {
-		return d.ask("POST", "/v1/services/seats/holds/17", body, "Idempotency-Key", "key", gateway.HeaderCaller, "window")
+	hold := func(body string) reply {
+		return d.send("POST", "/v1/services/seats/holds/17", body, "Idempotency-Key", "key", gateway.HeaderCaller, "window")
 	}
 	first := hold("{}")
 	if first.status != http.StatusOK && first.status != http.StatusCreated {
@@ -291,7 +291,7 @@
 		t.Errorf("%+v", audit)
 	}
 	// The same key of another caller is another request.
-	if stranger := d.ask("POST", "/v1/services/seats/holds/17", "{}", "Idempotency-Key", "key", gateway.HeaderCaller, "other"); stranger.header.Get("Idempotent-Replayed") == "true" {
+	if stranger := d.send("POST", "/v1/services/seats/holds/17", "{}", "Idempotency-Key", "key", gateway.HeaderCaller, "other"); stranger.header.Get("Idempotent-Replayed") == "true" {
 		t.Error("another caller got the recorded response")
 	}
 }
@@ -301,7 +301,7 @@
 func TestLostResponseHasUnknownOutcome(t *testing.T) {
 	d := deploy(t, "faults: {lostAnswer: 1}")
 	for range 2 {
-		got := d.ask("POST", "/v1/services/seats/holds/17", "{}", "Idempotency-Key", "key", gateway.HeaderDeadline, "2s")
+		got := d.send("POST", "/v1/services/seats/holds/17", "{}", "Idempotency-Key", "key", gateway.HeaderDeadline, "2s")
 		if got.status != http.StatusGatewayTimeout || got.problem.Outcome != "unknown" {
 			t.Fatalf("%d %+v", got.status, got.problem)
 		}
@@ -317,9 +317,9 @@
 	whole := deploy(t, "")
 	broken := deploy(t, "faults: {brokenStream: 1}")
 	body := `{"model":"m","prompt":"hello","max_tokens":20,"stream":true}`
-	wanted := texts(t, whole.ask("POST", "/v1/completions", body).body)
+	wanted := texts(t, whole.send("POST", "/v1/completions", body).body)
 	for range 5 {
-		got := broken.ask("POST", "/v1/completions", body).body
+		got := broken.send("POST", "/v1/completions", body).body
 		if strings.Contains(got, "stream-broken") {
 			continue
 		}
@@ -358,10 +358,10 @@
 func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	d := deploy(t, "")
 	const streams = 3
-	answers := make(chan answer, streams)
+	answers := make(chan reply, streams)
 	for range streams {
 		go func() {
-			answers <- d.ask("POST", "/v1/completions", `{"model":"m","prompt":"hello","max_tokens":200,"stream":true}`)
+			answers <- d.send("POST", "/v1/completions", `{"model":"m","prompt":"hello","max_tokens":200,"stream":true}`)
 		}()
 	}
 	endpoint := d.world.Addresses().Engines["worker-001"]
@@ -376,7 +376,7 @@
 	for !d.gateway.Draining() {
 		time.Sleep(time.Millisecond)
 	}
-	if late := d.ask("POST", "/v1/completions", `{"model":"m","prompt":"x"}`); late.status != http.StatusServiceUnavailable || late.problem.Outcome != "not-run" {
+	if late := d.send("POST", "/v1/completions", `{"model":"m","prompt":"x"}`); late.status != http.StatusServiceUnavailable || late.problem.Outcome != "not-run" {
 		t.Errorf("%d %+v", late.status, late.problem)
 	}
 	for range streams {
--- a/internal/ingress/backoff_test.go
+++ b/internal/ingress/backoff_test.go
@@ -43,7 +43,7 @@
 	machine := newRawMachine(t, rejectWith("5s"))
 	d.serve(v1.RouteRepeatable, 3, time.Second, machine.address)
 	for number := range 5 {
-		got := d.ask(http.MethodGet, "/a/b", "id-"+strconv.Itoa(number), "", headerWait, "2s")
+		got := d.send(http.MethodGet, "/a/b", "id-"+strconv.Itoa(number), "", headerWait, "2s")
 		if got.status != http.StatusServiceUnavailable {
 			t.Errorf("the client gets %d", got.status)
 		}
@@ -66,7 +66,7 @@
 	})
 	d.serve(v1.RouteUnrepeatable, 2, time.Second, rejecting.address, free.address)
 	for number := range 20 {
-		if got := d.ask(http.MethodGet, "/a/b", "id-"+strconv.Itoa(number), ""); got.status != http.StatusOK {
+		if got := d.send(http.MethodGet, "/a/b", "id-"+strconv.Itoa(number), ""); got.status != http.StatusOK {
 			t.Errorf("the client gets %d", got.status)
 		}
 	}
@@ -86,26 +86,26 @@
 		return write(connection, rejection(request, "1h"))
 	})
 	d.serve(v1.RouteUnrepeatable, 1, time.Second, machine.address)
-	if got := d.ask(http.MethodGet, "/a/b", "first", ""); got.status != http.StatusOK {
+	if got := d.send(http.MethodGet, "/a/b", "first", ""); got.status != http.StatusOK {
 		t.Fatalf("the client gets %d", got.status)
 	}
 	var asked atomic.Int32
-	isWaiting, mayGoOn := make(chan struct{}), make(chan struct{})
+	waiting, resume := make(chan struct{}), make(chan struct{})
 	permit := feed.PermitFunc(func(context.Context, *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 		if asked.Add(1) == 1 {
-			close(isWaiting)
-			<-mayGoOn
+			close(waiting)
+			<-resume
 		}
 		return &wirepb.PermitReply{Granted: true}, nil
 	})
 	d.permit.Store(&permit)
 	late := make(chan reply, 1)
-	go func() { late <- d.ask(http.MethodGet, "/a/b", "late", "") }()
-	<-isWaiting
-	if got := d.ask(http.MethodGet, "/a/b", "second", ""); got.status != http.StatusServiceUnavailable {
+	go func() { late <- d.send(http.MethodGet, "/a/b", "late", "") }()
+	<-waiting
+	if got := d.send(http.MethodGet, "/a/b", "second", ""); got.status != http.StatusServiceUnavailable {
 		t.Errorf("the rejected client gets %d", got.status)
 	}
-	close(mayGoOn)
+	close(resume)
 	if got := <-late; got.status != http.StatusServiceUnavailable {
 		t.Errorf("the late client gets %d", got.status)
 	}
@@ -117,7 +117,7 @@
 // TestRejectingMachineNotPreferred checks that a machine which rejects requests is not preferred for its
 // low load.
 func TestRejectingMachineNotPreferred(t *testing.T) {
-	const asked = 100
+	const total = 100
 	d := newDeployment(t)
 	rejecting := newRawMachine(t, func(request receivedRequest, _ int, connection net.Conn) bool {
 		return write(connection, rejection(request, ""))
@@ -127,14 +127,14 @@
 	})
 	d.serve(v1.RouteUnrepeatable, 1, time.Second, rejecting.address, free.address)
 	started, rejected := time.Now(), 0
-	for number := range asked {
-		if d.ask(http.MethodGet, "/a/b", "id-"+strconv.Itoa(number), "").status != http.StatusOK {
+	for number := range total {
+		if d.send(http.MethodGet, "/a/b", "id-"+strconv.Itoa(number), "").status != http.StatusOK {
 			rejected++
 		}
 	}
 	// The pauses double from 50 ms to 1 s: five in the first 1.5 s.
 	if allowed := 6 + time.Since(started).Seconds(); float64(rejected) > allowed {
-		t.Errorf("%d of %d requests were rejected, %.1f are allowed", rejected, asked, allowed)
+		t.Errorf("%d of %d requests were rejected, %.1f are allowed", rejected, total, allowed)
 	}
 }
 
@@ -150,10 +150,10 @@
 			headerBackOff+": 1h\r\n"+headerLeaving+": 1\r\n"+headerLimit+": 0\r\nContent-Length: 0\r\n\r\n")
 	})
 	d.serve(v1.RouteUnrepeatable, 1, time.Second, machine.address)
-	if got := d.ask(http.MethodGet, "/a/b", "first", ""); got.status != http.StatusServiceUnavailable {
+	if got := d.send(http.MethodGet, "/a/b", "first", ""); got.status != http.StatusServiceUnavailable {
 		t.Errorf("the misdirected client gets %d", got.status)
 	}
-	if got := d.ask(http.MethodGet, "/a/b", "second", "", headerWait, "300ms"); got.status != http.StatusOK {
+	if got := d.send(http.MethodGet, "/a/b", "second", "", headerWait, "300ms"); got.status != http.StatusOK {
 		t.Errorf("the second client gets %d", got.status)
 	}
 }
--- a/internal/ingress/crash_test.go
+++ b/internal/ingress/crash_test.go
@@ -89,14 +89,14 @@
 			fleet := newCrashFleet(t, 4, 12, kind, 1)
 			for try := range 12 {
 				router := fleet.routers[try%len(fleet.routers)]
-				router.ask("POST", "/a/x", fmt.Sprintf("culprit-%d", try), crashBody)
+				router.send("POST", "/a/x", fmt.Sprintf("culprit-%d", try), crashBody)
 				fleet.settle()
 			}
 			if ended := fleet.crashed.Load(); ended > maxCrashes {
 				t.Errorf("one request crashed %d machines, more than %d", ended, maxCrashes)
 			}
 			for position, router := range fleet.routers {
-				if got := router.ask("POST", "/a/x", "innocent-"+strconv.Itoa(position), "innocent"); got.status != 200 || got.body != "whole" {
+				if got := router.send("POST", "/a/x", "innocent-"+strconv.Itoa(position), "innocent"); got.status != 200 || got.body != "whole" {
 					t.Errorf("router %d answers another request with %d %q (%v)", position, got.status, got.body, got.err)
 				}
 			}
@@ -116,7 +116,7 @@
 }
 
 func (f *crashFleet) sendCrashing(position int, id string) reply {
-	got := f.routers[position%len(f.routers)].ask("POST", "/a/x", id, crashBody)
+	got := f.routers[position%len(f.routers)].send("POST", "/a/x", id, crashBody)
 	f.settle()
 	return got
 }
@@ -181,7 +181,7 @@
 		return false
 	})
 	router.apply(router.machine("m0", machine.address))
-	router.ask("POST", "/a/x", "f", "any")
+	router.send("POST", "/a/x", "f", "any")
 	fleet.settle()
 	if specs := fleet.suspects(); len(specs) != 0 {
 		t.Errorf("recorded as %+v", specs)
@@ -227,8 +227,8 @@
 	fleet.log.mutex.Lock()
 	fleet.log.failNext = 4
 	fleet.log.mutex.Unlock()
-	fleet.routers[0].ask("POST", "/a/x", "i", crashBody)
-	fleet.routers[0].ask("POST", "/a/x", "j", crashBody)
+	fleet.routers[0].send("POST", "/a/x", "i", crashBody)
+	fleet.routers[0].send("POST", "/a/x", "j", crashBody)
 	fleet.settle()
 	specs := fleet.suspects()
 	if len(specs) != 1 || len(specs[0].Machines) != int(fleet.crashed.Load()) || !specs[0].Quarantined {
@@ -242,7 +242,7 @@
 	fleet.sendCrashing(0, "k")
 	fleet.sendCrashing(0, "l")
 	fleet.complete.Store(true)
-	if got := fleet.routers[0].ask("POST", "/a/other", "m", crashBody); got.status != 200 {
+	if got := fleet.routers[0].send("POST", "/a/other", "m", crashBody); got.status != 200 {
 		t.Errorf("the same body on another path is answered with %d %q", got.status, got.body)
 	}
 	if got := fleet.sendCrashing(0, "n"); got.status != 503 {
@@ -258,8 +258,8 @@
 	fleet.log.routers = append(fleet.log.routers, waiting)
 	waiting.serve(v1.RouteStream, 1, 10*time.Second)
 	answered := make(chan reply, 1)
-	go func() { answered <- waiting.ask("POST", "/a/x", "waits", crashBody) }()
-	<-waiting.waits
+	go func() { answered <- waiting.send("POST", "/a/x", "waits", crashBody) }()
+	<-waiting.queued
 	fleet.sendCrashing(0, "o")
 	fleet.sendCrashing(0, "p")
 	machine := fleet.newMachine(t)
--- a/internal/ingress/drain_test.go
+++ b/internal/ingress/drain_test.go
@@ -31,13 +31,13 @@
 		d.machineIn("a", "m0", left.address), d.machineIn("b", "m1", right.address), d.drain("a", true))...)
 	d.view.Confirm(d.revision)
 	for range 20 {
-		if got := d.ask(http.MethodPost, "/a/x", "id", "x"); got.status != 200 || got.body != "right" {
+		if got := d.send(http.MethodPost, "/a/x", "id", "x"); got.status != 200 || got.body != "right" {
 			t.Fatalf("with one zone drained: %d %q", got.status, got.body)
 		}
 	}
 	d.apply(d.drain("b", true))
 	for range 20 {
-		got := d.ask(http.MethodPost, "/a/x", "id", "x")
+		got := d.send(http.MethodPost, "/a/x", "id", "x")
 		if got.status != 503 || !strings.Contains(got.body, "zone drained") || got.header.Get("Retry-After") == "" {
 			t.Fatalf("with all zones drained: %d %q", got.status, got.body)
 		}
@@ -56,7 +56,7 @@
 func (d *deployment) eventuallyAnswers(body string) {
 	d.t.Helper()
 	for range 500 {
-		if got := d.ask(http.MethodPost, "/a/x", "id", "x"); got.status == 200 && got.body == body {
+		if got := d.send(http.MethodPost, "/a/x", "id", "x"); got.status == 200 && got.body == body {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -69,8 +69,8 @@
 	d := newDeployment(t)
 	d.serve(v1.RouteUnrepeatable, 1, time.Minute)
 	answered := make(chan reply, 1)
-	go func() { answered <- d.ask(http.MethodPost, "/a/x", "waits", "x") }()
-	<-d.waits
+	go func() { answered <- d.send(http.MethodPost, "/a/x", "waits", "x") }()
+	<-d.queued
 	machine := newAnsweringMachine(t, "drained")
 	d.apply(d.drain("a", true))
 	d.apply(d.machineIn("a", "m0", machine.address))
@@ -91,7 +91,7 @@
 	d.view.Confirm(d.revision)
 	drainNow := func() { d.apply(d.drain("a", true), d.machineIn("b", "m1", other.address)) }
 	d.beforeSend.Store(&drainNow)
-	if got := d.ask(http.MethodPost, "/a/x", "id", "x"); got.status != 200 || got.body != "other" {
+	if got := d.send(http.MethodPost, "/a/x", "id", "x"); got.status != 200 || got.body != "other" {
 		t.Errorf("got %d %q", got.status, got.body)
 	}
 	if seen := drained.requests(); len(seen) != 0 {
--- a/internal/ingress/errors_test.go
+++ b/internal/ingress/errors_test.go
@@ -19,7 +19,7 @@
 	}, nil), addresses...)
 }
 
-func answerWith(status string, body string) responseScript {
+func respondWith(status string, body string) responseScript {
 	return func(_ receivedRequest, _ int, connection net.Conn) bool {
 		head := "HTTP/1.1 " + status + "\r\n" + headerSeal + ": first\r\nContent-Length: "
 		return write(connection, head+strconv.Itoa(len(body))+"\r\n\r\n"+body)
@@ -29,7 +29,7 @@
 // TestStreamErrorRetry checks that a server error on a resumable stream is retried if there is
 // another machine, and that the client gets the first error response if the retry fails.
 func TestStreamErrorRetry(t *testing.T) {
-	fails := answerWith("500 Oops", "broken model")
+	fails := respondWith("500 Oops", "broken model")
 	succeeds := func(request receivedRequest, _ int, connection net.Conn) bool {
 		return write(connection, ok(request, "second"))
 	}
@@ -65,7 +65,7 @@
 			d := newDeployment(t)
 			d.serveStream(test.resumable, test.attempts, addresses...)
 			started := time.Now()
-			got := d.ask(http.MethodPost, "/a/b", "id-1", "body")
+			got := d.send(http.MethodPost, "/a/b", "id-1", "body")
 			if got.status != test.status || got.body != test.body || sends.Load() != test.sends {
 				t.Errorf("got %d %q after %d sends, wanted %d %q after %d", got.status, got.body, sends.Load(), test.status, test.body, test.sends)
 			}
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -70,27 +70,27 @@
 	header.Set(headerWait, attempt.Remains.String())
 }
 
-func (translator) Judge(status int, answer http.Header, id string) ingress.Verdict {
+func (translator) Judge(status int, response http.Header, id string) ingress.Verdict {
 	succeeded := status >= 200 && status < 300
 	return ingress.Verdict{
-		Own:       answer.Get(headerID) == "" || answer.Get(headerID) == id,
-		Genuine:   !succeeded || answer.Get(headerSeal) != "",
-		NotRun:    answer.Get(headerNotRun) != "",
+		Own:       response.Get(headerID) == "" || response.Get(headerID) == id,
+		Genuine:   !succeeded || response.Get(headerSeal) != "",
+		NotRun:    response.Get(headerNotRun) != "",
 		Elsewhere: status == http.StatusMisdirectedRequest,
-		Stated:    ingress.Statement{Limit: limitOf(answer), Rest: backOffOf(answer), Leaving: answer.Get(headerLeaving) != ""},
+		Stated:    ingress.Statement{Limit: limitOf(response), Rest: backOffOf(response), Leaving: response.Get(headerLeaving) != ""},
 	}
 }
 
-func limitOf(answer http.Header) ratelimit.Limit {
-	perSecond, err := strconv.ParseFloat(answer.Get(headerLimit), 64)
+func limitOf(response http.Header) ratelimit.Limit {
+	perSecond, err := strconv.ParseFloat(response.Get(headerLimit), 64)
 	if err != nil {
 		return ratelimit.None
 	}
 	return ratelimit.Of(perSecond)
 }
 
-func backOffOf(answer http.Header) time.Duration {
-	backOff, _ := time.ParseDuration(answer.Get(headerBackOff))
+func backOffOf(response http.Header) time.Duration {
+	backOff, _ := time.ParseDuration(response.Get(headerBackOff))
 	return backOff
 }
 
@@ -101,8 +101,8 @@
 	server   *httptest.Server
 	handler  *ingress.Ingress
 	revision uint64
-	// waits receives a value when a request is queued.
-	waits chan struct{}
+	// queued receives a value when a request is queued.
+	queued chan struct{}
 	// suspended is the suspended time of the router's host, in nanoseconds.
 	suspended atomic.Int64
 	// beforeSend is passed to the translator.
@@ -165,12 +165,12 @@
 // its options.
 func newDeploymentAt(t *testing.T, position places.Position, change func(options *ingress.Options)) *deployment {
 	t.Helper()
-	created := &deployment{t: t, view: nodeview.NewAt(position), waits: make(chan struct{}, 100)}
+	created := &deployment{t: t, view: nodeview.NewAt(position), queued: make(chan struct{}, 100)}
 	options := ingress.Options{
 		View: created.view, Logger: slog.New(slog.DiscardHandler), Metrics: ingress.NewMetrics(prometheus.NewRegistry()),
 		Translator: translator{beforeSend: &created.beforeSend}, MaxWaiting: 100,
 		// With so short a window the whole slack is available at once.
-		Budget: retrybudget.Config{Ratio: 1, Slack: 1000, Window: time.Nanosecond}, Nudge: func() { created.waits <- struct{}{} },
+		Budget: retrybudget.Config{Ratio: 1, Slack: 1000, Window: time.Nanosecond}, Nudge: func() { created.queued <- struct{}{} },
 		Quota: quota.Bound{Window: 8 * time.Second}, Sharing: quota.SharingEqual,
 		Slept: func() time.Duration { return time.Duration(created.suspended.Load()) },
 		Now:   func() time.Duration { return clock.Now() + time.Duration(created.suspended.Load()) },
@@ -274,7 +274,7 @@
 	err error
 }
 
-func (d *deployment) ask(method, path, id, body string, headers ...string) reply {
+func (d *deployment) send(method, path, id, body string, headers ...string) reply {
 	d.t.Helper()
 	request, err := http.NewRequest(method, d.server.URL+path, stringReader(body))
 	if err != nil {
@@ -296,7 +296,7 @@
 }
 
 // sendAndDisconnect sends a request and returns a function that closes its connection.
-func (d *deployment) sendAndDisconnect(path, id string) (leave func()) {
+func (d *deployment) sendAndDisconnect(path, id string) (disconnect func()) {
 	d.t.Helper()
 	connection, err := net.Dial("tcp", d.server.Listener.Addr().String())
 	if err != nil {
@@ -319,11 +319,11 @@
 	header                     http.Header
 }
 
-// responseScript writes the response to the machine's request of that number. It returns false to close
+// responseScript writes the response to the n-th request of the machine. It returns false to close
 // the connection.
 type responseScript func(request receivedRequest, number int, connection net.Conn) bool
 
-func newRawMachine(t *testing.T, answer responseScript) *rawMachine {
+func newRawMachine(t *testing.T, respond responseScript) *rawMachine {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -337,7 +337,7 @@
 			if err != nil {
 				return
 			}
-			connections.Go(func() { created.serve(connection, answer) })
+			connections.Go(func() { created.serve(connection, respond) })
 			t.Cleanup(func() { _ = connection.Close() })
 		}
 	})
@@ -345,7 +345,7 @@
 	return created
 }
 
-func (m *rawMachine) serve(connection net.Conn, answer responseScript) {
+func (m *rawMachine) serve(connection net.Conn, respond responseScript) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for {
@@ -364,7 +364,7 @@
 		m.received = append(m.received, seen)
 		number := len(m.received)
 		m.mutex.Unlock()
-		if !answer(seen, number, connection) {
+		if !respond(seen, number, connection) {
 			return
 		}
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -133,7 +133,7 @@
 			machine := newRawMachine(t, test.answer)
 			d := newDeployment(t)
 			d.serve(test.kind, 1, long, machine.address)
-			got := d.ask(http.MethodPost, "/a/b", "id-1", "body")
+			got := d.send(http.MethodPost, "/a/b", "id-1", "body")
 			if test.broken {
 				if got.err == nil {
 					t.Errorf("a truncated response looks complete: %d %q", got.status, got.body)
@@ -192,7 +192,7 @@
 			machines := []*rawMachine{newRawMachine(t, answer), newRawMachine(t, answer)}
 			d := newDeployment(t)
 			d.serve(test.kind, test.attempts, long, machines[0].address, machines[1].address)
-			got := d.ask(http.MethodPost, "/a/b", "id-1", "body")
+			got := d.send(http.MethodPost, "/a/b", "id-1", "body")
 			if got.status != test.status || requests.Load() != int64(1+test.second) {
 				t.Errorf("got %d after %d sends, wanted %d after %d", got.status, requests.Load(), test.status, 1+test.second)
 			}
@@ -217,7 +217,7 @@
 	})
 	d := newDeployment(t)
 	d.serve(v1.RouteUnrepeatable, 1, long, dead, alive.address)
-	if got := d.ask(http.MethodPost, "/a/b", "id-1", "x"); got.status != 200 || got.body != "alive" {
+	if got := d.send(http.MethodPost, "/a/b", "id-1", "x"); got.status != 200 || got.body != "alive" {
 		t.Errorf("got %d %q", got.status, got.body)
 	}
 }
@@ -231,7 +231,7 @@
 	d := newDeployment(t)
 	d.serve(v1.RouteUnrepeatable, 1, long, machine.address)
 	path := "/a/b%2Fc//../d;e?x=%41&y=a+b&&z"
-	if got := d.ask("PATCH", path, "id-1", "body\x00bytes", "Custom", "one", headerWait, "20s"); got.status != 200 {
+	if got := d.send("PATCH", path, "id-1", "body\x00bytes", "Custom", "one", headerWait, "20s"); got.status != 200 {
 		t.Fatalf("got %d %q", got.status, got.body)
 	}
 	seen := machine.requests()[0]
@@ -254,12 +254,12 @@
 		return write(connection, ok(request, "fine"))
 	})
 	d := newDeployment(t)
-	if got := d.ask(http.MethodGet, "/a/b", "id-1", "", headerWait, "1ms"); got.status != 503 || got.header.Get("Retry-After") == "" {
+	if got := d.send(http.MethodGet, "/a/b", "id-1", "", headerWait, "1ms"); got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("without a configuration: %d %v", got.status, got.header)
 	}
 	answers := make(chan reply)
 	for range 8 {
-		go func() { answers <- d.ask(http.MethodGet, "/a/b", "id-2", "", headerWait, "20s") }()
+		go func() { answers <- d.send(http.MethodGet, "/a/b", "id-2", "", headerWait, "20s") }()
 	}
 	d.serve(v1.RouteRepeatable, 1, long, machine.address)
 	for range 8 {
@@ -286,7 +286,7 @@
 		{"body at the limit", "/a/b", strings.Repeat("x", 1000), 200},
 	}
 	for _, test := range tests {
-		if got := d.ask(http.MethodPost, test.path, "id-1", test.body); got.status != test.status {
+		if got := d.send(http.MethodPost, test.path, "id-1", test.body); got.status != test.status {
 			t.Errorf("%s: got %d %q, wanted %d", test.name, got.status, got.body, test.status)
 		}
 	}
@@ -303,7 +303,7 @@
 	})
 	d := newDeployment(t)
 	d.serve(v1.RouteUnrepeatable, 1, 50*time.Millisecond, machine.address)
-	if got := d.ask(http.MethodPost, "/a/b", "id-1", "x"); got.status != 504 || !strings.Contains(got.body, "unknown") {
+	if got := d.send(http.MethodPost, "/a/b", "id-1", "x"); got.status != 504 || !strings.Contains(got.body, "unknown") {
 		t.Errorf("got %d %q", got.status, got.body)
 	}
 	<-closed
@@ -321,7 +321,7 @@
 	d := newDeployment(t)
 	d.serve(v1.RouteUnrepeatable, 1, long, silent.address)
 	answers := make(chan reply, 2)
-	go func() { answers <- d.ask(http.MethodPost, "/a/b", "running", "x") }()
+	go func() { answers <- d.send(http.MethodPost, "/a/b", "running", "x") }()
 	<-reached
 	d.handler.End()
 	if got := <-answers; got.status != 504 || !strings.Contains(got.body, "unknown") {
@@ -330,8 +330,8 @@
 
 	empty := newDeployment(t)
 	empty.serve(v1.RouteUnrepeatable, 1, long)
-	go func() { answers <- empty.ask(http.MethodPost, "/a/b", "waiting", "x") }()
-	<-empty.waits
+	go func() { answers <- empty.send(http.MethodPost, "/a/b", "waiting", "x") }()
+	<-empty.queued
 	empty.handler.End()
 	if got := <-answers; got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("the queued request got %d %q", got.status, got.body)
@@ -350,9 +350,9 @@
 	})
 	d := newDeployment(t)
 	d.serve(v1.RouteStream, 2, long, machine.address)
-	leave := d.sendAndDisconnect("/a/b", "running")
+	disconnect := d.sendAndDisconnect("/a/b", "running")
 	<-reached
-	leave()
+	disconnect()
 	<-ended
 	if sends := len(machine.requests()); sends != 1 {
 		t.Errorf("the request was sent %d times", sends)
@@ -363,14 +363,14 @@
 	})
 	empty := newDeployment(t)
 	empty.serve(v1.RouteStream, 2, long)
-	leave = empty.sendAndDisconnect("/a/b", "waiting")
-	<-empty.waits
-	leave()
+	disconnect = empty.sendAndDisconnect("/a/b", "waiting")
+	<-empty.queued
+	disconnect()
 	for empty.handler.InFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	empty.apply(empty.machine("m0", late.address))
-	if got := empty.ask(http.MethodPost, "/a/b", "next", "x"); got.status != 200 {
+	if got := empty.send(http.MethodPost, "/a/b", "next", "x"); got.status != 200 {
 		t.Errorf("the next request got %d", got.status)
 	}
 	if sent := late.requests(); len(sent) != 1 || sent[0].header.Get(headerID) != "next" {
--- a/internal/ingress/limits_test.go
+++ b/internal/ingress/limits_test.go
@@ -50,10 +50,10 @@
 	return &wirepb.PermitReply{RetryAfterMs: 1000}
 }
 
-// askBriefly sends a request with a short timeout.
-func (d *deployment) askBriefly(id string) reply {
+// sendWithShortTimeout sends a request with a short timeout.
+func (d *deployment) sendWithShortTimeout(id string) reply {
 	d.t.Helper()
-	return d.ask(http.MethodGet, "/a/b", id, "", headerWait, "100ms")
+	return d.send(http.MethodGet, "/a/b", id, "", headerWait, "100ms")
 }
 
 // TestLimitedMachineRequiresPermit checks this for limits learned from a response and from a
@@ -66,7 +66,7 @@
 	}{
 		{"by an answer", func(d *deployment, machine *limitingMachine) {
 			machine.setLimit("0.5")
-			d.askBriefly("first")
+			d.sendWithShortTimeout("first")
 		}, 1},
 		{"by a digest", func(d *deployment, _ *limitingMachine) {
 			d.view.TakeDigest(&wirepb.ClusterDigest{Term: 1, Sequence: 1, Roster: &wirepb.Roster{}, Limits: []*wirepb.MachineLimit{
@@ -90,7 +90,7 @@
 				request = asked
 				return refused(0, "")
 			})
-			answer := deployment.askBriefly("second")
+			answer := deployment.sendWithShortTimeout("second")
 			if answer.status != http.StatusServiceUnavailable || !strings.Contains(answer.body, "limited") || !strings.Contains(answer.body, "not-run") {
 				t.Errorf("the client got %d %s", answer.status, answer.body)
 			}
@@ -128,22 +128,22 @@
 	})
 	deployment.serve(v1.RouteRepeatable, 1, long, machine.address)
 	slow := make(chan reply)
-	go func() { slow <- deployment.ask(http.MethodGet, "/a/b", "slow", "") }()
+	go func() { slow <- deployment.send(http.MethodGet, "/a/b", "slow", "") }()
 	for len(machine.requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	deployment.ask(http.MethodGet, "/a/b", "names one", "")
+	deployment.send(http.MethodGet, "/a/b", "names one", "")
 	close(release)
 	if answer := <-slow; answer.status != http.StatusOK {
 		t.Fatalf("the client got %d %s", answer.status, answer.body)
 	}
 	leader := deployment.answerPermits(granted)
 	machine.setLimit("")
-	deployment.ask(http.MethodGet, "/a/b", "asks once more", "")
+	deployment.send(http.MethodGet, "/a/b", "asks once more", "")
 	if asked := leader.machines(); len(asked) != 1 {
 		t.Errorf("permits were requested for %v", asked)
 	}
-	deployment.ask(http.MethodGet, "/a/b", "needs none", "")
+	deployment.send(http.MethodGet, "/a/b", "needs none", "")
 	if asked := leader.machines(); len(asked) != 1 {
 		t.Errorf("after the end of the limit permits were requested for %v", asked)
 	}
@@ -157,12 +157,12 @@
 	limited.setLimit("0")
 	deployment.serve(v1.RouteRepeatable, 1, long, limited.address, other.address)
 	for len(deployment.handler.MachineLimits()) == 0 {
-		deployment.ask(http.MethodGet, "/a/b", "tells", "")
+		deployment.send(http.MethodGet, "/a/b", "tells", "")
 	}
 	deployment.answerPermits(refused)
 	before := len(limited.requests())
 	for range 20 {
-		if answer := deployment.askBriefly("id"); answer.status != http.StatusOK {
+		if answer := deployment.sendWithShortTimeout("id"); answer.status != http.StatusOK {
 			t.Fatalf("the client got %d %s", answer.status, answer.body)
 		}
 	}
@@ -174,7 +174,7 @@
 		return &wirepb.PermitReply{Granted: true}
 	})
 	for range 20 {
-		deployment.askBriefly("id")
+		deployment.sendWithShortTimeout("id")
 	}
 	if seen := len(limited.requests()); seen != before {
 		t.Errorf("with expired permits the limited machine got %d requests", seen-before)
@@ -189,7 +189,7 @@
 		return write(connection, withHeader(answer, headerLimit, "1"))
 	})
 	deployment.serve(v1.RouteRepeatable, 1, long, machine.address)
-	deployment.ask(http.MethodGet, "/a/b", "1", "")
+	deployment.send(http.MethodGet, "/a/b", "1", "")
 	if limits := deployment.handler.MachineLimits(); len(limits) > 0 {
 		t.Errorf("recorded limits: %v", limits)
 	}
--- a/internal/ingress/nearest_test.go
+++ b/internal/ingress/nearest_test.go
@@ -21,7 +21,7 @@
 	created.apply(append(events, created.machineIn("far", "a", far.address), created.machineIn("z", "b", near.address))...)
 	created.view.Confirm(created.revision)
 	for call := range calls {
-		if answered := created.ask("POST", "/a/b", "id-"+strconv.Itoa(call), "x"); answered.status != 200 {
+		if answered := created.send("POST", "/a/b", "id-"+strconv.Itoa(call), "x"); answered.status != 200 {
 			t.Fatalf("%+v", answered)
 		}
 	}
--- a/internal/ingress/permits.go
+++ b/internal/ingress/permits.go
@@ -40,7 +40,7 @@
 	observed  ratelimit.Observation
 }
 
-func (r permitRequirement) isRequired() bool {
+func (r permitRequirement) exists() bool {
 	return r.isWarming || r.isLimited
 }
 
@@ -69,32 +69,32 @@
 }
 
 // requirement returns why a send to a machine of a pool needs a permit.
-func (g *permitClient) requirement(pool, machine string) permitRequirement {
-	required := permitRequirement{machine: machine, isWarming: g.warming.isWarming(pool, machine)}
-	required.observed, required.isLimited = g.limits.lookup(machine)
-	return required
+func (c *permitClient) requirement(pool, machine string) permitRequirement {
+	requirement := permitRequirement{machine: machine, isWarming: c.warming.isWarming(pool, machine)}
+	requirement.observed, requirement.isLimited = c.limits.lookup(machine)
+	return requirement
 }
 
 // allows reports whether a request may be written to a machine now.
-func (g *permitClient) allows(pool, machine string, held permit) bool {
-	if held.machine == machine && g.options.Now() < held.expires {
+func (c *permitClient) allows(pool, machine string, held permit) bool {
+	if held.machine == machine && c.options.Now() < held.expires {
 		return true
 	}
-	return !g.requirement(pool, machine).isRequired()
+	return !c.requirement(pool, machine).exists()
 }
 
 // leaderRetryDelay returns how long the leader is not to be asked. Without this delay a request would wait
 // for an unreachable leader once for each machine.
-func (g *permitClient) leaderRetryDelay() time.Duration {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.leaderRetryAt - g.options.Now()
+func (c *permitClient) leaderRetryDelay() time.Duration {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.leaderRetryAt - c.options.Now()
 }
 
-func (g *permitClient) recordNoReply() {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.leaderRetryAt = g.options.Now() + holdAfterNoReply
+func (c *permitClient) recordNoReply() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.leaderRetryAt = c.options.Now() + holdAfterNoReply
 }
 
 // permitResult is the result of a permit request.
@@ -109,24 +109,24 @@
 }
 
 // request requests a permit from the leader.
-func (g *permitClient) request(ctx context.Context, required permitRequirement) permitResult {
-	if delay := g.leaderRetryDelay(); delay > 0 {
+func (c *permitClient) request(ctx context.Context, requirement permitRequirement) permitResult {
+	if delay := c.leaderRetryDelay(); delay > 0 {
 		return permitResult{outcome: permitUnanswered, retryDelay: max(minHold, delay), reason: "the leader was unreachable moments ago"}
 	}
-	until := g.options.Now() + permits.Lifetime
-	reply, err := g.options.Permit(ctx, required.message())
-	result := permitResult{outcome: permitGranted, permit: permit{machine: required.machine, expires: until}}
+	expires := c.options.Now() + permits.Lifetime
+	reply, err := c.options.Permit(ctx, requirement.message())
+	result := permitResult{outcome: permitGranted, permit: permit{machine: requirement.machine, expires: expires}}
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return permitResult{outcome: permitUnanswered}
 	case err != nil:
-		g.recordNoReply()
+		c.recordNoReply()
 		result = permitResult{outcome: permitUnanswered, retryDelay: holdAfterNoReply, reason: fault.Message(err)}
 	case !reply.GetGranted():
 		retryAfter := time.Duration(reply.GetRetryAfterMs()) * time.Millisecond
 		result = permitResult{outcome: permitRefused, retryDelay: max(minHold, retryAfter)}
 	}
-	g.options.Metrics.observePermit(result.outcome)
+	c.options.Metrics.observePermit(result.outcome)
 	return result
 }
 
@@ -135,20 +135,20 @@
 // machines that require permits if the leader did not answer.
 func (j *job) obtainPermit(ctx context.Context, grant *dispatch.Grant) bool {
 	machine := grant.Target.Machine
-	guard, dispatcher := j.ingress.permits, j.ingress.dispatcher
-	required := guard.requirement(j.pool, machine)
-	if !required.isRequired() {
+	permits, dispatcher := j.ingress.permits, j.ingress.dispatcher
+	requirement := permits.requirement(j.pool, machine)
+	if !requirement.exists() {
 		return true
 	}
-	result := guard.request(ctx, required)
+	result := permits.request(ctx, requirement)
 	if result.outcome == permitGranted {
 		j.permit = result.permit
 		return true
 	}
 	if result.retryDelay > 0 {
 		j.ingress.options.Logger.Info("permit_refused", "id", j.attributes.ID, "pool", j.pool, "machine", machine,
-			"age_ms", time.Since(j.arrived).Milliseconds(), "hold_ms", result.retryDelay.Milliseconds(), "warms", required.isWarming,
-			"limited", required.isLimited, "per_second", required.observed.Limit.PerSecond, "outcome", string(result.outcome), "error", result.reason)
+			"age_ms", time.Since(j.arrived).Milliseconds(), "hold_ms", result.retryDelay.Milliseconds(), "warms", requirement.isWarming,
+			"limited", requirement.isLimited, "per_second", requirement.observed.Limit.PerSecond, "outcome", string(result.outcome), "error", result.reason)
 		dispatcher.Hold(machine, result.retryDelay)
 	}
 	if result.retryDelay > 0 && result.outcome == permitUnanswered {
--- a/internal/ingress/regions_test.go
+++ b/internal/ingress/regions_test.go
@@ -22,10 +22,10 @@
 	machines map[string]*rawMachine
 }
 
-func newRegional(t *testing.T, answer responseScript, change func(options *ingress.Options), zones ...string) *regional {
+func newRegional(t *testing.T, respond responseScript, change func(options *ingress.Options), zones ...string) *regional {
 	created := &regional{deployment: newDeploymentAt(t, threeRegions, change), machines: map[string]*rawMachine{}}
 	for _, zone := range zones {
-		created.machines[zone] = newRawMachine(t, answer)
+		created.machines[zone] = newRawMachine(t, respond)
 	}
 	return created
 }
@@ -114,7 +114,7 @@
 			r.declareTenants(tenant)
 			r.declare(r.routeIn(v1.RouteUnrepeatable, 1, test.route...), 4)
 			for range 12 {
-				got := r.ask(http.MethodPost, "/a/x", "id", "body", headerKey, "key")
+				got := r.send(http.MethodPost, "/a/x", "id", "body", headerKey, "key")
 				if test.served == "" {
 					r.expectNoRegion(got, test.hasRetryAfter)
 				} else if got.status != http.StatusOK {
@@ -131,8 +131,8 @@
 // TestRetriesStayInAllowedRegions checks that retries stay in the allowed regions.
 func TestRetriesStayInAllowedRegions(t *testing.T) {
 	for _, failure := range []struct {
-		name   string
-		answer responseScript
+		name    string
+		respond responseScript
 	}{
 		{"reset", func(_ receivedRequest, _ int, connection net.Conn) bool { return reset(connection) }},
 		{"own failure", func(request receivedRequest, _ int, connection net.Conn) bool {
@@ -143,9 +143,9 @@
 		}},
 	} {
 		t.Run(failure.name, func(t *testing.T) {
-			r := newRegional(t, failure.answer, defaultOptions, "za", "zb", "nowhere")
+			r := newRegional(t, failure.respond, defaultOptions, "za", "zb", "nowhere")
 			r.declare(r.routeIn(v1.RouteRepeatable, 3, "a"), 4)
-			if got := r.ask(http.MethodPost, "/a/x", "id", "body", headerWait, "2s"); got.status < 500 {
+			if got := r.send(http.MethodPost, "/a/x", "id", "body", headerWait, "2s"); got.status < 500 {
 				t.Errorf("%d %s", got.status, got.body)
 			}
 			if served := r.served(); served != "za" {
@@ -157,7 +157,7 @@
 		r := newRegional(t, respondOK, defaultOptions, "za", "zb")
 		r.machines["za"].refuseConnections()
 		r.declare(r.routeIn(v1.RouteRepeatable, 3, "a"), 4)
-		if got := r.ask(http.MethodPost, "/a/x", "id", "body", headerWait, "2s"); got.status != http.StatusServiceUnavailable {
+		if got := r.send(http.MethodPost, "/a/x", "id", "body", headerWait, "2s"); got.status != http.StatusServiceUnavailable {
 			t.Errorf("%d %s", got.status, got.body)
 		}
 		if served := r.served(); served != "" {
@@ -168,7 +168,7 @@
 
 // blockingScript returns a script that responds after release is closed, and sends to begun for each
 // request.
-func blockingScript() (answer responseScript, begun chan struct{}, release chan struct{}) {
+func blockingScript() (respond responseScript, begun chan struct{}, release chan struct{}) {
 	begun, release = make(chan struct{}, 10), make(chan struct{})
 	return func(request receivedRequest, _ int, connection net.Conn) bool {
 		begun <- struct{}{}
@@ -202,11 +202,11 @@
 			declare(nil)
 			r.declare(r.routeIn(v1.RouteUnrepeatable, 1, "a"), 1)
 			answers := make(chan reply, 2)
-			ask := func(id string) { answers <- r.ask(http.MethodPost, "/a/x", id, "body", headerKey, "key") }
+			ask := func(id string) { answers <- r.send(http.MethodPost, "/a/x", id, "body", headerKey, "key") }
 			go ask("first")
 			<-begun
 			go ask("second")
-			<-r.waits
+			<-r.queued
 			r.apply(r.routeIn(v1.RouteUnrepeatable, 1, test.route...))
 			declare(test.tenant)
 			close(release)
@@ -260,11 +260,11 @@
 			r := newRegional(t, answer, defaultOptions, "za", "zb")
 			r.declare(r.routeIn(v1.RouteUnrepeatable, 1, "a"), 1)
 			answers := make(chan reply, 2)
-			ask := func(id string) { answers <- r.ask(http.MethodPost, "/a/x", id, "body") }
+			ask := func(id string) { answers <- r.send(http.MethodPost, "/a/x", id, "body") }
 			go ask("first")
 			<-begun
 			go ask("second")
-			<-r.waits
+			<-r.queued
 			r.apply(test.change(r))
 			if test.served == "za" {
 				r.expectNoRegion(<-answers, true)
@@ -312,7 +312,7 @@
 			r.declare(r.routeIn(v1.RouteUnrepeatable, 1, "a", "b"), 4)
 			change := func() { r.apply(test.change(r)) }
 			r.beforeSend.Store(&change)
-			got := r.ask(http.MethodPost, "/a/x", "id", "body", headerWait, "300ms")
+			got := r.send(http.MethodPost, "/a/x", "id", "body", headerWait, "300ms")
 			if _, outcome := kindOf(t, got); got.status != http.StatusServiceUnavailable || outcome != "not-run" {
 				t.Errorf("%d %s", got.status, outcome)
 			}
@@ -335,11 +335,11 @@
 	r.apply(free)
 	r.declare(r.routeIn(v1.RouteUnrepeatable, 1, "a"), 1)
 	answers := make(chan reply, 3)
-	ask := func(path, id string) { answers <- r.ask(http.MethodPost, path, id, "body") }
+	ask := func(path, id string) { answers <- r.send(http.MethodPost, path, id, "body") }
 	go ask("/a/x", "first")
 	<-begun
 	go ask("/a/x", "second")
-	<-r.waits
+	<-r.queued
 	go ask("/free/x", "third")
 	<-begun
 	if served := r.served(); served != "za zb" {
--- a/internal/ingress/tenant_test.go
+++ b/internal/ingress/tenant_test.go
@@ -71,7 +71,7 @@
 			headers = append(headers, headerKey, test.key)
 		}
 		before := len(machine.requests())
-		got := d.ask(http.MethodPost, "/a/b", "id-"+test.key, "body", headers...)
+		got := d.send(http.MethodPost, "/a/b", "id-"+test.key, "body", headers...)
 		if got.status != test.status {
 			t.Errorf("key %q: %d, wanted %d", test.key, got.status, test.status)
 		}
@@ -99,7 +99,7 @@
 	d.serve(v1.RouteUnrepeatable, 1, long, machine.address)
 	d.declareTenants(d.tenant("blue", nil, "b1"))
 	for _, test := range []struct{ key, tenant string }{{"", ""}, {"unknown", ""}, {"b1", "blue"}} {
-		got := d.ask(http.MethodPost, "/open/x", "id", "body", headerKey, test.key, headerTenant, "forged")
+		got := d.send(http.MethodPost, "/open/x", "id", "body", headerKey, test.key, headerTenant, "forged")
 		seen := machine.requests()
 		if got.status != 200 || seen[len(seen)-1].header.Get(headerTenant) != test.tenant {
 			t.Errorf("key %q: %d as tenant %q", test.key, got.status, seen[len(seen)-1].header.Get(headerTenant))
@@ -127,7 +127,7 @@
 		// The order of the events alternates.
 		changes := []*tenantEvent{d.tenant("blue", nil, test.blue...), d.tenant("red", nil, test.red...)}
 		d.declareTenants(changes[step%2], changes[1-step%2])
-		got := d.ask(http.MethodPost, "/a/b", "id", "body", headerKey, "k")
+		got := d.send(http.MethodPost, "/a/b", "id", "body", headerKey, "k")
 		if got.status != test.status {
 			t.Errorf("step %d: %d, wanted %d", step, got.status, test.status)
 		}
@@ -161,7 +161,7 @@
 	d.serve(v1.RouteUnrepeatable, 1, long, newRawMachine(t, respondOK).address)
 	d.declareTenants(d.tenant("blue", nil, "known-secret"))
 	for _, key := range []string{"known-secret", "other-secret"} {
-		got := d.ask(http.MethodPost, "/a/b", "id", "body", headerKey, key)
+		got := d.send(http.MethodPost, "/a/b", "id", "body", headerKey, key)
 		if strings.Contains(got.body, key) {
 			t.Errorf("the response contains the key: %s", got.body)
 		}
@@ -245,18 +245,18 @@
 	d.declareTenants(limited, other)
 	tooLong := strings.Repeat("x", 2000)
 	for range 5 {
-		if got := d.ask(http.MethodPost, "/a/b", "too-long", tooLong, headerKey, "k1"); got.status != http.StatusRequestEntityTooLarge {
+		if got := d.send(http.MethodPost, "/a/b", "too-long", tooLong, headerKey, "k1"); got.status != http.StatusRequestEntityTooLarge {
 			t.Fatalf("a body that is too long: %d", got.status)
 		}
 	}
 	for _, want := range []int{200, 200, 429} {
-		if got := d.ask(http.MethodPost, "/a/b", "id-1", "body", headerKey, "k1"); got.status != want {
+		if got := d.send(http.MethodPost, "/a/b", "id-1", "body", headerKey, "k1"); got.status != want {
 			t.Fatalf("%d, wanted %d", got.status, want)
 		} else if seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64); want == 429 && (err != nil || seconds <= 0) {
 			t.Errorf("Retry-After is %q", got.header.Get("Retry-After"))
 		}
 	}
-	if got := d.ask(http.MethodPost, "/a/b", "id-2", "body", headerKey, "k2"); got.status != 200 {
+	if got := d.send(http.MethodPost, "/a/b", "id-2", "body", headerKey, "k2"); got.status != 200 {
 		t.Errorf("another tenant gets %d", got.status)
 	}
 	if !strings.Contains(log.String(), "request_over_limit") {
--- a/internal/ingress/waiting.go
+++ b/internal/ingress/waiting.go
@@ -21,24 +21,24 @@
 	return &queuedJobs{jobs: map[*job]struct{}{}}
 }
 
-func (w *queuedJobs) add(waiting *job) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.jobs[waiting] = struct{}{}
+func (q *queuedJobs) add(queued *job) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.jobs[queued] = struct{}{}
 }
 
-func (w *queuedJobs) remove(waiting *job) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	delete(w.jobs, waiting)
+func (q *queuedJobs) remove(queued *job) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	delete(q.jobs, queued)
 }
 
 // each calls visit for each job. No job is removed until it returns.
-func (w *queuedJobs) each(visit func(*job)) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for waiting := range w.jobs {
-		visit(waiting)
+func (q *queuedJobs) each(visit func(*job)) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	for queued := range q.jobs {
+		visit(queued)
 	}
 }
 
--- a/internal/ingress/warming.go
+++ b/internal/ingress/warming.go
@@ -21,26 +21,26 @@
 	return &warmingTracker{options: options, state: warming.NewState()}
 }
 
-func (g *warmingTracker) applyDigest(digest *wirepb.ClusterDigest) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.state.TakeDigest(g.options.Now(), nodeview.WarmingOf(digest))
+func (t *warmingTracker) applyDigest(digest *wirepb.ClusterDigest) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.state.TakeDigest(t.options.Now(), nodeview.WarmingOf(digest))
 }
 
-func (g *warmingTracker) recordFailure(machine string) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.state.NoteFailure(g.options.Now(), machine)
+func (t *warmingTracker) recordFailure(machine string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.state.NoteFailure(t.options.Now(), machine)
 }
 
 // machines returns the machines that are warming up.
-func (g *warmingTracker) machines() map[string]bool {
+func (t *warmingTracker) machines() map[string]bool {
 	found := map[string]bool{}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	now := g.options.Now()
-	g.options.View.EachThatMayWarmUp(func(machine string, changed uint64) {
-		if g.state.Warms(now, machine, changed) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	now := t.options.Now()
+	t.options.View.EachThatMayWarmUp(func(machine string, changed uint64) {
+		if t.state.Warms(now, machine, changed) {
 			found[machine] = true
 		}
 	})
@@ -48,21 +48,21 @@
 }
 
 // isWarming reports whether a machine of a pool counts as warming up.
-func (g *warmingTracker) isWarming(pool, machine string) bool {
-	changed, may := g.options.View.MayWarmUp(pool, machine)
+func (t *warmingTracker) isWarming(pool, machine string) bool {
+	changed, may := t.options.View.MayWarmUp(pool, machine)
 	if !may {
 		return false
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.state.Warms(g.options.Now(), machine, changed)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.state.Warms(t.options.Now(), machine, changed)
 }
 
 // reset discards the state of earlier digests.
-func (g *warmingTracker) reset() {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.state = warming.NewState()
+func (t *warmingTracker) reset() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.state = warming.NewState()
 }
 
 // followDigests updates the warm-up state and the limits of machines from digests until ctx is done.
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -106,7 +106,7 @@
 			machine := newAnsweringMachine(t, "fine")
 			deployment.serveWarming(3, machine.address)
 			test.before(deployment)
-			answer := deployment.ask(http.MethodGet, "/a/b", "1", "", headerWait, "300ms")
+			answer := deployment.send(http.MethodGet, "/a/b", "1", "", headerWait, "300ms")
 			if answer.status != http.StatusServiceUnavailable || !strings.Contains(answer.body, "warm up") || !strings.Contains(answer.body, "not-run") {
 				t.Errorf("the client got %d %s", answer.status, answer.body)
 			}
@@ -117,7 +117,7 @@
 				t.Errorf("the machine got %v", seen)
 			}
 			leader := deployment.answerPermits(granted)
-			if answer := deployment.ask(http.MethodGet, "/a/b", "2", ""); answer.status != http.StatusOK {
+			if answer := deployment.send(http.MethodGet, "/a/b", "2", ""); answer.status != http.StatusOK {
 				t.Errorf("with a permit the client got %d %s", answer.status, answer.body)
 			}
 			if asked := leader.machines(); !slices.Equal(asked, []string{"m0"}) {
@@ -140,7 +140,7 @@
 			deployment.serve(v1.RouteRepeatable, 1, long, machine.address)
 		}
 		leader := deployment.answerPermits(granted)
-		if answer := deployment.ask(http.MethodGet, "/a/b", "1", ""); answer.status != http.StatusOK {
+		if answer := deployment.send(http.MethodGet, "/a/b", "1", ""); answer.status != http.StatusOK {
 			t.Errorf("declared %v: the client got %d %s", declared, answer.status, answer.body)
 		}
 		if asked := leader.machines(); len(asked) > 0 {
@@ -158,7 +158,7 @@
 	leader := deployment.answerPermits(func(number int, _ string) *wirepb.PermitReply {
 		return &wirepb.PermitReply{Granted: number > 3, RetryAfterMs: 30}
 	})
-	answer := deployment.ask(http.MethodGet, "/a/b", "1", "")
+	answer := deployment.send(http.MethodGet, "/a/b", "1", "")
 	if answer.status != http.StatusOK {
 		t.Errorf("the client got %d %s", answer.status, answer.body)
 	}
@@ -186,7 +186,7 @@
 		}
 		return &wirepb.PermitReply{Granted: true}
 	})
-	if answer := deployment.ask(http.MethodGet, "/a/b", "1", ""); answer.status != http.StatusOK {
+	if answer := deployment.send(http.MethodGet, "/a/b", "1", ""); answer.status != http.StatusOK {
 		t.Errorf("the client got %d %s", answer.status, answer.body)
 	}
 	if asked := leader.machines(); len(asked) != 2 || sentBefore != 0 || len(machine.requests()) != 1 {
@@ -201,7 +201,7 @@
 	first, second := newRawMachine(t, failing), newRawMachine(t, failing)
 	deployment.serveWarming(2, first.address, second.address)
 	leader := deployment.answerPermits(granted)
-	deployment.ask(http.MethodGet, "/a/b", "1", "")
+	deployment.send(http.MethodGet, "/a/b", "1", "")
 	if asked := leader.machines(); len(asked) != 2 || len(first.requests()) != 1 || len(second.requests()) != 1 {
 		t.Errorf("permits were requested for %v, sends %d and %d", asked, len(first.requests()), len(second.requests()))
 	}
@@ -215,7 +215,7 @@
 	deployment.serveWarming(1, machine.address)
 	deployment.digest(1, 0)
 	machine.refuseConnections()
-	deployment.ask(http.MethodGet, "/a/b", "1", "", headerWait, "100ms")
+	deployment.send(http.MethodGet, "/a/b", "1", "", headerWait, "100ms")
 	if warm := deployment.handler.WarmingMachines(); !warm["m0"] {
 		t.Error("the machine counts as warm")
 	}
@@ -236,7 +236,7 @@
 		}
 		return &wirepb.PermitReply{Granted: true}
 	})
-	deployment.ask(http.MethodGet, "/a/b", "1", "")
+	deployment.send(http.MethodGet, "/a/b", "1", "")
 	if sent := len(first.requests()) + len(second.requests()); sent != 1 || len(leader.machines()) != 3 {
 		t.Errorf("sent %d times, permits were requested for %v", sent, leader.machines())
 	}
@@ -252,7 +252,7 @@
 		deployment.suspended.Add(int64(permits.Lifetime))
 		return &wirepb.PermitReply{Granted: true}
 	})
-	answer := deployment.ask(http.MethodGet, "/a/b", "1", "")
+	answer := deployment.send(http.MethodGet, "/a/b", "1", "")
 	if answer.status != http.StatusServiceUnavailable || !strings.Contains(answer.body, "not-run") {
 		t.Errorf("the client got %d %s", answer.status, answer.body)
 	}
@@ -270,7 +270,7 @@
 	machine.refuseConnections()
 	before := time.Now()
 	deployment.answerPermits(granted)
-	deployment.ask(http.MethodGet, "/a/b", "1", "", headerWait, "100ms")
+	deployment.send(http.MethodGet, "/a/b", "1", "", headerWait, "100ms")
 	if found := deployment.handler.Unreachable(before); !slices.Equal(found, []string{"m0"}) {
 		t.Fatalf("after a failed connection, unreachable: %v", found)
 	}
@@ -278,7 +278,7 @@
 		deployment.suspended.Add(int64(2 * long))
 		return &wirepb.PermitReply{Granted: true}
 	})
-	deployment.ask(http.MethodGet, "/a/b", "2", "")
+	deployment.send(http.MethodGet, "/a/b", "2", "")
 	if found := deployment.handler.Unreachable(before); !slices.Equal(found, []string{"m0"}) {
 		t.Errorf("after a request that was not sent, unreachable: %v", found)
 	}
@@ -300,7 +300,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	// The timeout is shorter than the delay before the leader is asked again.
-	answer := deployment.ask(http.MethodGet, "/a/b", "1", "", headerWait, "50ms")
+	answer := deployment.send(http.MethodGet, "/a/b", "1", "", headerWait, "50ms")
 	if answer.status != http.StatusServiceUnavailable {
 		t.Errorf("the client got %d %s", answer.status, answer.body)
 	}
@@ -325,7 +325,7 @@
 	deployment.digest(3, forLong, forLong, 0)
 	leader := deployment.answerPermits(granted)
 	for range 12 {
-		if answer := deployment.ask(http.MethodGet, "/a/b", "1", ""); answer.status != http.StatusOK {
+		if answer := deployment.send(http.MethodGet, "/a/b", "1", ""); answer.status != http.StatusOK {
 			t.Errorf("the client got %d %s", answer.status, answer.body)
 		}
 	}
