--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -36,7 +36,7 @@
 	refusal *dispatch.Refusal
 }
 
-// New returns a dispatcher. It calls nudge when a request is queued.
+// New returns a dispatcher. It calls onQueued when a request is queued.
 func New(config dispatch.Config, onQueued func()) *Dispatcher {
 	return &Dispatcher{
 		core:    dispatch.New(config),
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -170,7 +170,7 @@
 		View: created.view, Logger: slog.New(slog.DiscardHandler), Metrics: ingress.NewMetrics(prometheus.NewRegistry()),
 		Translator: translator{beforeSend: &created.beforeSend}, MaxWaiting: 100,
 		// With so short a window the whole slack is available at once.
-		Budget: retrybudget.Config{Ratio: 1, Slack: 1000, Window: time.Nanosecond}, Nudge: func() { created.queued <- struct{}{} },
+		Budget: retrybudget.Config{Ratio: 1, Slack: 1000, Window: time.Nanosecond}, RequestReport: func() { created.queued <- struct{}{} },
 		Quota: quota.Bound{Window: 8 * time.Second}, Sharing: quota.SharingEqual,
 		Slept: func() time.Duration { return time.Duration(created.suspended.Load()) },
 		Now:   func() time.Duration { return clock.Now() + time.Duration(created.suspended.Load()) },
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -49,8 +49,8 @@
 	Quota quota.Bound
 	// Sharing is how nodes divide the limits of tenants.
 	Sharing quota.Sharing
-	// Nudge requests an early report to the control plane.
-	Nudge func()
+	// RequestReport requests an early report to the control plane.
+	RequestReport func()
 	// Propose sends a command to the leader. After an error the command may or may not have
 	// been applied.
 	Propose feed.ProposeFunc
@@ -102,7 +102,7 @@
 		options.Now = clock.Now
 	}
 	pool := upstream.NewPool(upstream.Config{DialTimeout: dialTimeout, MaxIdle: maxIdle(options.View), IdleTimeout: idleTimeout})
-	routing := dispatcher.New(config, options.Nudge)
+	routing := dispatcher.New(config, options.RequestReport)
 	return &Ingress{
 		requestsCtx: requestsCtx, cancelRequests: cancelRequests, quotas: newQuotas(options.Quota, options.Sharing),
 		options: options, started: time.Now(), budgets: map[string]*retrybudget.Budget{},
@@ -127,7 +127,7 @@
 	workers.Go(func() { i.dispatcher.RunTicks(ctx) })
 	workers.Go(func() { i.dispatcher.FollowDigests(ctx, i.options.View) })
 	workers.Go(func() { i.followDigests(ctx) })
-	workers.Go(func() { i.quotas.followDigests(ctx, i.options.View, i.options.Nudge) })
+	workers.Go(func() { i.quotas.followDigests(ctx, i.options.View, i.options.RequestReport) })
 	workers.Go(func() { i.crashes.Run(ctx) })
 	workers.Go(func() { i.retainConnections(ctx) })
 	for {
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -228,7 +228,7 @@
 		if outcome == outcomeNotConnected {
 			failures++
 			j.ingress.permits.warming.recordFailure(grant.Target.Machine)
-			j.ingress.options.Nudge()
+			j.ingress.options.RequestReport()
 		}
 		if !j.mayRetry(ctx, outcome, failures) {
 			j.answerFailure(ctx, outcome)
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -33,10 +33,10 @@
 
 // followDigests applies the allowances of leaders' digests until ctx is done. It requests an early
 // report if a new leader needs one.
-func (q *quotas) followDigests(ctx context.Context, view *nodeview.View, nudge func()) {
+func (q *quotas) followDigests(ctx context.Context, view *nodeview.View, requestReport func()) {
 	view.FollowDigests(ctx, func(digest *wirepb.ClusterDigest) {
 		if q.applyDigest(digest) {
-			nudge()
+			requestReport()
 		}
 	})
 }
@@ -86,7 +86,7 @@
 	cost := j.tenant.spec.Cost(j.attributes.PromptTokens + j.attributes.OutputTokens)
 	refusal, report := j.ingress.quotas.admit(j.tenant.name, j.tenant.spec, cost)
 	if report {
-		j.ingress.options.Nudge()
+		j.ingress.options.RequestReport()
 	}
 	j.ingress.options.Metrics.observeTenant(j.tenant.name, refusal == nil)
 	if refusal == nil {
--- a/internal/ingress/statements.go
+++ b/internal/ingress/statements.go
@@ -20,7 +20,7 @@
 		j.log("invalid_statement", "machine", machine, "error", fault.Message(err))
 	}
 	if j.ingress.permits.limits.observe(machine, stated.Limit, j.written) {
-		j.ingress.options.Nudge() // The leader publishes the limit to the other routers.
+		j.ingress.options.RequestReport() // The leader publishes the limit to the other routers.
 	}
 	if stated.Rest > 0 {
 		j.ingress.dispatcher.BackOff(machine, stated.Rest)
@@ -29,6 +29,6 @@
 	}
 	if stated.Leaving && j.ingress.dispatcher.MarkLeaving(machine) {
 		j.log("machine_leaving", "machine", machine)
-		j.ingress.options.Nudge() // The leader replaces what the machine holds.
+		j.ingress.options.RequestReport() // The leader replaces what the machine holds.
 	}
 }
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -53,7 +53,7 @@
 			Ratio: settings.Ingress.RetryRatio, Slack: settings.Ingress.RetrySlack, Window: settings.Ingress.RetryWindow,
 		},
 		Quota: settings.Quota.Bound(), Sharing: quota.Sharing(settings.Quota.Sharing),
-		Nudge: created.reports.nudge, Propose: created.client.Propose,
+		RequestReport: created.reports.nudge, Propose: created.client.Propose,
 		Permit: created.client.Permit,
 	})
 	created.server = ingress.NewServer(created.ingress, created.view, node.logger)
