--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -172,8 +172,8 @@
 		// With so short a window the whole slack is available at once.
 		Budget: retrybudget.Config{Ratio: 1, Slack: 1000, Window: time.Nanosecond}, RequestReport: func() { created.queued <- struct{}{} },
 		Quota: quota.Bound{Window: 8 * time.Second}, Sharing: quota.SharingEqual,
-		Slept: func() time.Duration { return time.Duration(created.suspended.Load()) },
-		Now:   func() time.Duration { return clock.Now() + time.Duration(created.suspended.Load()) },
+		Suspended: func() time.Duration { return time.Duration(created.suspended.Load()) },
+		Now:       func() time.Duration { return clock.Now() + time.Duration(created.suspended.Load()) },
 		Permit: func(ctx context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 			if permit := created.permit.Load(); permit != nil {
 				return (*permit)(ctx, request)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -59,8 +59,8 @@
 	Permit feed.PermitFunc
 	// Now is a monotonic clock that includes time suspended. It defaults to clock.Now.
 	Now func() time.Duration
-	// Slept returns the total time that this host has been suspended. It defaults to clock.Slept.
-	Slept func() time.Duration
+	// Suspended returns the total time that this host has been suspended. It defaults to clock.Slept.
+	Suspended func() time.Duration
 }
 
 // Ingress is the HTTP handler for client requests of one node.
@@ -95,8 +95,8 @@
 func New(options Options) *Ingress {
 	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, ByWork: true, Seed: rand.Uint64()}
 	requestsCtx, cancelRequests := context.WithCancel(context.Background())
-	if options.Slept == nil {
-		options.Slept = clock.Slept
+	if options.Suspended == nil {
+		options.Suspended = clock.Slept
 	}
 	if options.Now == nil {
 		options.Now = clock.Now
@@ -206,9 +206,9 @@
 	return known
 }
 
-// Woke is to be called after this host resumes from suspension. It drops idle connections, which
+// Resumed is to be called after this host resumes from suspension. It drops idle connections, which
 // machines may have timed out meanwhile, and the outdated warm-up state of machines.
-func (i *Ingress) Woke() {
+func (i *Ingress) Resumed() {
 	i.permits.warming.reset()
 	i.upstream.Retain(func(string) bool { return false })
 }
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -70,7 +70,7 @@
 
 func (i *Ingress) newJob(writer http.ResponseWriter, request *http.Request) *job {
 	return &job{
-		ingress: i, writer: writer, request: request, arrived: time.Now(), suspendedAtArrival: i.options.Slept(),
+		ingress: i, writer: writer, request: request, arrived: time.Now(), suspendedAtArrival: i.options.Suspended(),
 		attributes: i.options.Translator.Describe(request.Header),
 	}
 }
@@ -258,7 +258,7 @@
 // remaining returns the time to the deadline, less the time that the host was suspended, which
 // the monotonic clock does not include.
 func (j *job) remaining() time.Duration {
-	return time.Until(j.deadline) - (j.ingress.options.Slept() - j.suspendedAtArrival)
+	return time.Until(j.deadline) - (j.ingress.options.Suspended() - j.suspendedAtArrival)
 }
 
 // maxQueueTime returns the maximum time in the queue: a share of the timeout and of
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -98,7 +98,7 @@
 		}},
 		{"the router has slept", func(d *deployment) {
 			d.digest(1, 0)
-			d.handler.Woke()
+			d.handler.Resumed()
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
