--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -215,23 +215,23 @@
 
 // Ready reports whether clients should be routed to this node.
 func (i *Ingress) Ready() bool {
-	return !i.stopping.Load() && i.Serves()
+	return !i.stopping.Load() && i.IsConfigured()
 }
 
-// Serves reports whether this node's configuration is at least as new as any that
+// IsConfigured reports whether this node's configuration is at least as new as any that
 // was accepted before the node started.
-func (i *Ingress) Serves() bool {
+func (i *Ingress) IsConfigured() bool {
 	return i.serving.Load()
 }
 
-// Stop adds "Connection: close" to all further responses.
-func (i *Ingress) Stop() {
+// Drain adds "Connection: close" to all further responses.
+func (i *Ingress) Drain() {
 	i.stopping.Store(true)
 }
 
-// End cancels all requests before the node shuts down: those without a response
+// Abort cancels all requests before the node shuts down: those without a response
 // get an error response, the others are broken off.
-func (i *Ingress) End() {
+func (i *Ingress) Abort() {
 	i.cancelRequests()
 }
 
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -309,9 +309,9 @@
 	<-closed
 }
 
-// TestEndAnswersPendingRequests checks that End answers queued requests and those whose
+// TestAbortAnswersPendingRequests checks that Abort answers queued requests and those whose
 // machine has not responded, instead of closing their connections.
-func TestEndAnswersPendingRequests(t *testing.T) {
+func TestAbortAnswersPendingRequests(t *testing.T) {
 	reached := make(chan struct{}, 1)
 	silent := newRawMachine(t, func(_ receivedRequest, _ int, connection net.Conn) bool {
 		reached <- struct{}{}
@@ -323,7 +323,7 @@
 	answers := make(chan reply, 2)
 	go func() { answers <- d.send(http.MethodPost, "/a/b", "running", "x") }()
 	<-reached
-	d.handler.End()
+	d.handler.Abort()
 	if got := <-answers; got.status != 504 || !strings.Contains(got.body, "unknown") {
 		t.Errorf("the running request got %d %q", got.status, got.body)
 	}
@@ -332,7 +332,7 @@
 	empty.serve(v1.RouteUnrepeatable, 1, long)
 	go func() { answers <- empty.send(http.MethodPost, "/a/b", "waiting", "x") }()
 	<-empty.queued
-	empty.handler.End()
+	empty.handler.Abort()
 	if got := <-answers; got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("the queued request got %d %q", got.status, got.body)
 	}
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -130,7 +130,7 @@
 // awaitConfiguration waits for the first configuration of a starting node, for a
 // bounded time. It reports whether the node serves.
 func (j *job) awaitConfiguration() bool {
-	if j.ingress.Serves() {
+	if j.ingress.IsConfigured() {
 		return true
 	}
 	wait := maxStartWait
@@ -139,9 +139,9 @@
 	}
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
-	for !j.ingress.Serves() {
+	for !j.ingress.IsConfigured() {
 		changed := j.ingress.servingChange.Wait()
-		if j.ingress.Serves() {
+		if j.ingress.IsConfigured() {
 			break
 		}
 		select {
