--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -57,7 +57,7 @@
 
 func (translator) Describe(header http.Header) ingress.Attributes {
 	wait, _ := time.ParseDuration(header.Get(headerWait))
-	return ingress.Attributes{ID: header.Get(headerID), Wait: wait, Model: header.Get(headerModel), Key: header.Get(headerKey)}
+	return ingress.Attributes{ID: header.Get(headerID), Timeout: wait, Model: header.Get(headerModel), Key: header.Get(headerKey)}
 }
 
 func (t translator) Prepare(header http.Header, attempt ingress.Attempt) {
@@ -67,17 +67,17 @@
 	header.Set(headerTarget, attempt.Machine)
 	header.Set(headerTenant, attempt.Tenant)
 	header.Set(headerPriority, strconv.Itoa(int(attempt.Priority)))
-	header.Set(headerWait, attempt.Remains.String())
+	header.Set(headerWait, attempt.Remaining.String())
 }
 
-func (translator) Judge(status int, response http.Header, id string) ingress.Verdict {
+func (translator) Interpret(status int, response http.Header, id string) ingress.Verdict {
 	succeeded := status >= 200 && status < 300
 	return ingress.Verdict{
-		Own:       response.Get(headerID) == "" || response.Get(headerID) == id,
-		Genuine:   !succeeded || response.Get(headerSeal) != "",
-		NotRun:    response.Get(headerNotRun) != "",
-		Elsewhere: status == http.StatusMisdirectedRequest,
-		Stated:    ingress.Statement{Limit: limitOf(response), Rest: backOffOf(response), Leaving: response.Get(headerLeaving) != ""},
+		ForRequest:   response.Get(headerID) == "" || response.Get(headerID) == id,
+		Genuine:      !succeeded || response.Get(headerSeal) != "",
+		NotRun:       response.Get(headerNotRun) != "",
+		WrongMachine: status == http.StatusMisdirectedRequest,
+		Statement:    ingress.Statement{Limit: limitOf(response), BackOff: backOffOf(response), Leaving: response.Get(headerLeaving) != ""},
 	}
 }
 
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -116,8 +116,8 @@
 		return document, document.RetryAfter
 	}
 	wait := time.Duration(j.route.Spec.Timeout)
-	if j.attributes.Wait > 0 {
-		wait = min(wait, j.attributes.Wait)
+	if j.attributes.Timeout > 0 {
+		wait = min(wait, j.attributes.Timeout)
 	}
 	j.deadline = j.arrived.Add(wait)
 	j.pool = j.route.NextPool()
@@ -134,8 +134,8 @@
 		return true
 	}
 	wait := maxStartWait
-	if j.attributes.Wait > 0 {
-		wait = min(wait, time.Duration(float64(j.attributes.Wait)*queueTimeShare))
+	if j.attributes.Timeout > 0 {
+		wait = min(wait, time.Duration(float64(j.attributes.Timeout)*queueTimeShare))
 	}
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -22,11 +22,11 @@
 // handleResponse relays a machine's response to the client, unless the response allows a
 // retry.
 func (j *job) handleResponse(ctx context.Context, response *upstream.Answer, grant *dispatch.Grant) attemptOutcome {
-	verdict := j.ingress.options.Translator.Judge(response.Status, response.Header, j.attributes.ID)
+	verdict := j.ingress.options.Translator.Interpret(response.Status, response.Header, j.attributes.ID)
 	j.recordStatement(grant, verdict)
 	if verdict.NotRun {
 		discard(response)
-		if verdict.Elsewhere {
+		if verdict.WrongMachine {
 			return outcomeWrongMachine
 		}
 		return outcomeNotRun
--- a/internal/ingress/statements.go
+++ b/internal/ingress/statements.go
@@ -11,10 +11,10 @@
 // recordStatement records what a machine says about itself in a response. It ignores responses of another machine and
 // those to another request.
 func (j *job) recordStatement(grant *dispatch.Grant, verdict Verdict) {
-	if !verdict.Own || verdict.Elsewhere || !verdict.Genuine && !verdict.NotRun {
+	if !verdict.ForRequest || verdict.WrongMachine || !verdict.Genuine && !verdict.NotRun {
 		return
 	}
-	machine, stated := grant.Target.Machine, verdict.Stated
+	machine, stated := grant.Target.Machine, verdict.Statement
 	for _, err := range stated.Invalid {
 		j.ingress.options.Metrics.invalidStatements.Inc()
 		j.log("invalid_statement", "machine", machine, "error", fault.Message(err))
@@ -22,10 +22,10 @@
 	if j.ingress.permits.limits.observe(machine, stated.Limit, j.written) {
 		j.ingress.options.RequestReport() // The leader publishes the limit to the other routers.
 	}
-	if stated.Rest > 0 {
-		j.ingress.dispatcher.BackOff(machine, stated.Rest)
+	if stated.BackOff > 0 {
+		j.ingress.dispatcher.BackOff(machine, stated.BackOff)
 		j.ingress.options.Metrics.backOffs.Inc()
-		j.log("rest_requested", "machine", machine, "rest_ms", stated.Rest.Milliseconds())
+		j.log("rest_requested", "machine", machine, "rest_ms", stated.BackOff.Milliseconds())
 	}
 	if stated.Leaving && j.ingress.dispatcher.MarkLeaving(machine) {
 		j.log("machine_leaving", "machine", machine)
--- a/internal/ingress/translator.go
+++ b/internal/ingress/translator.go
@@ -16,8 +16,8 @@
 	Key string
 	// Model and Adapter are the ones that the request needs.
 	Model, Adapter string
-	// Wait is the client's timeout.
-	Wait time.Duration
+	// Timeout is the client's timeout.
+	Timeout time.Duration
 	// PromptTokens is the length of the prompt, SharedTokens that of its shared
 	// prefix, and OutputTokens the maximum length of the output.
 	PromptTokens, SharedTokens, OutputTokens float64
@@ -27,8 +27,8 @@
 
 // Attempt is what the headers of a request tell its machine.
 type Attempt struct {
-	Machine string
-	Remains time.Duration
+	Machine   string
+	Remaining time.Duration
 	// Priority orders requests at the machine; higher values come first.
 	Priority int32
 	// Tenant is the authenticated tenant, or empty.
@@ -37,26 +37,26 @@
 
 // Verdict is the interpretation of a response's status and headers.
 type Verdict struct {
-	// Own is set if the response belongs to this request.
-	Own bool
+	// ForRequest is set if the response belongs to this request.
+	ForRequest bool
 	// Genuine is set if the response comes from the machine itself, not from a
 	// fault between it and the router.
 	Genuine bool
 	// NotRun is set if the machine states that it did not run the request.
 	NotRun bool
-	// Elsewhere is set if the machine did not run the request because it is not the
+	// WrongMachine is set if the machine did not run the request because it is not the
 	// intended one or lacks the model.
-	Elsewhere bool
-	// Stated is what the machine says about itself.
-	Stated Statement
+	WrongMachine bool
+	// Statement is what the machine says about itself.
+	Statement Statement
 }
 
 // Statement is what a machine says about itself in the headers of a response.
 type Statement struct {
 	// Limit is the machine's rate limit for all routers together.
 	Limit ratelimit.Limit
-	// Rest is how long the router is asked to back off.
-	Rest time.Duration
+	// BackOff is how long the router is asked to back off.
+	BackOff time.Duration
 	// Leaving is set if the machine is about to shut down.
 	Leaving bool
 	// Invalid has an error of type fault.Invalid for each header that can't be parsed. The field of such a header
@@ -69,6 +69,6 @@
 	Describe(header http.Header) Attributes
 	// Prepare writes an attempt into the headers of a request.
 	Prepare(header http.Header, attempt Attempt)
-	// Judge interprets the response to the request with the given ID.
-	Judge(status int, response http.Header, id string) Verdict
+	// Interpret interprets the response to the request with the given ID.
+	Interpret(status int, response http.Header, id string) Verdict
 }
