--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -91,8 +91,8 @@
 	return &Ledger{bound: bound, expected: routers, startedAt: now, updated: now, nodes: map[string]*nodeUse{}, accounts: map[string]*account{}}
 }
 
-// Take applies a router's report. The reports of a router must be in order.
-func (l *Ledger) Take(now time.Duration, report Report) {
+// ApplyReport applies a router's report. The reports of a router must be in order.
+func (l *Ledger) ApplyReport(now time.Duration, report Report) {
 	node := l.nodes[report.Node]
 	if node == nil {
 		// A report that is not full lacks the recent use. The router sends a full one once
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -36,8 +36,8 @@
 	return b.Overage*(limit.Rate*b.Window.Seconds()+limit.Burst) + b.Slack
 }
 
-// Most returns the maximum cost that may be admitted in any window.
-func (b Bound) Most(limit Limit) float64 {
+// MaxAdmitted returns the maximum cost that may be admitted in any window.
+func (b Bound) MaxAdmitted(limit Limit) float64 {
 	return limit.Rate*b.Window.Seconds() + limit.Burst + b.tolerance(limit)
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestSharingModes checks SharingAdaptive against the bound in all scenarios. For each way of
-// sharing it logs the worst window, relative to Bound.Most, and the refusals per 1,000 requests
+// sharing it logs the worst window, relative to Bound.MaxAdmitted, and the refusals per 1,000 requests
 // below the limit.
 func TestSharingModes(t *testing.T) {
 	const seeds = 6
@@ -114,7 +114,7 @@
 			sum += event.cost
 		}
 	}
-	if sum > simBound.Most(low) || sum < low.Rate*simBound.Window.Seconds()/2 {
-		t.Errorf("%.0f admitted in a window, the limit allows %.0f", sum, simBound.Most(low))
+	if sum > simBound.MaxAdmitted(low) || sum < low.Rate*simBound.Window.Seconds()/2 {
+		t.Errorf("%.0f admitted in a window, the limit allows %.0f", sum, simBound.MaxAdmitted(low))
 	}
 }
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -43,7 +43,7 @@
 	restarts     []time.Duration
 	reconnects   []time.Duration
 	reportsLost  func(router int, at time.Duration) bool
-	// bound is the allowed use in a window, relative to Bound.Most; 0 means 1.
+	// bound is the allowed use in a window, relative to Bound.MaxAdmitted; 0 means 1.
 	bound float64
 }
 
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -208,7 +208,7 @@
 	}
 	report := Report{Node: fmt.Sprint(router), Incarnation: s.incarnations[router], Uptime: s.now - s.started[router], Uses: uses, Full: full}
 	ledger := s.ledger
-	s.send(func() { ledger.Take(s.now, report) })
+	s.send(func() { ledger.ApplyReport(s.now, report) })
 }
 
 func (s *simulation) traffic() {
@@ -277,7 +277,7 @@
 	return true
 }
 
-// worstWindow returns the highest use of a tenant in any window, relative to Bound.Most, for a limit
+// worstWindow returns the highest use of a tenant in any window, relative to Bound.MaxAdmitted, for a limit
 // that doesn't change.
 func (s *simulation) worstWindow(tenant simTenant, limit Limit) float64 {
 	events, worst, sum, first := s.admitted[tenant.name], 0.0, 0.0, 0
@@ -287,7 +287,7 @@
 			sum -= events[first].cost
 			first++
 		}
-		worst = max(worst, sum/simBound.Most(limit))
+		worst = max(worst, sum/simBound.MaxAdmitted(limit))
 	}
 	return worst
 }
