--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -139,7 +139,6 @@
 	g.fail(writer, requestID, document)
 }
 
-// fail writes a problem.
 func (g *Gateway) fail(writer http.ResponseWriter, requestID string, document *problem.Document) {
 	document.RequestID = requestID
 	g.options.Metrics.problems.WithLabelValues(document.Kind(), string(document.Outcome)).Inc()
--- a/internal/gateway/inference.go
+++ b/internal/gateway/inference.go
@@ -18,7 +18,6 @@
 	maxFailedAttempts = 3
 )
 
-// attemptOutcome is the outcome of an attempt.
 type attemptOutcome int
 
 const (
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -16,7 +16,6 @@
 	return quarantine.Identify(quarantine.Content{Tenant: j.caller, Method: http.MethodPost, Target: j.path, Body: j.body})
 }
 
-// refuseQuarantined answers a quarantined request.
 func (g *Gateway) refuseQuarantined(writer http.ResponseWriter, j *job, document *problem.Document, mayHaveRun bool) string {
 	if mayHaveRun {
 		g.failEngine(writer, j)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -18,10 +18,9 @@
 
 const (
 	maxEventBytes = 1 << 20
-	// stallTimeout is the maximum time between two events.
-	stallTimeout = 30 * time.Second
-	maxResumes   = 3
-	resumeDelay  = 50 * time.Millisecond
+	stallTimeout  = 30 * time.Second
+	maxResumes    = 3
+	resumeDelay   = 50 * time.Millisecond
 )
 
 var streamEndMarker = []byte("data: [DONE]")
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -16,7 +16,6 @@
 // be followed by another.
 const retriableAttemptShare = 0.5
 
-// attemptOutcome is the outcome of an attempt.
 type attemptOutcome int
 
 const (
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -3,7 +3,6 @@
 import "github.com/weldline/weldline/internal/nodeview"
 
 const (
-	// maxIdlePerMachine bounds the idle connections of a router to one machine.
 	maxIdlePerMachine = 8
 	// activePerSlot is the maximum number of active connections per slot of a machine: the dispatcher
 	// allows two requests per slot.
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -36,8 +36,7 @@
 	attributes Attributes
 	route      *Route
 	// tenant has a nil spec if the route accepts anonymous requests.
-	tenant tenantIdentity
-	// chargedCost is the cost charged to the tenant's limit.
+	tenant      tenantIdentity
 	chargedCost float64
 	pool        string
 	version     string
@@ -61,8 +60,7 @@
 	// written is the time of the last write to a machine, by Options.Now.
 	written time.Duration
 	// permit is held for the next attempt.
-	permit permit
-	// cachedIdentity caches the request's identity.
+	permit         permit
 	cachedIdentity *quarantine.Identity
 	// savedError is a machine's error response, for the case that no retry succeeds.
 	savedError *errorResponse
@@ -394,7 +392,6 @@
 	return retryAfterBusy
 }
 
-// fail writes a problem document as the response.
 func (j *job) fail(document *problem.Document, retryAfter time.Duration) {
 	document.RequestID = j.attributes.ID
 	document.Outcome = problem.OutcomeNotRun
--- a/internal/ingress/limits_test.go
+++ b/internal/ingress/limits_test.go
@@ -39,7 +39,6 @@
 	return write(connection, answer)
 }
 
-// withHeader adds a header to a response.
 func withHeader(answer, name, value string) string {
 	return strings.Replace(answer, "\r\n", "\r\n"+name+": "+value+"\r\n", 1)
 }
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -99,7 +99,6 @@
 	m.tenantRequests.WithLabelValues(m.tenantLabel(tenant), outcome).Inc()
 }
 
-// permitOutcome is the outcome of a permit request.
 type permitOutcome string
 
 const (
--- a/internal/ingress/permits.go
+++ b/internal/ingress/permits.go
@@ -32,8 +32,7 @@
 
 // permitRequirement is why a send to a machine needs a permit, if it does.
 type permitRequirement struct {
-	machine string
-	// isWarming is set if the machine is warming up.
+	machine   string
 	isWarming bool
 	// observed is the machine's rate limit, if isLimited is set.
 	isLimited bool
@@ -97,18 +96,15 @@
 	c.leaderRetryAt = c.options.Now() + holdAfterNoReply
 }
 
-// permitResult is the result of a permit request.
 type permitResult struct {
 	outcome permitOutcome
-	// permit is the permit, if granted.
-	permit permit
+	permit  permit
 	// retryDelay is the delay before the next permit request, if not granted; 0 if the client request has ended.
 	retryDelay time.Duration
 	// reason is why the leader did not answer, for logs.
 	reason string
 }
 
-// request requests a permit from the leader.
 func (c *permitClient) request(ctx context.Context, requirement permitRequirement) permitResult {
 	if delay := c.leaderRetryDelay(); delay > 0 {
 		return permitResult{outcome: permitUnanswered, retryDelay: max(minHold, delay), reason: "the leader was unreachable moments ago"}
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -72,7 +72,6 @@
 	j.savedError = &errorResponse{status: response.Status, header: upstream.EndToEnd(response.Header), body: body}
 }
 
-// sendSavedError sends the saved error response to the client.
 func (j *job) sendSavedError() {
 	j.writeHeader(j.savedError.status, j.savedError.header, int64(len(j.savedError.body)))
 	_, err := j.writer.Write(j.savedError.body)
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -75,10 +75,9 @@
 	// used is the cost admitted since the last update.
 	used float64
 	// offered is the averaged demand at offeredAt.
-	offered   float64
-	offeredAt time.Duration
-	limited   bool
-	// publishedShare is the last published share.
+	offered        float64
+	offeredAt      time.Duration
+	limited        bool
 	publishedShare float64
 	// priorUse is the cost admitted in each slot of the last window before the term, by slot
 	// number. It is nil once the ledger has settled.
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -22,7 +22,6 @@
 
 var simBound = Bound{Window: 8 * time.Second, Overage: 0.1, Slack: 110_000}
 
-// simTenant is a tenant with its demand.
 type simTenant struct {
 	name  string
 	limit func(at time.Duration) Limit
