--- a/internal/ingress/warming.go
+++ b/internal/ingress/warming.go
@@ -39,7 +39,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.options.Now()
-	t.options.View.EachThatMayWarmUp(func(machine string, changed uint64) {
+	t.options.View.EachWarmUpCandidate(func(machine string, changed uint64) {
 		if t.state.Warms(now, machine, changed) {
 			found[machine] = true
 		}
