--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,7 +1,7 @@
-// Package dispatcher runs the pure dispatch core for concurrent requests.
+// Package dispatcher makes dispatch.Core safe for concurrent use.
 //
-// One mutex guards the core; a request that must wait does so on a channel of
-// its own until it is granted a target or refused.
+// A mutex guards the core. Each queued request waits on its own channel until it is
+// granted a target or refused.
 package dispatcher
 
 import (
@@ -16,39 +16,38 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// tickInterval is how often deadlines are checked while requests wait. A router that has none
-// sleeps: most of a large fleet's do most of the time.
+// tickInterval is the interval of Core.Tick while requests are queued.
 const tickInterval = 20 * time.Millisecond
 
-// Dispatcher is safe for concurrent use.
+// Dispatcher queues requests and grants them targets. It is safe for concurrent use.
 type Dispatcher struct {
-	mutex   sync.Mutex
-	core    *dispatch.Core
-	waiting map[uint64]chan verdict
-	nextID  uint64
-	nudge   func()
-	// mustTick is signalled when a request begins to wait.
-	mustTick chan struct{}
+	mutex    sync.Mutex
+	core     *dispatch.Core
+	waiting  map[uint64]chan result
+	nextID   uint64
+	onQueued func()
+	// queueStarted is signaled when a request is queued.
+	queueStarted chan struct{}
 }
 
-// verdict ends the wait of a request: exactly one field is set.
-type verdict struct {
+// result is the result of a queued request; exactly one field is set.
+type result struct {
 	grant   *dispatch.Grant
 	refusal *dispatch.Refusal
 }
 
-// New returns a dispatcher. Nudge is called when a request has to wait.
-func New(config dispatch.Config, nudge func()) *Dispatcher {
+// New returns a dispatcher. It calls onQueued when a request is queued.
+func New(config dispatch.Config, onQueued func()) *Dispatcher {
 	return &Dispatcher{
 		core:    dispatch.New(config),
-		waiting: map[uint64]chan verdict{}, nudge: nudge, mustTick: make(chan struct{}, 1),
+		waiting: map[uint64]chan result{}, onQueued: onQueued, queueStarted: make(chan struct{}, 1),
 	}
 }
 
-// Acquire waits for a grant. The request gets its id at the first call; a
-// later call is another attempt of the same request.
+// Acquire waits for a grant or a refusal. The first call assigns the request's ID;
+// later calls are further attempts of the same request.
 func (d *Dispatcher) Acquire(ctx context.Context, request *dispatch.Request) (*dispatch.Grant, *dispatch.Refusal) {
-	reply := make(chan verdict, 1)
+	reply := make(chan result, 1)
 	d.mutex.Lock()
 	now := time.Now()
 	first := request.ID == 0
@@ -64,28 +63,28 @@
 		outcome = d.core.Resubmit(now, request)
 	}
 	d.deliver(outcome)
-	_, mustWait := d.waiting[request.ID]
+	_, queued := d.waiting[request.ID]
 	d.mutex.Unlock()
-	if mustWait {
-		d.wakeTick()
-		d.nudge()
+	if queued {
+		d.signalQueued()
+		d.onQueued()
 	}
 	select {
-	case result := <-reply:
-		return result.grant, result.refusal
+	case received := <-reply:
+		return received.grant, received.refusal
 	case <-ctx.Done():
-		return d.abandon(request, reply)
+		return d.cancel(request, reply)
 	}
 }
 
-// abandon takes back a request whose caller has gone, unless the verdict
-// came at the same moment.
-func (d *Dispatcher) abandon(request *dispatch.Request, reply chan verdict) (*dispatch.Grant, *dispatch.Refusal) {
+// cancel cancels a request whose context is done, unless it has got its result
+// meanwhile.
+func (d *Dispatcher) cancel(request *dispatch.Request, reply chan result) (*dispatch.Grant, *dispatch.Refusal) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	select {
-	case result := <-reply:
-		return result.grant, result.refusal
+	case received := <-reply:
+		return received.grant, received.refusal
 	default:
 	}
 	delete(d.waiting, request.ID)
@@ -93,35 +92,35 @@
 	return nil, &dispatch.Refusal{Request: request, Reason: dispatch.RefusedDeadline, Detail: "the caller has gone"}
 }
 
-// deliver passes verdicts on; the mutex must be held.
+// deliver sends results to the waiting requests. The mutex must be held.
 func (d *Dispatcher) deliver(outcome dispatch.Outcome) {
 	for position := range outcome.Grants {
 		grant := outcome.Grants[position]
-		d.answer(grant.Request.ID, verdict{grant: &grant})
+		d.resolve(grant.Request.ID, result{grant: &grant})
 	}
 	for position := range outcome.Refusals {
 		refusal := outcome.Refusals[position]
-		d.answer(refusal.Request.ID, verdict{refusal: &refusal})
+		d.resolve(refusal.Request.ID, result{refusal: &refusal})
 	}
 }
 
-func (d *Dispatcher) answer(id uint64, result verdict) {
+func (d *Dispatcher) resolve(id uint64, received result) {
 	if reply := d.waiting[id]; reply != nil {
 		delete(d.waiting, id)
-		reply <- result
+		reply <- received
 	}
 }
 
-// HasAlternative reports whether a machine that the request was not sent to, other than
-// the given one, could take it.
+// HasAlternative reports whether a machine other than the given one, to which the request
+// was not sent yet, could take it.
 func (d *Dispatcher) HasAlternative(request *dispatch.Request, machine string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.HasAlternative(time.Now(), request, machine)
 }
 
-// Rebind changes in which regions a request may be served, if it still waits.
-func (d *Dispatcher) Rebind(request *dispatch.Request, allowed places.Constraint) {
+// SetAllowed changes the allowed regions of a request if it is still queued.
+func (d *Dispatcher) SetAllowed(request *dispatch.Request, allowed places.Constraint) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.waiting[request.ID] != nil {
@@ -129,7 +128,7 @@
 	}
 }
 
-// Refuse ends the wait of a request, if it still waits.
+// Refuse refuses a request if it is still queued.
 func (d *Dispatcher) Refuse(request *dispatch.Request, reason dispatch.RefusalReason) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -146,30 +145,30 @@
 	d.deliver(d.core.Release(time.Now(), *grant, result))
 }
 
-// Hold gives a machine nothing for a while.
-func (d *Dispatcher) Hold(machine string, span time.Duration) {
+// Hold grants no requests to a machine for the given time.
+func (d *Dispatcher) Hold(machine string, duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.core.Hold(now, machine, now.Add(span))
+	d.core.Hold(now, machine, now.Add(duration))
 }
 
-// HoldPaced gives nothing to any machine that takes permits for a while.
-func (d *Dispatcher) HoldPaced(span time.Duration) {
+// HoldPermitMachines grants no requests to any machine that requires permits for the given time.
+func (d *Dispatcher) HoldPermitMachines(duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.HoldPaced(time.Now().Add(span))
+	d.core.HoldPaced(time.Now().Add(duration))
 }
 
-// Rest gives a machine nothing for a span that it asked for.
-func (d *Dispatcher) Rest(machine string, span time.Duration) {
+// BackOff grants no requests to a machine for a time that it asked for.
+func (d *Dispatcher) BackOff(machine string, duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.Rest(time.Now(), machine, span))
+	d.deliver(d.core.Rest(time.Now(), machine, duration))
 }
 
-// Leave gives a machine nothing more, as it said that it is leaving. It reports whether that was not known.
-func (d *Dispatcher) Leave(machine string) (changed bool) {
+// MarkLeaving grants no further requests to a machine that announced its shutdown. It reports whether that was news.
+func (d *Dispatcher) MarkLeaving(machine string) (changed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	outcome, changed := d.core.Leave(time.Now(), machine)
@@ -177,22 +176,23 @@
 	return changed
 }
 
-// Leaving returns the machines that said that they are leaving.
+// Leaving returns the machines that announced their shutdown.
 func (d *Dispatcher) Leaving() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.Leaving()
 }
 
-// RestingMachines returns how many machines rest.
-func (d *Dispatcher) RestingMachines() int {
+// BackedOffMachines returns the number of machines that asked to back off and still get no requests.
+func (d *Dispatcher) BackedOffMachines() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.RestingMachines(time.Now())
 }
 
-// RetryAfterRest returns when a caller may try again, if all machines that could take a request rest.
-func (d *Dispatcher) RetryAfterRest(request *dispatch.Request) (retryAfter time.Duration, allRest bool) {
+// RetryAfterBackOff returns the time until a machine may be tried again, if all that could take the request asked to
+// back off.
+func (d *Dispatcher) RetryAfterBackOff(request *dispatch.Request) (retryAfter time.Duration, allBackedOff bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.RetryAfterRest(time.Now(), request)
@@ -205,7 +205,7 @@
 	return d.core.MayWrite(time.Now(), *grant)
 }
 
-// Retain forgets what machines that are not listed any more stated about themselves.
+// Retain drops the statements of machines that are not listed any more.
 func (d *Dispatcher) Retain(isListed func(machine string) bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -214,28 +214,28 @@
 	d.core.RetainLeaving(now, isListed)
 }
 
-// SetLimited replaces the machines that name a limit, which must not be changed afterwards.
+// SetLimited replaces the machines with a rate limit. The map must not be modified afterwards.
 func (d *Dispatcher) SetLimited(limited map[string]ratelimit.Limit) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.SetLimited(limited)
 }
 
-// SetWarming replaces the machines that warm up, which must not be changed afterwards.
+// SetWarming replaces the machines that are warming up. The map must not be modified afterwards.
 func (d *Dispatcher) SetWarming(warming map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.SetWarming(warming)
 }
 
-// Started notes that the machine has accepted a granted request, and its answer has begun.
+// Started records that the machine has accepted a granted request and begun to respond.
 func (d *Dispatcher) Started(grant *dispatch.Grant) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.Started(*grant)
 }
 
-// Unreachable returns the machines that no connection came about to lately.
+// Unreachable returns the machines whose recent connections failed.
 func (d *Dispatcher) Unreachable(now time.Time) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -249,7 +249,7 @@
 	return d.core.Work()
 }
 
-// Answers counts how machines have answered this router.
+// Answers returns the counts of responses by machine.
 func (d *Dispatcher) Answers() map[string]dispatch.Answers {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -263,15 +263,15 @@
 	d.deliver(d.core.SetTargets(now, targets))
 }
 
-// ChangeTargets takes over what is new in the targets.
+// ChangeTargets applies changes of the targets.
 func (d *Dispatcher) ChangeTargets(now time.Time, changes dispatch.TargetChanges) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.deliver(d.core.ChangeTargets(now, changes))
 }
 
-// TakeDigest takes the leader's loads and estimates.
-func (d *Dispatcher) TakeDigest(now time.Time, digest *wirepb.ClusterDigest) {
+// ApplyDigest applies the leader's loads and estimates.
+func (d *Dispatcher) ApplyDigest(now time.Time, digest *wirepb.ClusterDigest) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.SetWork(now, nodeview.WorkOf(digest))
@@ -280,18 +280,18 @@
 	d.deliver(d.core.SetEstimates(now, nodeview.EstimatesOf(digest, now)))
 }
 
-// FollowDigests takes each digest of the view until ctx ends.
+// FollowDigests applies each digest of the view until ctx is done.
 func (d *Dispatcher) FollowDigests(ctx context.Context, view *nodeview.View) {
-	view.FollowDigests(ctx, func(digest *wirepb.ClusterDigest) { d.TakeDigest(time.Now(), digest) })
+	view.FollowDigests(ctx, func(digest *wirepb.ClusterDigest) { d.ApplyDigest(time.Now(), digest) })
 }
 
-// Tick lets deadlines pass while requests wait.
-func (d *Dispatcher) Tick(ctx context.Context) {
+// RunTicks runs the timers of queued requests until ctx is done.
+func (d *Dispatcher) RunTicks(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.mustTick:
+		case <-d.queueStarted:
 			d.tickWhileWaiting(ctx)
 		}
 	}
@@ -312,7 +312,7 @@
 	}
 }
 
-// tick reports whether any request still waits. One that begins to wait afterwards wakes Tick again.
+// tick reports whether any request was queued.
 func (d *Dispatcher) tick(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -323,14 +323,14 @@
 	return true
 }
 
-func (d *Dispatcher) wakeTick() {
+func (d *Dispatcher) signalQueued() {
 	select {
-	case d.mustTick <- struct{}{}:
+	case d.queueStarted <- struct{}{}:
 	default:
 	}
 }
 
-// Demand returns what is asked of each version.
+// Demand returns the demand for each model version.
 func (d *Dispatcher) Demand(now time.Time) []dispatch.Demand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -20,26 +20,27 @@
 
 // Headers that callers may send.
 const (
-	// HeaderDeadline is how long the caller waits, as a Go duration.
+	// HeaderDeadline is the caller's timeout, as a Go duration.
 	HeaderDeadline = "X-Weldline-Deadline"
 	// HeaderCaller names the caller for limits.
 	HeaderCaller = "X-Weldline-Caller"
-	// HeaderService names the service where a model belongs to several.
+	// HeaderService names the service of a model that belongs to several.
 	HeaderService = "X-Weldline-Service"
-	// HeaderRequestID is the request's id; one is made up if it is missing.
+	// HeaderRequestID is the request's ID; one is generated if it is missing.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderReplicaWait, on an answer, is for how many milliseconds the
-	// request waited because no replica was ready or free.
+	// HeaderReplicaWait is a response header with the milliseconds that the
+	// request was queued for a replica.
 	HeaderReplicaWait = "X-Weldline-Replica-Wait"
 	// HeaderTraceParent is the W3C trace context.
 	HeaderTraceParent = "Traceparent"
 
 	maxDeadline = 24 * time.Hour
-	// prefixBytes of a prompt identify what an engine may have cached.
+	// prefixBytes is the length of the prompt prefix that is matched with an
+	// engine's prefix cache.
 	prefixBytes = 512
 )
 
-// job is a caller's request on its way through the router.
+// job is the state of one client request.
 type job struct {
 	id          string
 	path        string
@@ -56,8 +57,7 @@
 	prefix      uint64
 }
 
-// inferenceBody is what the router reads of an inference request; the rest
-// is the engine's business.
+// inferenceBody has the fields of an inference request that the router reads.
 type inferenceBody struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -71,7 +71,7 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-// traceParentOf passes a valid trace context on and begins one otherwise.
+// traceParentOf returns the header if it is valid, and else a new trace context.
 func traceParentOf(header string) string {
 	parts := strings.Split(header, "-")
 	if len(parts) == 4 && len(parts[0]) == 2 && len(parts[1]) == 32 && len(parts[2]) == 16 && len(parts[3]) == 2 {
@@ -82,27 +82,27 @@
 	return "00-" + hex.EncodeToString(bytes[:16]) + "-" + hex.EncodeToString(bytes[16:]) + "-01"
 }
 
-// newJob reads what every kind of request has in common.
+// newJob reads the common headers and the body of a request.
 func (g *Gateway) newJob(writer http.ResponseWriter, request *http.Request) (*job, *problem.Document) {
-	created := &job{
+	j := &job{
 		id: request.Header.Get(HeaderRequestID), path: request.URL.Path, arrived: time.Now(),
 		caller: request.Header.Get(HeaderCaller), contentType: request.Header.Get("Content-Type"),
 		traceParent: traceParentOf(request.Header.Get(HeaderTraceParent)),
 	}
-	if created.id == "" {
-		created.id = newRequestID()
+	if j.id == "" {
+		j.id = newRequestID()
 	}
-	writer.Header().Set(HeaderRequestID, created.id)
-	writer.Header().Set(HeaderTraceParent, created.traceParent)
+	writer.Header().Set(HeaderRequestID, j.id)
+	writer.Header().Set(HeaderTraceParent, j.traceParent)
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, g.options.MaxBodyBytes))
 	if err != nil {
-		return created, problem.New(problem.TypeTooLarge, http.StatusRequestEntityTooLarge, "the body could not be read whole: "+err.Error())
+		return j, problem.New(problem.TypeTooLarge, http.StatusRequestEntityTooLarge, "the body could not be read whole: "+err.Error())
 	}
-	created.body = body
-	return created, nil
+	j.body = body
+	return j, nil
 }
 
-// setDeadline takes the caller's deadline, or the service's.
+// setDeadline sets the deadline from the header, or else from the service.
 func (j *job) setDeadline(header string) *problem.Document {
 	wait := time.Duration(j.spec.Deadline)
 	if header != "" {
@@ -122,10 +122,10 @@
 	return document
 }
 
-// readInference reads an inference request and finds what it names.
-func (g *Gateway) readInference(created *job, request *http.Request) *problem.Document {
+// readInference parses an inference request and resolves its model and service.
+func (g *Gateway) readInference(j *job, request *http.Request) *problem.Document {
 	var body inferenceBody
-	if err := json.Unmarshal(created.body, &body); err != nil {
+	if err := json.Unmarshal(j.body, &body); err != nil {
 		return invalid("body", "the body is not a JSON object: %s", err.Error())
 	}
 	if body.Model == "" {
@@ -137,17 +137,17 @@
 		document.Field = "model"
 		return document
 	}
-	created.target = target
-	created.stream = body.Stream
-	created.prefix = prefixOf(body)
+	j.target = target
+	j.stream = body.Stream
+	j.prefix = prefixOf(body)
 	named := request.Header.Get(HeaderService)
-	created.service, created.spec = g.options.View.ServiceOf(target.Model, named)
-	if created.spec == nil {
+	j.service, j.spec = g.options.View.ServiceOf(target.Model, named)
+	if j.spec == nil {
 		document := problem.New(problem.TypeNotFound, http.StatusNotFound, "no such service offers model "+target.Model)
 		document.Field = HeaderService
 		return document
 	}
-	return created.setDeadline(request.Header.Get(HeaderDeadline))
+	return j.setDeadline(request.Header.Get(HeaderDeadline))
 }
 
 func prefixOf(body inferenceBody) uint64 {
@@ -161,14 +161,15 @@
 	return xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
 }
 
-// enterLimits holds the job to the limits of its service.
-func (g *Gateway) enterLimits(created *job) (func(), *problem.Document) {
-	specs := g.options.View.Limits(created.service)
+// acquireLimits applies the limits of the service. It returns a function that
+// releases what the request holds of them.
+func (g *Gateway) acquireLimits(j *job) (func(), *problem.Document) {
+	specs := g.options.View.Limits(j.service)
 	if len(specs) == 0 {
 		return func() {}, nil
 	}
 	routers := int(g.options.View.Digest().GetRouters())
-	release, refusal := g.limits.Acquire(created.arrived, specs, created.caller, routers)
+	release, refusal := g.limits.Acquire(j.arrived, specs, j.caller, routers)
 	if refusal == nil {
 		return release, nil
 	}
--- a/internal/ingress/warming.go
+++ b/internal/ingress/warming.go
@@ -9,67 +9,67 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// warmingGuard knows which machines warm up.
-type warmingGuard struct {
+// warmingTracker tracks which machines are warming up.
+type warmingTracker struct {
 	options Options
 
 	mutex sync.Mutex
 	state *warming.State
 }
 
-func newWarmingGuard(options Options) *warmingGuard {
-	return &warmingGuard{options: options, state: warming.NewState()}
+func newWarmingTracker(options Options) *warmingTracker {
+	return &warmingTracker{options: options, state: warming.NewState()}
 }
 
-func (g *warmingGuard) takeDigest(digest *wirepb.ClusterDigest) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.state.TakeDigest(g.options.Now(), nodeview.WarmingOf(digest))
+func (t *warmingTracker) applyDigest(digest *wirepb.ClusterDigest) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.state.TakeDigest(t.options.Now(), nodeview.WarmingOf(digest))
 }
 
-func (g *warmingGuard) noteFailure(machine string) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.state.NoteFailure(g.options.Now(), machine)
+func (t *warmingTracker) recordFailure(machine string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.state.NoteFailure(t.options.Now(), machine)
 }
 
-// machines returns those that warm up.
-func (g *warmingGuard) machines() map[string]bool {
+// machines returns the machines that are warming up.
+func (t *warmingTracker) machines() map[string]bool {
 	found := map[string]bool{}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	now := g.options.Now()
-	g.options.View.EachWarmUpCandidate(func(machine string, changed uint64) {
-		if g.state.Warms(now, machine, changed) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	now := t.options.Now()
+	t.options.View.EachWarmUpCandidate(func(machine string, changed uint64) {
+		if t.state.Warms(now, machine, changed) {
 			found[machine] = true
 		}
 	})
 	return found
 }
 
-// warms reports whether a machine of a pool is taken to warm up.
-func (g *warmingGuard) warms(pool, machine string) bool {
-	changed, may := g.options.View.MayWarmUp(pool, machine)
+// isWarming reports whether a machine of a pool counts as warming up.
+func (t *warmingTracker) isWarming(pool, machine string) bool {
+	changed, may := t.options.View.MayWarmUp(pool, machine)
 	if !may {
 		return false
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.state.Warms(g.options.Now(), machine, changed)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.state.Warms(t.options.Now(), machine, changed)
 }
 
-// forget drops what digests said: this machine has slept since.
-func (g *warmingGuard) forget() {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.state = warming.NewState()
+// reset discards the state of earlier digests.
+func (t *warmingTracker) reset() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.state = warming.NewState()
 }
 
-// followDigests keeps what is known of warming machines and of limits up to date until ctx ends.
+// followDigests updates the warm-up state and the limits of machines from digests until ctx is done.
 func (i *Ingress) followDigests(ctx context.Context) {
 	i.options.View.FollowDigests(ctx, func(digest *wirepb.ClusterDigest) {
-		i.permits.warming.takeDigest(digest)
+		i.permits.warming.applyDigest(digest)
 		i.dispatcher.SetWarming(i.permits.warming.machines())
-		i.permits.limits.takeDigest(digest)
+		i.permits.limits.applyDigest(digest)
 	})
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// TestWaysOfSharing prints, for each way and scenario, the worst window as a share of what
-// is allowed and the requests below the limit that were refused, in 1,000.
-func TestWaysOfSharing(t *testing.T) {
+// TestSharingModes checks SharingAdaptive against the bound in all scenarios. For each way of
+// sharing it logs the worst window, relative to Bound.MaxAdmitted, and the refusals per 1,000 requests
+// below the limit.
+func TestSharingModes(t *testing.T) {
 	const seeds = 6
-	for _, course := range scenarios() {
+	for _, scenario := range scenarios() {
 		for _, sharing := range []Sharing{SharingEqual, SharingLeased, SharingAdaptive} {
-			line := fmt.Sprintf("%-42s %-9s", course.name, sharing)
+			line := fmt.Sprintf("%-42s %-9s", scenario.name, sharing)
 			for position, name := range []string{"large", "small"} {
-				worst, fair, refused := 0.0, 0, 0
+				worst, withinLimit, refused := 0.0, 0, 0
 				for seed := range uint64(seeds) {
-					played, tenants, limits := course.simulation(sharing, seed)
-					played.run()
-					worst = max(worst, played.worst(tenants[position], limits[position]))
-					fair += played.fair[name]
-					refused += played.refusedBelow[name]
+					sim, tenants, limits := scenario.simulation(sharing, seed)
+					sim.run()
+					worst = max(worst, sim.worstWindow(tenants[position], limits[position]))
+					withinLimit += sim.withinLimit[name]
+					refused += sim.refusedWithinLimit[name]
 				}
-				below := 1000 * float64(refused) / float64(max(1, fair))
-				line += fmt.Sprintf("  %s %.3f, %6.1f", name, worst, below)
-				if sharing == SharingAdaptive && worst > course.most() {
-					t.Errorf("%s: %s used %.3f of what a window allows", course.name, name, worst)
+				refusedPer1000 := 1000 * float64(refused) / float64(max(1, withinLimit))
+				line += fmt.Sprintf("  %s %.3f, %6.1f", name, worst, refusedPer1000)
+				if sharing == SharingAdaptive && worst > scenario.maxUse() {
+					t.Errorf("%s: %s used %.3f of what a window allows", scenario.name, name, worst)
 				}
-				// What usual traffic never meets must cost it nothing.
-				if sharing == SharingAdaptive && course.name == "usual" && below > mostRefusedBelow[name] {
-					t.Errorf("%s: %.1f in 1,000 requests of %s that are below the limit were refused", course.name, below, name)
+				if sharing == SharingAdaptive && scenario.name == "usual" && refusedPer1000 > maxRefusedWithinLimit[name] {
+					t.Errorf("%s: %.1f in 1,000 requests of %s that are below the limit were refused", scenario.name, refusedPer1000, name)
 				}
 			}
 			t.Log(line)
@@ -38,37 +38,38 @@
 	}
 }
 
-// mostRefusedBelow are the requests below the limit, in 1,000, that may be refused on usual
-// days. One request of the small tenant is up to one and a half seconds of its limit.
-var mostRefusedBelow = map[string]float64{"large": 0.5, "small": 5}
+// maxRefusedWithinLimit is the allowed number of refusals per 1,000 requests below the limit under
+// usual demand. A request of the small tenant may cost 1.5 s of its limit.
+var maxRefusedWithinLimit = map[string]float64{"large": 0.5, "small": 5}
 
-// TestMutationsAreCaught: the bound is broken where new leaders aren't told of the window
-// before, and where routers heed a leader that is gone.
+// TestMutationsAreCaught checks that the simulation detects an exceeded bound if routers don't
+// report their recent use, or apply the last allowances without end.
 func TestMutationsAreCaught(t *testing.T) {
 	mutations := []struct {
-		name, course string
-		mutate       func(played *simulation)
+		name, scenario string
+		mutate         func(sim *simulation)
 	}{
-		{"routers don't tell of the window before", "hot, leaders change again and again", func(played *simulation) { played.forgets = true }},
-		{"routers heed a leader that is gone", "hot while cut off, all routers", func(played *simulation) { played.trusts = true }},
+		{"routers don't tell of the window before", "hot, leaders change again and again", func(sim *simulation) { sim.omitRecent = true }},
+		{"routers heed a leader that is gone", "hot while cut off, all routers", func(sim *simulation) { sim.ignoreStaleness = true }},
 	}
 	for _, mutation := range mutations {
-		for _, course := range scenarios() {
-			if course.name != mutation.course {
+		for _, scenario := range scenarios() {
+			if scenario.name != mutation.scenario {
 				continue
 			}
-			played, tenants, limits := course.simulation(SharingAdaptive, 1)
-			mutation.mutate(played)
-			played.run()
-			if worst := max(played.worst(tenants[0], limits[0]), played.worst(tenants[1], limits[1])); worst <= 1 {
-				t.Errorf("%s: not caught, %.3f", mutation.name, worst)
+			sim, tenants, limits := scenario.simulation(SharingAdaptive, 1)
+			mutation.mutate(sim)
+			sim.run()
+			if worst := max(sim.worstWindow(tenants[0], limits[0]), sim.worstWindow(tenants[1], limits[1])); worst <= 1 {
+				t.Errorf("%s: not detected, %.3f", mutation.name, worst)
 			}
 		}
 	}
 }
 
-// TestGivenBackCountsNowhere: a request that proved not to have run uses nothing up.
-func TestGivenBackCountsNowhere(t *testing.T) {
+// TestRefund checks that refunded requests use up neither the bucket nor the
+// reported use.
+func TestRefund(t *testing.T) {
 	limit := Limit{Rate: 1000, Burst: 1000}
 	enforcer := NewEnforcer(0, Bound{Window: 8 * time.Second}, SharingEqual, rand.New(rand.NewPCG(1, 1)))
 	for range 100 {
@@ -88,16 +89,16 @@
 		t.Fatalf("%+v", refusal)
 	}
 	if again := enforcer.Admit(refusal.RetryAfter, "a", limit, 900); again != nil {
-		t.Errorf("refused when told to come back: %+v", again)
+		t.Errorf("refused after Retry-After: %+v", again)
 	}
 }
 
-// TestLimitThatFalls binds at once; one that rises or goes lets through.
-func TestLimitThatFalls(t *testing.T) {
-	played, tenants, _ := scenarios()[0].simulation(SharingAdaptive, 3)
+// TestLoweredLimit checks that a lower limit is enforced within a window.
+func TestLoweredLimit(t *testing.T) {
+	sim, tenants, _ := scenarios()[0].simulation(SharingAdaptive, 3)
 	low := Limit{Rate: largeLimit.Rate / 10, Burst: largeLimit.Burst / 10}
 	const falls, rises = 10 * time.Second, 30 * time.Second
-	played.tenants[0].limit = func(at time.Duration) Limit {
+	sim.tenants[0].limit = func(at time.Duration) Limit {
 		switch {
 		case at < falls:
 			return largeLimit
@@ -106,14 +107,14 @@
 		}
 		return Limit{}
 	}
-	played.run()
+	sim.run()
 	sum := 0.0
-	for _, event := range played.admitted[tenants[0].name] {
+	for _, event := range sim.admitted[tenants[0].name] {
 		if event.at >= falls+simBound.Window && event.at < falls+2*simBound.Window {
 			sum += event.cost
 		}
 	}
 	if sum > simBound.MaxAdmitted(low) || sum < low.Rate*simBound.Window.Seconds()/2 {
-		t.Errorf("%.0f were let through in a window under a limit that allows %.0f", sum, simBound.MaxAdmitted(low))
+		t.Errorf("%.0f admitted in a window, the limit allows %.0f", sum, simBound.MaxAdmitted(low))
 	}
 }
