--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -60,7 +60,7 @@
 				continue
 			}
 			demand := unconstrained
-			if allowed := places.Only(reported.GetRegions()...); allowed.IsBound() {
+			if allowed := places.RestrictTo(reported.GetRegions()...); allowed.IsRestrictive() {
 				constrainedKey := constrainedAdapterKey{key, allowed.Key()}
 				if total[constrainedKey] == nil {
 					total[constrainedKey] = &AdapterDemand{Version: key.version, Adapter: key.adapter, Allowed: allowed, LastUsed: unconstrained.LastUsed, Now: now}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,7 +48,7 @@
 	Planner    placement.Config
 	// Quota bounds by how much tenants may exceed their limits.
 	Quota  quota.Bound
-	Places places.Map
+	Places places.ZoneMap
 	// Routers is the number of routers in the preceding term, if known.
 	Routers int
 }
@@ -156,7 +156,7 @@
 
 // Work returns the average rate of work of each version, in tokens per second.
 func (c *Controller) Work() map[string]float64 {
-	return c.planner.Work()
+	return c.planner.WorkRates()
 }
 
 // SweepDue reports whether abandoned claims should be searched for. The sweep only covers claims that
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -37,7 +37,7 @@
 		drainZone(t, machine, "elsewhere", true)
 		view := &clusterView{storedView: readState(machine), reports: map[string]machineEntry{"m": {report: &wirepb.MachineReport{}}}}
 		listed := view.placementMachines()["m"]
-		if listed.Accepts == drained || listed.Drained != drained || listed.Lost {
+		if listed.Schedulable == drained || listed.Drained != drained || listed.Lost {
 			t.Errorf("drained %t: machine %+v", drained, listed)
 		}
 	}
--- a/internal/controller/loadcrash.go
+++ b/internal/controller/loadcrash.go
@@ -36,9 +36,9 @@
 		}
 		spec := action.Replica.Spec
 		switch {
-		case action.EndedUnderLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonAnnounced:
+		case action.CrashedDuringLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonAnnounced:
 			// The machine announced its shutdown.
-		case action.EndedUnderLoad:
+		case action.CrashedDuringLoad:
 			run := quarantine.Run{
 				Machine: spec.Machine, Life: quarantine.LifeOf(spec.Machine, spec.Incarnation),
 				Identity: quarantine.LoadIdentity(spec.Version), Route: loadRoutePrefix + spec.Version,
--- a/internal/controller/loadcrash_test.go
+++ b/internal/controller/loadcrash_test.go
@@ -35,7 +35,7 @@
 	machine := fleetState(t)
 	declareDefault(t, machine, "blue")
 	gone := func(name string) placement.Action {
-		return placement.Action{Kind: placement.ActionRemove, Replica: loadingReplica(name), Reason: "machine-gone", EndedUnderLoad: true}
+		return placement.Action{Kind: placement.ActionRemove, Replica: loadingReplica(name), Reason: "machine-gone", CrashedDuringLoad: true}
 	}
 	view := readState(machine)
 	commands := view.loadCommands([]placement.Action{gone("i-1"), gone("i-2"), {Kind: placement.ActionUnload, Replica: loadingReplica("i-3")}})
--- a/internal/controller/registered.go
+++ b/internal/controller/registered.go
@@ -35,7 +35,7 @@
 	versions map[versionKey]declaredVersion
 	// replicas has the replica records by machine.
 	replicas map[string][]storedReplica
-	places   places.Map
+	places   places.ZoneMap
 	// engines caches the result of engineNames.
 	engines     []string
 	enginesOnce sync.Once
@@ -67,7 +67,7 @@
 
 // RegisteredFleetCache keeps the snapshot of the newest revision. Snapshots are not modified.
 type RegisteredFleetCache struct {
-	Places   places.Map
+	Places   places.ZoneMap
 	mutex    sync.Mutex
 	snapshot *RegisteredFleet
 }
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -204,7 +204,7 @@
 	}
 }
 
-func claimOutcome(outcome attemptOutcome) claims.SendEnd {
+func claimOutcome(outcome attemptOutcome) claims.SendOutcome {
 	switch outcome {
 	case outcomeAnswered:
 		return claims.SendAnswered
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -119,7 +119,7 @@
 	m.examined.WithLabelValues(verdict.String()).Inc()
 }
 
-func (m *Metrics) observeSent(nearness places.Nearness) {
+func (m *Metrics) observeSent(nearness places.Proximity) {
 	m.sends.WithLabelValues(nearness.String()).Inc()
 }
 
--- a/internal/ingress/regions.go
+++ b/internal/ingress/regions.go
@@ -28,11 +28,11 @@
 
 // constraint returns the regions that both the route and the tenant allow.
 func (k constraintKey) constraint() places.Constraint {
-	allowed := places.Only(k.route.AllowedRegions...)
+	allowed := places.RestrictTo(k.route.AllowedRegions...)
 	if k.tenant == nil {
 		return allowed
 	}
-	return allowed.And(places.Only(k.tenant.AllowedRegions...))
+	return allowed.Intersect(places.RestrictTo(k.tenant.AllowedRegions...))
 }
 
 // constraintCache caches the constraint of each pair of route and tenant, which is needed before each
@@ -102,7 +102,7 @@
 
 // noMachineProblem returns a problem if the allowed regions have no machine of the request's pool.
 func (j *job) noMachineProblem(allowed places.Constraint) *problem.Document {
-	if !allowed.IsBound() || j.ingress.options.View.HasMachineIn(j.pool, allowed) {
+	if !allowed.IsRestrictive() || j.ingress.options.View.HasMachineIn(j.pool, allowed) {
 		return nil
 	}
 	detail := fmt.Sprintf("pool %s has no machine in the allowed regions %s", j.pool, strings.Join(allowed.Regions(), ", "))
--- a/internal/ingress/regions_test.go
+++ b/internal/ingress/regions_test.go
@@ -14,7 +14,7 @@
 )
 
 // threeRegions has one zone in each of three regions; the router is in the first.
-var threeRegions = places.Position{Zone: "za", Map: places.NewMap(map[string]string{"za": "a", "zb": "b", "zc": "c"})}
+var threeRegions = places.Location{Zone: "za", Zones: places.NewZoneMap(map[string]string{"za": "a", "zb": "b", "zc": "c"})}
 
 // regional is a deployment with one machine in each zone.
 type regional struct {
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -224,7 +224,7 @@
 // TestUnsentAttemptsDoNotCountForRetryBudget checks that only attempts that were written add to the retry
 // budget.
 func TestUnsentAttemptsDoNotCountForRetryBudget(t *testing.T) {
-	deployment := newDeploymentAt(t, places.Position{}, func(options *ingress.Options) {
+	deployment := newDeploymentAt(t, places.Location{}, func(options *ingress.Options) {
 		options.Budget = retrybudget.Config{Ratio: 1, Window: time.Hour}
 	})
 	failing := func(_ receivedRequest, _ int, connection net.Conn) bool { return reset(connection) }
--- a/internal/nodeview/regions_test.go
+++ b/internal/nodeview/regions_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-var testPosition = places.Position{Zone: "za", Map: places.NewMap(map[string]string{"za": "a", "zb": "b"})}
+var testPosition = places.Location{Zone: "za", Zones: places.NewZoneMap(map[string]string{"za": "a", "zb": "b"})}
 
 // The counts by region must match the machines after random changes.
 func TestHasMachineInAfterRandomChanges(t *testing.T) {
@@ -50,10 +50,10 @@
 			object := &wirepb.Object{Kind: string(v1.KindMachine), Name: name, Revision: revision + 1, Spec: encodedSpec, Status: encodedStatus}
 			view.Apply(feed.Changes{Revision: revision + 1, Events: []*wirepb.WatchEvent{{Object: object, Deleted: deleted}}})
 			for _, pool := range []string{"p", "q"} {
-				for _, allowed := range []places.Constraint{{}, places.Only("a"), places.Only("b"), places.Only("a", "b")} {
+				for _, allowed := range []places.Constraint{{}, places.RestrictTo("a"), places.RestrictTo("b"), places.RestrictTo("a", "b")} {
 					want := false
 					for machine := range maps.Values(present) {
-						want = want || machine.Pool == pool && allowed.Allows(testPosition.Map.Region(machine.Zone))
+						want = want || machine.Pool == pool && allowed.Allows(testPosition.Zones.Region(machine.Zone))
 					}
 					if view.HasMachineIn(pool, allowed) != want {
 						t.Fatalf("HasMachineIn(%s, %q) = %t", pool, allowed.Key(), !want)
@@ -89,13 +89,13 @@
 			encodedStatus, _ := json.Marshal(status)
 			object := &wirepb.Object{Kind: string(v1.KindMachine), Name: changed, Revision: revision + 1, Spec: encodedSpec, Status: encodedStatus}
 			view.Apply(feed.Changes{Revision: revision + 1, Events: []*wirepb.WatchEvent{{Object: object, Deleted: deleted}}})
-			allowed := places.Only("a")
+			allowed := places.RestrictTo("a")
 			for name, own := range present {
 				for _, endpoint := range endpoints {
-					want := allowed.Allows(testPosition.Map.Region(own.Zone))
+					want := allowed.Allows(testPosition.Zones.Region(own.Zone))
 					for other, machine := range present {
 						shared := other != name && live[other] && machine.Endpoint == endpoint
-						want = want && (!shared || allowed.Allows(testPosition.Map.Region(machine.Zone)))
+						want = want && (!shared || allowed.Allows(testPosition.Zones.Region(machine.Zone)))
 					}
 					if view.MayServe(name, endpoint, allowed) != want {
 						t.Fatalf("MayServe(%s, %s) = %t", name, endpoint, !want)
--- a/internal/nodeview/subset_bench_test.go
+++ b/internal/nodeview/subset_bench_test.go
@@ -45,10 +45,10 @@
 	for number := range 6 {
 		zones[fmt.Sprint("zone-", number)] = "region"
 	}
-	position := places.Position{Zone: "zone-1", Map: places.NewMap(zones)}
+	position := places.Location{Zone: "zone-1", Zones: places.NewZoneMap(zones)}
 	for _, machines := range []int{1000, 10_000, 20_000} {
 		all := fleetEvents(machines)
-		index := subset.NewIndex(position.Map)
+		index := subset.NewIndex(position.Zones)
 		index.Apply(all, uint64(len(all)), true)
 		part := index.Subset(position).Update()
 		for _, way := range []struct {
--- a/internal/nodeview/view.go
+++ b/internal/nodeview/view.go
@@ -42,7 +42,7 @@
 // View is a node's copy of the replicated state. It implements feed.Sink and is safe for concurrent
 // use.
 type View struct {
-	position places.Position
+	position places.Location
 	mutex    sync.RWMutex
 	revision uint64
 	objects  map[state.Key]*wirepb.Object
@@ -89,16 +89,16 @@
 
 // New returns an empty view without zones.
 func New() *View {
-	return NewAt(places.Position{})
+	return NewAt(places.Location{})
 }
 
 // Region returns the node's region, or an empty string if it is unknown.
 func (v *View) Region() string {
-	return v.position.Map.Region(v.position.Zone)
+	return v.position.Zones.Region(v.position.Zone)
 }
 
 // NewAt returns an empty view of a node at a position.
-func NewAt(position places.Position) *View {
+func NewAt(position places.Location) *View {
 	view := &View{position: position, changed: signal.New(), digestChanged: signal.New()}
 	view.clear()
 	return view
--- a/internal/subset/index.go
+++ b/internal/subset/index.go
@@ -68,7 +68,7 @@
 
 // Index has the machines and replicas of a state by group.
 type Index struct {
-	places   places.Map
+	places   places.ZoneMap
 	revision uint64
 	machines map[string]*machine
 	replicas map[string]*replica
@@ -86,7 +86,7 @@
 }
 
 // NewIndex returns an empty index.
-func NewIndex(zones places.Map) *Index {
+func NewIndex(zones places.ZoneMap) *Index {
 	index := &Index{places: zones}
 	index.clear()
 	return index
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -38,7 +38,7 @@
 type Subset struct {
 	index      *Index
 	generation uint64
-	position   places.Position
+	position   places.Location
 	// known has the machines and replicas that were sent to the node and not deleted.
 	known map[state.Key]struct{}
 	// selected has the selected members of each group, including former members.
@@ -55,7 +55,7 @@
 }
 
 // Subset returns an empty subset for a node.
-func (x *Index) Subset(position places.Position) *Subset {
+func (x *Index) Subset(position places.Location) *Subset {
 	return &Subset{
 		index: x, generation: x.generation, position: position, known: map[state.Key]struct{}{},
 		selected: map[*group][]string{}, limits: map[*group]int{}, nextChange: -1,
@@ -213,7 +213,7 @@
 		return raised
 	}
 	limit := initialLimits[g.key.kind]
-	if g.key.region != s.position.Map.Region(s.position.Zone) {
+	if g.key.region != s.position.Zones.Region(s.position.Zone) {
 		limit = max(1, limit/otherRegionDivisor)
 	}
 	return limit
@@ -275,7 +275,7 @@
 type candidate struct {
 	name     string
 	usable   bool
-	nearness places.Nearness
+	nearness places.Proximity
 	weight   uint64
 }
 
@@ -290,7 +290,7 @@
 	for member, host := range g.members {
 		if !isSelected[member] {
 			candidates = append(candidates, candidate{
-				name: member, usable: s.index.isUsable(host), nearness: s.position.To(host.spec.Zone),
+				name: member, usable: s.index.isUsable(host), nearness: s.position.ProximityOf(host.spec.Zone),
 				weight: xxhash.Sum64String(s.position.Zone + "\x00" + member),
 			})
 		}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -16,7 +16,7 @@
 )
 
 // twoRegions has the zones a1 and a2 in region a, and b1 in region b.
-var twoRegions = places.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
+var twoRegions = places.NewZoneMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 
 // eventSource creates change events with increasing revisions.
 type eventSource struct {
@@ -60,7 +60,7 @@
 }
 
 func newTestNode(index *Index, zone string) *testNode {
-	return &testNode{subset: index.Subset(places.Position{Map: index.places, Zone: zone}), objects: map[state.Key]*wirepb.Object{}}
+	return &testNode{subset: index.Subset(places.Location{Zones: index.places, Zone: zone}), objects: map[state.Key]*wirepb.Object{}}
 }
 
 func (w *testNode) take(events []*wirepb.WatchEvent) {
