--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -6,15 +6,14 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// A drained zone comes back, mostly within minutes and with its machines as they were. So what
-// they hold stays, and costs nothing there; but as nothing is sent to them, it serves nobody: a
-// version that only they hold is wanted elsewhere, by its worth and at the store's pace as any.
+// Drains are usually short and the machines return unchanged, so drained machines keep their
+// replicas. Since they receive no requests, versions held only there are loaded elsewhere.
 
-// drainedReason is why a replica in a drained zone must go after all; empty if it stays. The
-// state counts it as one of its version's replicas: at the declared maximum it would keep
-// requests that wait from being served elsewhere.
+// drainedReason returns why a replica in a drained zone must be unloaded; empty if it stays. It
+// counts against the declared maximum, and at the maximum it would block a load for waiting
+// requests.
 func (p *pass) drainedReason(replica *Replica, version *Version) string {
-	if version == nil || replica.Running > 0 || p.isAllDrained(version.Spec.Pool) {
+	if version == nil || replica.Running > 0 || p.isPoolDrained(version.Spec.Pool) {
 		return ""
 	}
 	demand := p.input.Demand[version.Name]
@@ -22,18 +21,18 @@
 	if demand == nil || demand.Waiting == 0 || held < version.MaxReplicas {
 		return ""
 	}
-	if p.usable(version) > 0 && !p.mayServeBound(version, demand) {
+	if p.usable(version) > 0 && !p.canServeConstrained(version, demand) {
 		return ""
 	}
 	return "drained-at-maximum"
 }
 
-// mayServeBound reports whether requests wait that no replica of a version may serve, and a machine
-// is there that may once it holds one.
-func (p *pass) mayServeBound(version *Version, demand *Demand) bool {
-	for _, entry := range p.boundWants(version, demand) {
+// canServeConstrained reports whether requests wait that no replica of a version may serve, and a
+// schedulable machine may host a replica for them.
+func (p *pass) canServeConstrained(version *Version, demand *Demand) bool {
+	for _, pending := range p.constrainedReplicas(version, demand) {
 		for _, candidate := range p.machines {
-			if candidate.machine.Accepts && entry.mayUse(candidate) {
+			if candidate.machine.Accepts && pending.canRunOn(candidate) {
 				return true
 			}
 		}
@@ -41,9 +40,9 @@
 	return false
 }
 
-// isAllDrained reports whether a pool has machines, and all that are not lost stand in drained
+// isPoolDrained reports whether a pool has machines, and all that are not lost are in drained
 // zones.
-func (p *pass) isAllDrained(pool string) bool {
+func (p *pass) isPoolDrained(pool string) bool {
 	all, known := p.poolDrained[pool]
 	if known {
 		return all
@@ -61,26 +60,26 @@
 	return all
 }
 
-// estimateDrained tells routers of versions that no machine outside of drained zones can hold:
-// who waits for one would wait for an operator.
+// estimateDrained refuses requests for versions whose whole pool is drained: they would wait until
+// an operator ends the drain.
 func (p *pass) estimateDrained() {
 	for name, demand := range p.input.Demand {
 		version := p.input.Versions[name]
-		if demand.Waiting == 0 || version == nil || len(p.byVersion[name]) > 0 || !p.isAllDrained(version.Spec.Pool) {
+		if demand.Waiting == 0 || version == nil || len(p.byVersion[name]) > 0 || !p.isPoolDrained(version.Spec.Pool) {
 			continue
 		}
 		p.decision.Estimates = append(p.decision.Estimates, Estimate{Version: name, Refused: true, Reason: v1.ReasonZoneDrained})
 	}
 }
 
-// runsDrained reports whether a replica of a version still serves in a drained zone.
-func (p *pass) runsDrained(version string) bool {
+// isServingDrained reports whether a replica of a version in a drained zone still runs requests.
+func (p *pass) isServingDrained(version string) bool {
 	return slices.ContainsFunc(p.drained[version], func(replica *Replica) bool {
 		return replica.Spec.Phase == v1.ReplicaReady && replica.Running > 0
 	})
 }
 
-// withoutReplica returns replicas but one of them, and leaves the list as it is.
+// withoutReplica returns the replicas except one, without modifying the slice.
 func withoutReplica(replicas []*Replica, gone *Replica) []*Replica {
 	position := slices.Index(replicas, gone)
 	if position < 0 {
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -8,121 +8,118 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// evictionPatience is how long room made for a version is waited for before
-// room is made elsewhere.
-const evictionPatience = 5 * time.Second
+// evictionTimeout is how long a version waits for evicted memory before memory is freed elsewhere.
+const evictionTimeout = 5 * time.Second
 
-// madeRoom is room on a machine that is on its way to a version, and until
-// when it is waited for.
-type madeRoom struct {
+// reservation is memory that is being freed for a version.
+type reservation struct {
 	machine string
 	until   time.Time
 }
 
 const (
-	// evictionTakes is about how long it takes to unload an idle replica.
-	evictionTakes = 100 * time.Millisecond
-	// worthEvicting is the share of the load time elsewhere below which a load
-	// in evicted room must be: a small gain is not worth another's replica.
-	worthEvicting = 0.6
-	// usualRun is about how long the requests that run on a replica go on: streams last a second
-	// or two, and several of them run at once.
-	usualRun = 1500 * time.Millisecond
-	// inUse is how many requests must run for each replica of a version for all of them to be
-	// taken to be in use: engines don't tell what they run of which model.
-	inUse = 0.5
+	// evictionTime is the typical time to unload an idle replica.
+	evictionTime = 100 * time.Millisecond
+	// maxEvictionLoadRatio is the largest load time after an eviction, relative to the load time
+	// without it, for which a replica is evicted.
+	maxEvictionLoadRatio = 0.6
+	// typicalRunTime is the typical time until the running requests of a replica have finished.
+	typicalRunTime = 1500 * time.Millisecond
+	// busyRequestsPerReplica is the number of running requests per replica from which all replicas
+	// of a version are assumed to be in use, since engines do not report running requests by
+	// model.
+	busyRequestsPerReplica = 0.5
 )
 
-// evictForSpeed makes room on a machine that has the checkpoint in a faster
-// tier than the one with room, if nothing but idle replicas is in the way and
-// their next cold starts cost less than this one saves.
-func (p *pass) evictForSpeed(entry want, names []string, readyIn time.Duration) bool {
-	if !entry.urgent {
+// evictForSpeed evicts idle replicas on a machine that has the checkpoint in a faster tier, if
+// their next cold starts are expected to cost less than the faster load saves.
+func (p *pass) evictForSpeed(pending pendingReplica, names []string, readyIn time.Duration) bool {
+	if !pending.urgent {
 		return false
 	}
 	var best []*Replica
-	bestMachine, bestTime := "", time.Duration(float64(readyIn)*worthEvicting)
+	bestMachine, bestTime := "", time.Duration(float64(readyIn)*maxEvictionLoadRatio)
 	for _, name := range names {
 		candidate := p.machines[name]
-		if !entry.mayUse(candidate) {
+		if !pending.canRunOn(candidate) {
 			continue
 		}
-		tier := candidate.machine.tierOf(entry.version.Spec.Checkpoint)
-		takes := p.loadTime(entry.version, tier) + evictionTakes
-		if takes >= bestTime {
+		tier := candidate.machine.tierOf(pending.version.Spec.Checkpoint)
+		loadTime := p.loadTime(pending.version, tier) + evictionTime
+		if loadTime >= bestTime {
 			continue
 		}
-		victims, cost := p.victimsOn(entry, candidate)
-		saved := (readyIn - takes).Seconds() * entry.version.ColdStartWeight
+		victims, cost := p.victimsOn(pending, candidate)
+		saved := (readyIn - loadTime).Seconds() * pending.version.ColdStartWeight
 		if victims != nil && cost < saved {
-			best, bestMachine, bestTime = victims, name, takes
+			best, bestMachine, bestTime = victims, name, loadTime
 		}
 	}
 	if best == nil {
 		return false
 	}
-	p.evict(entry, bestMachine, best, bestTime)
+	p.evict(pending, bestMachine, best, bestTime)
 	return true
 }
 
-// expect counts the room that is still being made on each machine.
-func (p *pass) expect() {
-	for name, made := range p.planner.evicting {
-		target := p.machines[made.machine]
-		if target != nil && p.input.Now.Before(made.until) && !target.hasReplica(name) {
-			target.expected++
-			target.promised = append(target.promised, name)
+// trackReservations counts the pending reservations on each machine.
+func (p *pass) trackReservations() {
+	for name, reservation := range p.planner.reservations {
+		target := p.machines[reservation.machine]
+		if target != nil && p.input.Now.Before(reservation.until) && !target.hasReplica(name) {
+			target.pendingLoads++
+			target.reservedFor = append(target.reservedFor, name)
 		}
 	}
 }
 
-// isPromisedToOthers reports whether room on a registered machine was made for
-// other versions only: what another takes would have to be made again.
-func (r *room) isPromisedToOthers(version *Version) bool {
-	return len(r.promised) > 0 && !slices.Contains(r.promised, version.Name)
+// isReservedForOthers reports whether the freed memory of a registered machine is reserved for
+// other versions only.
+func (s *machineState) isReservedForOthers(version *Version) bool {
+	return len(s.reservedFor) > 0 && !slices.Contains(s.reservedFor, version.Name)
 }
 
-// awaitsRoom reports whether room made for a version is still on its way.
-func (p *pass) awaitsRoom(entry want) bool {
-	made, waiting := p.planner.evicting[entry.version.Name]
-	if !waiting || !p.input.Now.Before(made.until) {
+// awaitsEviction reports whether memory is still being freed for a version.
+func (p *pass) awaitsEviction(pending pendingReplica) bool {
+	reservation, waiting := p.planner.reservations[pending.version.Name]
+	if !waiting || !p.input.Now.Before(reservation.until) {
 		return false
 	}
-	target := p.machines[made.machine]
-	if target == nil || !target.machine.Accepts || !entry.mayUse(target) {
+	target := p.machines[reservation.machine]
+	if target == nil || !target.machine.Accepts || !pending.canRunOn(target) {
 		return false
 	}
-	bytes := entry.version.Spec.BytesPerAccelerator()
-	return fit(target.free, target.holds, entry.version.Spec.Accelerators, bytes) == nil
+	bytes := pending.version.Spec.BytesPerAccelerator()
+	return fit(target.freeBytes, target.replicaCounts, pending.version.Spec.Accelerators, bytes) == nil
 }
 
-func (p *pass) evict(entry want, machine string, victims []*Replica, takes time.Duration) {
+func (p *pass) evict(pending pendingReplica, machine string, victims []*Replica, readyIn time.Duration) {
 	for _, victim := range victims {
 		p.unload(victim, "evicted")
 	}
-	p.machines[machine].expected++
+	p.machines[machine].pendingLoads++
 	p.machines[machine].unloading++
-	p.planner.evicting[entry.version.Name] = madeRoom{machine: machine, until: p.input.Now.Add(evictionPatience)}
-	p.estimate(entry, takes)
+	p.planner.reservations[pending.version.Name] = reservation{machine: machine, until: p.input.Now.Add(evictionTimeout)}
+	p.estimate(pending, readyIn)
 }
 
-// makeRoom evicts idle replicas for a wanted one that fits nowhere.
-func (p *pass) makeRoom(entry want, names []string) {
-	if !entry.urgent {
-		return // Nothing is evicted for a replica kept in reserve.
+// evictFor evicts idle replicas for a pending replica that fits on no machine.
+func (p *pass) evictFor(pending pendingReplica, names []string) {
+	if !pending.urgent {
+		return // Proactive loads evict nothing.
 	}
-	if p.refuseTooLarge(entry.version) {
+	if p.refuseTooLarge(pending.version) {
 		return
 	}
-	machine, victims := p.cheapestVictims(entry, names)
+	machine, victims := p.cheapestVictims(pending, names)
 	if victims == nil {
-		return // All in use: the request waits for a place until its deadline.
+		return // All replicas are in use: the request waits until its deadline.
 	}
-	p.evict(entry, machine, victims, p.loadTime(entry.version, TierRemote))
+	p.evict(pending, machine, victims, p.loadTime(pending.version, TierRemote))
 }
 
-// refuseTooLarge tells routers of a version that no machine can hold, and reports
-// whether it is one.
+// refuseTooLarge refuses requests for a version that no machine can hold, and reports whether it
+// did.
 func (p *pass) refuseTooLarge(version *Version) bool {
 	if p.fitsAnywhere(version) {
 		return false
@@ -133,17 +130,17 @@
 	return true
 }
 
-// machineSize is what a version asks of a machine.
-type machineSize struct {
+// sizeRequirement is the machine size that a version requires.
+type sizeRequirement struct {
 	pool         string
 	accelerators int
 	bytes        int64
 }
 
-// fitsAnywhere reports whether a machine of the pool is large enough for a version.
+// fitsAnywhere reports whether any machine of the pool is large enough for a version.
 func (p *pass) fitsAnywhere(version *Version) bool {
-	size := machineSize{version.Spec.Pool, version.Spec.Accelerators, version.Spec.BytesPerAccelerator()}
-	fits, known := p.largest[size]
+	size := sizeRequirement{version.Spec.Pool, version.Spec.Accelerators, version.Spec.BytesPerAccelerator()}
+	fits, known := p.fits[size]
 	if known {
 		return fits
 	}
@@ -153,28 +150,28 @@
 			break
 		}
 	}
-	if p.largest == nil {
-		p.largest = map[machineSize]bool{}
+	if p.fits == nil {
+		p.fits = map[sizeRequirement]bool{}
 	}
-	p.largest[size] = fits
+	p.fits[size] = fits
 	return fits
 }
 
-// cheapestVictims returns the idle replicas of one machine whose eviction
-// costs least, the load of the wanted one there included.
-func (p *pass) cheapestVictims(entry want, names []string) (machine string, best []*Replica) {
+// cheapestVictims returns the machine with the lowest cost of evicting idle replicas and loading
+// the pending one, and the replicas to evict there.
+func (p *pass) cheapestVictims(pending pendingReplica, names []string) (machine string, best []*Replica) {
 	var bestCost float64
 	for _, name := range names {
 		candidate := p.machines[name]
-		if !entry.mayUse(candidate) {
+		if !pending.canRunOn(candidate) {
 			continue
 		}
-		victims, cost := p.victimsOn(entry, candidate)
+		victims, cost := p.victimsOn(pending, candidate)
 		if victims == nil {
 			continue
 		}
-		tier := candidate.machine.tierOf(entry.version.Spec.Checkpoint)
-		cost += p.loadTime(entry.version, tier).Seconds() * entry.version.ColdStartWeight
+		tier := candidate.machine.tierOf(pending.version.Spec.Checkpoint)
+		cost += p.loadTime(pending.version, tier).Seconds() * pending.version.ColdStartWeight
 		if best == nil || cost < bestCost {
 			machine, best, bestCost = name, victims, cost
 		}
@@ -182,40 +179,41 @@
 	return machine, best
 }
 
-// victimsOn evicts idle replicas of one machine, cheapest first, until the
-// wanted one fits, then spares those that turned out not to be needed.
-func (p *pass) victimsOn(entry want, candidate *room) ([]*Replica, float64) {
-	idle := p.idleOn(candidate, entry.further)
-	free := append([]int64(nil), candidate.free...)
-	bytes := entry.version.Spec.BytesPerAccelerator()
-	count := entry.version.Spec.Accelerators
+// victimsOn selects the cheapest idle replicas of a machine whose eviction makes the pending
+// replica fit, without those that turn out to be unnecessary. It returns them with their eviction
+// cost.
+func (p *pass) victimsOn(pending pendingReplica, candidate *machineState) ([]*Replica, float64) {
+	idle := p.idleOn(candidate, pending.additional)
+	free := append([]int64(nil), candidate.freeBytes...)
+	bytes := pending.version.Spec.BytesPerAccelerator()
+	count := pending.version.Spec.Accelerators
 	var victims []*Replica
 	for _, replica := range idle {
-		release(free, replica, 1)
+		adjustFree(free, replica, 1)
 		victims = append(victims, replica)
-		if fit(free, candidate.holds, count, bytes) != nil {
+		if fit(free, candidate.replicaCounts, count, bytes) != nil {
 			break
 		}
 	}
-	if fit(free, candidate.holds, count, bytes) == nil || len(victims) == 0 {
+	if fit(free, candidate.replicaCounts, count, bytes) == nil || len(victims) == 0 {
 		return nil, 0
 	}
 	var needed []*Replica
 	cost := 0.0
 	for position := len(victims) - 1; position >= 0; position-- {
 		victim := victims[position]
-		release(free, victim, -1)
-		if fit(free, candidate.holds, count, bytes) != nil {
+		adjustFree(free, victim, -1)
+		if fit(free, candidate.replicaCounts, count, bytes) != nil {
 			continue
 		}
-		release(free, victim, 1)
+		adjustFree(free, victim, 1)
 		needed = append(needed, victim)
 		cost += p.evictionCost(victim)
 	}
 	return needed, cost
 }
 
-func release(free []int64, replica *Replica, sign int64) {
+func adjustFree(free []int64, replica *Replica, sign int64) {
 	for _, accelerator := range replica.Spec.Accelerators {
 		if accelerator < len(free) {
 			free[accelerator] += sign * replica.Spec.BytesPerAccelerator
@@ -223,7 +221,7 @@
 	}
 }
 
-func (p *pass) idleOn(candidate *room, further bool) []*Replica {
+func (p *pass) idleOn(candidate *machineState, additional bool) []*Replica {
 	var idle []*Replica
 	for _, replica := range candidate.replicas {
 		if replica.Spec.Phase != v1.ReplicaReady || p.changed[replica] || !p.mayEvict(replica) {
@@ -233,8 +231,8 @@
 		if version != nil && len(p.byVersion[version.Name]) <= version.MinReplicas {
 			continue
 		}
-		if further && version != nil && p.isOnlyAllowed(replica, version) {
-			continue // Others that share the load of a version can't stand in for it.
+		if additional && version != nil && p.isOnlyAllowed(replica, version) {
+			continue // Other replicas of the version may not serve its constrained requests.
 		}
 		idle = append(idle, replica)
 	}
@@ -248,28 +246,26 @@
 	return idle
 }
 
-// evictionCost is the cold start that an eviction is expected to cause, in
-// weighted seconds: the longer a replica has idled, the less likely is a use
-// soon.
+// evictionCost is the expected cost of the next cold start after an eviction, in weighted seconds.
+// It falls with the idle time of the replica.
 func (p *pass) evictionCost(replica *Replica) float64 {
 	version := p.input.Versions[replica.Spec.Version]
 	if version == nil {
 		return 0
 	}
 	if version.Spec.Pool != "" {
-		return version.ColdStartWeight * (p.loadTime(version, TierDisk).Seconds()*p.replicaWorth(replica, version) + p.runsTake(version).Seconds())
+		return version.ColdStartWeight * (p.loadTime(version, TierDisk).Seconds()*p.replicaValue(replica, version) + p.remainingRunTime(version).Seconds())
 	}
 	idle := p.input.Now.Sub(p.planner.lastUsed[replica.Name])
 	load := p.loadTime(version, TierDisk).Seconds()
 	return load * version.ColdStartWeight / (1 + idle.Seconds())
 }
 
-// runsTake is about how long it takes until nothing runs any more on a replica of a version. An
-// engine unloads a model only then, and takes no other order meanwhile: what waits for the room
-// waits for these runs, also where the version can do without the replica.
-func (p *pass) runsTake(version *Version) time.Duration {
-	if p.interrupted(version) < inUse*float64(max(1, p.ready(version))) {
+// remainingRunTime returns the expected time until the running requests on a replica have finished.
+// Engines unload a model only then, and execute no other order meanwhile.
+func (p *pass) remainingRunTime(version *Version) time.Duration {
+	if p.runningRequests(version) < busyRequestsPerReplica*float64(max(1, p.ready(version))) {
 		return 0
 	}
-	return usualRun
+	return typicalRunTime
 }
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -8,92 +8,90 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// room is the free memory of a machine's accelerators.
-type room struct {
+// machineState is a machine with its replicas and the free memory of its accelerators.
+type machineState struct {
 	machine *Machine
-	// free may be negative where a declaration shrank.
-	free     []int64
-	replicas []*Replica
-	// holds counts replicas on each accelerator.
-	holds []int
-	// loading counts loads in progress: they share the machine's links.
+	// freeBytes counts the free memory of each accelerator; negative if its declared size shrank.
+	freeBytes []int64
+	replicas  []*Replica
+	// replicaCounts counts the number of replicas on each accelerator.
+	replicaCounts []int
+	// loading counts the loads in progress, which share the bandwidth of the machine.
 	loading int
-	// unloading counts replicas that are to go and have not gone.
+	// unloading counts the replicas that are being unloaded.
 	unloading int
-	// expected counts loads for which room is being made.
-	expected int
-	// changed counts the replicas that the pass has acted on.
+	// pendingLoads counts the loads for which memory is being freed.
+	pendingLoads int
+	// changed counts the replicas that this pass has acted on.
 	changed int
-	// work is the rate of work that the machine gets.
-	work float64
-	// promised are the versions that room was made for and that are not there.
-	promised []string
+	// workRate is the rate of work on the machine, in tokens per second.
+	workRate float64
+	// reservedFor counts the versions for which memory was freed and that are not loaded yet.
+	reservedFor []string
 }
 
-func newRoom(machine *Machine) *room {
-	opened := &room{machine: machine, free: make([]int64, machine.Accelerators), holds: make([]int, machine.Accelerators)}
-	for position := range opened.free {
-		opened.free[position] = machine.AcceleratorBytes
+func newMachineState(machine *Machine) *machineState {
+	created := &machineState{machine: machine, freeBytes: make([]int64, machine.Accelerators), replicaCounts: make([]int, machine.Accelerators)}
+	for position := range created.freeBytes {
+		created.freeBytes[position] = machine.AcceleratorBytes
 	}
-	return opened
+	return created
 }
 
-func (r *room) reserve(replica *Replica) {
-	r.take(replica.Spec)
-	r.replicas = append(r.replicas, replica)
+func (s *machineState) addReplica(replica *Replica) {
+	s.allocate(replica.Spec)
+	s.replicas = append(s.replicas, replica)
 	switch replica.Spec.Phase {
 	case v1.ReplicaLoading:
-		r.loading++
+		s.loading++
 	case v1.ReplicaUnloading:
-		r.unloading++
+		s.unloading++
 	}
 }
 
-// release frees the room of a replica whose record is removed. What is decided later in the same
-// pass may take it: all changes of a pass are written to the log as one, the removal first, and
-// a load need not wait for the next pass, and its commit.
-func (r *room) release(replica *Replica) {
-	position := slices.Index(r.replicas, replica)
+// removeReplica frees the memory of a replica whose record is removed. A load decided later in the
+// same pass may use it, since the changes of a pass are committed together, the removal first.
+func (s *machineState) removeReplica(replica *Replica) {
+	position := slices.Index(s.replicas, replica)
 	if position < 0 {
 		return
 	}
-	r.replicas = slices.Delete(r.replicas, position, position+1)
-	release(r.free, replica, 1)
+	s.replicas = slices.Delete(s.replicas, position, position+1)
+	adjustFree(s.freeBytes, replica, 1)
 	for _, accelerator := range replica.Spec.Accelerators {
-		if accelerator < len(r.holds) {
-			r.holds[accelerator]--
+		if accelerator < len(s.replicaCounts) {
+			s.replicaCounts[accelerator]--
 		}
 	}
-	r.changed--
+	s.changed--
 	switch replica.Spec.Phase {
 	case v1.ReplicaLoading:
-		r.loading--
+		s.loading--
 	case v1.ReplicaUnloading:
-		r.unloading--
+		s.unloading--
 	}
 }
 
-// hasOrders reports whether orders are under way on a registered machine, which
-// carries them out one after the other. What is decided for it before they are done
-// only waits there: a load that could begin elsewhere, a replica that could serve.
-func (r *room) hasOrders() bool {
-	return r.machine.Pool != "" && r.loading+r.unloading > 0
+// hasOrders reports whether a registered machine is executing orders. It executes them
+// sequentially, so an order added now would delay work that another machine could start at once.
+func (s *machineState) hasOrders() bool {
+	return s.machine.Pool != "" && s.loading+s.unloading > 0
 }
 
-func (r *room) take(spec *v1.ReplicaSpec) {
+func (s *machineState) allocate(spec *v1.ReplicaSpec) {
 	for _, accelerator := range spec.Accelerators {
-		if accelerator < len(r.free) {
-			r.free[accelerator] -= spec.BytesPerAccelerator
-			r.holds[accelerator]++
+		if accelerator < len(s.freeBytes) {
+			s.freeBytes[accelerator] -= spec.BytesPerAccelerator
+			s.replicaCounts[accelerator]++
 		}
 	}
 }
 
-// fit returns the accelerators for a replica, or nil. Those that hold weights
-// already come first, so that as few as possible hold any; among them the
-// fullest that has room, which leaves the largest holes whole.
-func fit(free []int64, holds []int, count int, bytes int64) []int {
-	if !hasRoom(free, count, bytes) {
+// fit returns the accelerators for a replica, or nil if it does not fit. It prefers accelerators
+// that already hold replicas, and among them the one with the least free memory, to limit
+// fragmentation.
+func fit(free []int64, counts []int, count int, bytes int64) []int {
+	if !hasCapacity(free, count, bytes) {
 		return nil
 	}
 	chosen := make([]int, 0, count)
@@ -103,7 +101,7 @@
 			if available < bytes || slices.Contains(chosen, position) {
 				continue
 			}
-			if best < 0 || fitsBetter(free, holds, position, best) {
+			if best < 0 || fitsBetter(free, counts, position, best) {
 				best = position
 			}
 		}
@@ -113,16 +111,15 @@
 	return chosen
 }
 
-func fitsBetter(free []int64, holds []int, position, other int) bool {
-	if (holds[position] > 0) != (holds[other] > 0) {
-		return holds[position] > 0
+func fitsBetter(free []int64, counts []int, position, other int) bool {
+	if (counts[position] > 0) != (counts[other] > 0) {
+		return counts[position] > 0
 	}
 	return free[position] < free[other]
 }
 
-// hasRoom reports whether enough accelerators have room; it costs next to
-// nothing beside choosing among them.
-func hasRoom(free []int64, count int, bytes int64) bool {
+// hasCapacity reports whether enough accelerators have the free memory; a cheap check before fit.
+func hasCapacity(free []int64, count int, bytes int64) bool {
 	for _, available := range free {
 		if available >= bytes {
 			count--
@@ -131,49 +128,49 @@
 	return count <= 0
 }
 
-// place finds a machine for each wanted replica.
+// place chooses machines for the pending replicas.
 func (p *pass) place() {
-	p.planner.store.limit(p.input.StoreLoadsPerSecond, p.input.StoreConcurrentLoads)
+	p.planner.store.setLimits(p.input.StoreLoadsPerSecond, p.input.StoreConcurrentLoads)
 	p.planner.store.refill(p.input.Now)
-	p.expect()
+	p.trackReservations()
 	p.storeLoads = p.remoteLoads()
-	names := p.acceptingMachines()
-	for _, entry := range p.wants() {
-		if p.awaitsRoom(entry) {
-			p.estimate(entry, evictionTakes+p.loadTime(entry.version, TierMemory))
+	names := p.schedulableMachines()
+	for _, pending := range p.pendingReplicas() {
+		if p.awaitsEviction(pending) {
+			p.estimate(pending, evictionTime+p.loadTime(pending.version, TierMemory))
 			continue
 		}
-		if entry.version.Spec.Pool != "" {
-			p.placeOnRegistered(entry)
+		if pending.version.Spec.Pool != "" {
+			p.placeOnRegistered(pending)
 			continue
 		}
-		chosen, accelerators := p.bestMachine(entry, names)
+		chosen, accelerators := p.bestMachine(pending, names)
 		if chosen == nil {
-			p.makeRoom(entry, names)
+			p.evictFor(pending, names)
 			continue
 		}
-		tier := chosen.machine.tierOf(entry.version.Spec.Checkpoint)
-		if p.evictForSpeed(entry, names, p.loadTime(entry.version, tier)) {
+		tier := chosen.machine.tierOf(pending.version.Spec.Checkpoint)
+		if p.evictForSpeed(pending, names, p.loadTime(pending.version, tier)) {
 			continue
 		}
-		if tier == TierRemote && !p.planner.store.take(p.storeLoads) {
-			p.estimate(entry, p.planner.store.delay(p.storeQueue, p.storeLoads, p.loadTime(entry.version, tier))+p.loadTime(entry.version, tier))
+		if tier == TierRemote && !p.planner.store.tryAcquire(p.storeLoads) {
+			p.estimate(pending, p.planner.store.queueDelay(p.storeQueue, p.storeLoads, p.loadTime(pending.version, tier))+p.loadTime(pending.version, tier))
 			p.storeQueue++
 			continue
 		}
 		if tier == TierRemote {
 			p.storeLoads++
 		}
-		p.load(entry, chosen, accelerators, tier)
+		p.load(pending, chosen, accelerators, tier)
 	}
 	p.estimateLoading()
 	p.estimateDrained()
 }
 
-// acceptingMachines returns the machines that accept replicas, by name.
-func (p *pass) acceptingMachines() []string {
-	if p.accepting != nil {
-		return p.accepting
+// schedulableMachines returns the sorted names of the machines that accept replicas.
+func (p *pass) schedulableMachines() []string {
+	if p.schedulable != nil {
+		return p.schedulable
 	}
 	names := []string{}
 	for name, machine := range p.input.Machines {
@@ -182,25 +179,25 @@
 		}
 	}
 	sort.Strings(names)
-	p.accepting = names
+	p.schedulable = names
 	return names
 }
 
-// rooms returns the machines of a pool that accept replicas, by name.
-func (p *pass) rooms(pool string) []*room {
+// poolMachines returns the machines of a pool that accept replicas, sorted by name.
+func (p *pass) poolMachines(pool string) []*machineState {
 	if p.byPool == nil {
-		p.byPool = map[string][]*room{}
-		for _, name := range p.acceptingMachines() {
-			machine := p.machines[name]
-			p.byPool[machine.machine.Pool] = append(p.byPool[machine.machine.Pool], machine)
+		p.byPool = map[string][]*machineState{}
+		for _, name := range p.schedulableMachines() {
+			state := p.machines[name]
+			p.byPool[state.machine.Pool] = append(p.byPool[state.machine.Pool], state)
 		}
 	}
 	return p.byPool[pool]
 }
 
-// serves reports whether a version may be loaded on the machine at all.
-func (r *room) serves(version *Version) bool {
-	return r.machine.Pool == version.Spec.Pool
+// canHost reports whether a version belongs to the pool of the machine.
+func (s *machineState) canHost(version *Version) bool {
+	return s.machine.Pool == version.Spec.Pool
 }
 
 func (m *Machine) tierOf(checkpoint string) Tier {
@@ -214,127 +211,126 @@
 	return p.planner.speeds.versionLoadTime(version.Spec, tier)
 }
 
-// bestMachine prefers the machine that is ready soonest; then one whose memory
-// keeps the checkpoints that it has; then one without
-// another replica of the model, then the one that packs tightest.
-func (p *pass) bestMachine(entry want, names []string) (*room, []int) {
-	var best *room
+// bestMachine prefers the machine on which the replica is ready soonest, then one whose host memory
+// keeps its cached checkpoints, then one without another replica of the model, then the tightest
+// fit.
+func (p *pass) bestMachine(pending pendingReplica, names []string) (*machineState, []int) {
+	var best *machineState
 	var bestAccelerators []int
 	var bestScore machineScore
-	bytes := entry.version.Spec.BytesPerAccelerator()
+	bytes := pending.version.Spec.BytesPerAccelerator()
 	for _, name := range names {
 		candidate := p.machines[name]
-		if !entry.mayUse(candidate) {
+		if !pending.canRunOn(candidate) {
 			continue
 		}
-		readyIn := p.readyIn(entry, candidate)
+		readyIn := p.readyIn(pending, candidate)
 		if best != nil && readyIn > bestScore.readyIn {
 			continue
 		}
-		accelerators := fit(candidate.free, candidate.holds, entry.version.Spec.Accelerators, bytes)
+		accelerators := fit(candidate.freeBytes, candidate.replicaCounts, pending.version.Spec.Accelerators, bytes)
 		if accelerators == nil {
 			continue
 		}
-		score := p.score(entry, candidate, accelerators, readyIn)
-		if best == nil || score.better(bestScore) {
+		score := p.score(pending, candidate, accelerators, readyIn)
+		if best == nil || score.isBetterThan(bestScore) {
 			best, bestAccelerators, bestScore = candidate, accelerators, score
 		}
 	}
 	return best, bestAccelerators
 }
 
-// machineScore orders machines for a load.
+// machineScore ranks machines for a load.
 type machineScore struct {
 	readyIn time.Duration
-	// pushesOut is set where other checkpoints would leave the memory.
-	pushesOut bool
-	sameHere  int
-	empty     int
-	leftover  int64
+	// evictsCached is set if the load would evict other checkpoints from host memory.
+	evictsCached      bool
+	sameModelReplicas int
+	emptyAccelerators int
+	leftoverBytes     int64
 }
 
-func (s machineScore) better(other machineScore) bool {
+func (s machineScore) isBetterThan(other machineScore) bool {
 	switch {
 	case s.readyIn != other.readyIn:
 		return s.readyIn < other.readyIn
-	case s.pushesOut != other.pushesOut:
-		return !s.pushesOut
-	case s.sameHere != other.sameHere:
-		return s.sameHere < other.sameHere
-	case s.empty != other.empty:
-		return s.empty < other.empty
+	case s.evictsCached != other.evictsCached:
+		return !s.evictsCached
+	case s.sameModelReplicas != other.sameModelReplicas:
+		return s.sameModelReplicas < other.sameModelReplicas
+	case s.emptyAccelerators != other.emptyAccelerators:
+		return s.emptyAccelerators < other.emptyAccelerators
 	}
-	return s.leftover < other.leftover
+	return s.leftoverBytes < other.leftoverBytes
 }
 
-// readyIn is how long a load on a machine takes. Loads on one machine share its
-// links, so a second takes twice as long.
-func (p *pass) readyIn(entry want, candidate *room) time.Duration {
-	tier := candidate.machine.tierOf(entry.version.Spec.Checkpoint)
-	return p.loadTime(entry.version, tier) * time.Duration(1+candidate.loading)
+// readyIn returns the expected load time on a machine. Concurrent loads on one machine share its
+// bandwidth.
+func (p *pass) readyIn(pending pendingReplica, candidate *machineState) time.Duration {
+	tier := candidate.machine.tierOf(pending.version.Spec.Checkpoint)
+	return p.loadTime(pending.version, tier) * time.Duration(1+candidate.loading)
 }
 
-func (p *pass) score(entry want, candidate *room, accelerators []int, readyIn time.Duration) machineScore {
+func (p *pass) score(pending pendingReplica, candidate *machineState, accelerators []int, readyIn time.Duration) machineScore {
 	score := machineScore{readyIn: readyIn}
-	score.pushesOut = p.planner.memory.overflows(candidate.machine, entry.version.Spec.Checkpoint, entry.version.Spec.WeightBytes)
+	score.evictsCached = p.planner.memory.wouldEvict(candidate.machine, pending.version.Spec.Checkpoint, pending.version.Spec.WeightBytes)
 	for _, replica := range candidate.replicas {
-		if replica.Spec.Model == entry.version.Spec.Model {
-			score.sameHere++
+		if replica.Spec.Model == pending.version.Spec.Model {
+			score.sameModelReplicas++
 		}
 	}
 	for _, accelerator := range accelerators {
-		if candidate.holds[accelerator] == 0 {
-			score.empty++
+		if candidate.replicaCounts[accelerator] == 0 {
+			score.emptyAccelerators++
 		}
-		score.leftover += candidate.free[accelerator]
+		score.leftoverBytes += candidate.freeBytes[accelerator]
 	}
 	return score
 }
 
-func (p *pass) load(entry want, chosen *room, accelerators []int, tier Tier) {
+func (p *pass) load(pending pendingReplica, chosen *machineState, accelerators []int, tier Tier) {
 	spec := &v1.ReplicaSpec{
-		Model: entry.version.Spec.Model, Version: entry.version.Name, Checkpoint: entry.version.Spec.Checkpoint,
+		Model: pending.version.Spec.Model, Version: pending.version.Name, Checkpoint: pending.version.Spec.Checkpoint,
 		Machine: chosen.machine.Name, Incarnation: chosen.machine.Incarnation,
-		Accelerators: accelerators, BytesPerAccelerator: entry.version.Spec.BytesPerAccelerator(),
-		WeightBytes: entry.version.Spec.WeightBytes, CacheBytes: entry.version.Spec.CacheBytes,
-		MaxConcurrent: entry.version.Spec.MaxConcurrent, Phase: v1.ReplicaLoading, Tier: string(tier),
+		Accelerators: accelerators, BytesPerAccelerator: pending.version.Spec.BytesPerAccelerator(),
+		WeightBytes: pending.version.Spec.WeightBytes, CacheBytes: pending.version.Spec.CacheBytes,
+		MaxConcurrent: pending.version.Spec.MaxConcurrent, Phase: v1.ReplicaLoading, Tier: string(tier),
 	}
-	chosen.take(spec)
-	chosen.work += p.planner.work.rates[spec.Version] / float64(max(1, p.spreadOver(entry.version)))
+	chosen.allocate(spec)
+	chosen.workRate += p.planner.work.rates[spec.Version] / float64(max(1, p.replicasForWork(pending.version)))
 	chosen.loading++
 	chosen.replicas = append(chosen.replicas, &Replica{Spec: spec})
-	delete(p.planner.evicting, entry.version.Name)
+	delete(p.planner.reservations, pending.version.Name)
 	reason := "demand"
 	switch {
-	case !entry.urgent:
+	case !pending.urgent:
 		reason = "reserve"
-	case entry.bound != nil:
+	case pending.constrained != nil:
 		reason = "demand-in-region"
 	}
-	p.act(Action{Kind: ActionLoad, Spec: spec, Reason: reason})
-	p.estimate(entry, p.loadTime(entry.version, tier))
+	p.addAction(Action{Kind: ActionLoad, Spec: spec, Reason: reason})
+	p.estimate(pending, p.loadTime(pending.version, tier))
 }
 
-func (p *pass) estimate(entry want, readyIn time.Duration) {
-	// What is said of a version must hold for all who wait for it, bound or not.
-	if entry.urgent && entry.bound == nil {
+func (p *pass) estimate(pending pendingReplica, readyIn time.Duration) {
+	// Estimates are per version: a constrained replica serves only part of the waiting requests.
+	if pending.urgent && pending.constrained == nil {
 		p.decision.Estimates = append(p.decision.Estimates, Estimate{
-			Version: entry.version.Name, ReadyIn: readyIn, EarliestIn: min(readyIn, p.bestLoadTime(entry.version)),
+			Version: pending.version.Name, ReadyIn: readyIn, EarliestIn: min(readyIn, p.bestLoadTime(pending.version)),
 		})
 	}
 }
 
-// bestLoadTime is how long a load of a version takes where it is soonest, with nothing ahead
-// of it.
+// bestLoadTime returns the shortest load time of a version over the cached tiers, without queueing.
 func (p *pass) bestLoadTime(version *Version) time.Duration {
 	best := p.loadTime(version, TierRemote)
-	for _, tier := range p.tiersAtHand(version) {
+	for _, tier := range p.cachedTiers(version) {
 		best = min(best, p.loadTime(version, tier))
 	}
 	return best
 }
 
-// estimateLoading passes on what engines say of loads in progress.
+// estimateLoading reports the remaining time of loads in progress.
 func (p *pass) estimateLoading() {
 	for name, demand := range p.input.Demand {
 		if demand.Waiting == 0 {
--- a/internal/placement/fleet_bench_test.go
+++ b/internal/placement/fleet_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
-// registeredFleet is a pool of machines with two places each, of which every second one holds a
-// model, and 334 models whose work follows Zipf's law. Requests wait for a third of them.
+// registeredFleet is a pool of machines with memory for two models each, half of which hold one.
+// The work of the 334 models follows a Zipf distribution, and requests wait for a third of them.
 func registeredFleet(machines int) *Input {
 	const (
 		models        = 334
@@ -61,8 +61,8 @@
 	return input
 }
 
-// decideAfterASecond is the second pass of a planner, which knows rates of work by then.
-func decideAfterASecond(input *Input) Decision {
+// decideTwice returns the decision of the second pass, which knows the rates of work.
+func decideTwice(input *Input) Decision {
 	planner := NewPlanner(Config{
 		Speeds: DefaultTierSpeeds, StoreLoadsPerSecond: 100, StoreConcurrentLoads: 100, KeepAlive: keepalive.NewAdaptive(),
 	})
@@ -80,15 +80,14 @@
 	return planner.Decide(&later)
 }
 
-// BenchmarkDecideRegistered is two passes of a planner over a fleet of registered machines: the
-// first sees the demand, the second the rates of work.
+// BenchmarkDecideRegistered measures two passes over a fleet of registered machines.
 func BenchmarkDecideRegistered(b *testing.B) {
 	for _, machines := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			input := registeredFleet(machines)
 			b.ReportAllocs()
 			for b.Loop() {
-				decision := decideAfterASecond(input)
+				decision := decideTwice(input)
 				b.ReportMetric(float64(len(decision.Actions)), "actions")
 			}
 		})
--- a/internal/placement/loadcrash.go
+++ b/internal/placement/loadcrash.go
@@ -6,57 +6,55 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// A model may end the machine that begins to load it. Its callers wait on, so that the next
-// machine gets the load as soon as the last is known to be lost: one model ended 60 machines in
-// a minute (TestLoadThatEndsMachinesIsPaused). One such crash may be chance; from the second on,
-// the version waits before each further load, longer each time: 5 machines in that minute.
+// A model may crash each machine that starts to load it. Since its requests keep waiting, every
+// lost machine would be followed by a load on the next one. From the second crash on, loads of the
+// version are therefore delayed by an exponential backoff.
 
 const (
-	// crashesBeforePause is how many machines have to have ended under a version's loads.
-	crashesBeforePause = 2
-	// firstLoadPause is before the third load: several times what it takes to know that a
-	// machine is gone, and to notice that one has loaded the version after all. Each further
-	// pause is twice as long, up to longestLoadPause.
-	firstLoadPause   = 10 * time.Second
-	longestLoadPause = 5 * time.Minute
+	// crashesBeforeBackoff tolerates a single crash, which may be unrelated to the load.
+	crashesBeforeBackoff = 2
+	// minCrashBackoff exceeds the time to detect a lost machine or a completed load. The backoff
+	// doubles with each further crash, up to maxCrashBackoff.
+	minCrashBackoff = 10 * time.Second
+	maxCrashBackoff = 5 * time.Minute
 )
 
-// LoadCrashes are the machines that ended while they loaded a version, since one last loaded it.
+// LoadCrashes are the machine crashes during loads of a version since its last successful load.
 type LoadCrashes struct {
 	Count int
-	// Last is when the newest was recorded.
+	// Last is when the latest crash was recorded.
 	Last time.Time
 }
 
-// resumesAt is when the version may be loaded again; the zero time for at once.
-func (c LoadCrashes) resumesAt() time.Time {
-	if c.Count < crashesBeforePause {
+// retryAt returns when the version may be loaded again; the zero time if it is not delayed.
+func (c LoadCrashes) retryAt() time.Time {
+	if c.Count < crashesBeforeBackoff {
 		return time.Time{}
 	}
-	pause := firstLoadPause
-	for doubled := crashesBeforePause; doubled < c.Count && pause < longestLoadPause; doubled++ {
-		pause *= 2
+	backoff := minCrashBackoff
+	for doubled := crashesBeforeBackoff; doubled < c.Count && backoff < maxCrashBackoff; doubled++ {
+		backoff *= 2
 	}
-	return c.Last.Add(min(pause, longestLoadPause))
+	return c.Last.Add(min(backoff, maxCrashBackoff))
 }
 
-// isPaused reports whether a version has to wait because of machines that ended under its
-// loads. One that is lost while it loads counts before it is known to have ended.
-func (p *pass) isPaused(name string) bool {
+// inCrashBackoff reports whether loads of a version are delayed. Machines that are lost while
+// loading it count before their crash is confirmed.
+func (p *pass) inCrashBackoff(name string) bool {
 	crashes := p.input.LoadCrashes[name]
 	if lost := p.lostLoads[name]; lost > 0 {
 		crashes.Count += lost
 		crashes.Last = p.input.Now
 	}
-	return p.input.Now.Before(crashes.resumesAt())
+	return p.input.Now.Before(crashes.retryAt())
 }
 
-// removeEnded removes a replica whose machine is gone, or whose engine runs in a later life. It
-// ended under the load only where its engine had reported that: a load may be decided before
-// it is known that the machine has ended.
-func (p *pass) removeEnded(replica *Replica, reason string) Action {
+// removeLost removes a replica whose machine is gone or whose engine has restarted. It counts as a
+// crash during a load only if the engine had reported the load: a load may be decided before the
+// end of the machine is known.
+func (p *pass) removeLost(replica *Replica, reason string) Action {
 	return Action{
 		Kind: ActionRemove, Replica: replica, Reason: reason,
-		EndedUnderLoad: replica.Spec.Phase == v1.ReplicaLoading && p.planner.loadsSeen[replica.Name],
+		EndedUnderLoad: replica.Spec.Phase == v1.ReplicaLoading && p.planner.loadingReported[replica.Name],
 	}
 }
--- a/internal/placement/loadcrash_test.go
+++ b/internal/placement/loadcrash_test.go
@@ -8,17 +8,17 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// loadUntilCrash plays a minute in which each machine that begins to load the wanted version
-// ends 100 ms later, is lost 900 ms after that, and known to be gone after 3 s more. It returns
-// how many machines ended.
-func loadUntilCrash(planner *Planner, remembers bool) int {
+// simulateCrashingLoads simulates a minute in which each machine that starts to load the wanted
+// version crashes after 100 ms, is lost after 1 s and removed after 4 s. It returns the number of
+// crashed machines.
+func simulateCrashingLoads(planner *Planner, recordsCrashes bool) int {
 	const (
 		step     = 100 * time.Millisecond
 		lostIn   = time.Second
 		goneIn   = 4 * time.Second
 		machines = 60
 	)
-	input := placeInput(1)
+	input := twoMachineInput(1)
 	input.Versions["wanted"].MaxReplicas = machines
 	input.Machines = map[string]*Machine{}
 	for number := range machines {
@@ -26,11 +26,11 @@
 		input.Machines[name] = &Machine{Name: name, Accelerators: 1, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Accepts: true, Tiers: map[string]Tier{}}
 	}
 	input.LoadCrashes = map[string]LoadCrashes{}
-	began := map[string]time.Time{}
+	startedAt := map[string]time.Time{}
 	for range 600 {
 		input.Now = input.Now.Add(step)
 		input.Demand["wanted"].OldestWait += step
-		for name, at := range began {
+		for name, at := range startedAt {
 			machine := input.Machines[name]
 			if machine != nil && input.Now.Sub(at) >= lostIn {
 				machine.Lost, machine.Accepts = true, false
@@ -42,56 +42,56 @@
 		for _, action := range planner.Decide(input).Actions {
 			switch {
 			case action.Kind == ActionLoad:
-				began[action.Spec.Machine] = input.Now
+				startedAt[action.Spec.Machine] = input.Now
 				input.Replicas = append(input.Replicas, &Replica{
 					Name: "r-" + action.Spec.Machine, Spec: action.Spec, Observed: true, EnginePhase: EngineLoading,
 				})
-			case action.EndedUnderLoad && remembers:
+			case action.EndedUnderLoad && recordsCrashes:
 				crashes := input.LoadCrashes["wanted"]
 				input.LoadCrashes["wanted"] = LoadCrashes{Count: crashes.Count + 1, Last: input.Now}
 			}
 			if action.Kind == ActionRemove {
-				input.Replicas = without(input.Replicas, action.Replica.Name)
+				input.Replicas = withoutNamed(input.Replicas, action.Replica.Name)
 			}
 		}
 	}
-	return len(began)
+	return len(startedAt)
 }
 
-func without(replicas []*Replica, name string) []*Replica {
-	var left []*Replica
+func withoutNamed(replicas []*Replica, name string) []*Replica {
+	var remaining []*Replica
 	for _, replica := range replicas {
 		if replica.Name != name {
-			left = append(left, replica)
+			remaining = append(remaining, replica)
 		}
 	}
-	return left
+	return remaining
 }
 
-func TestLoadThatEndsMachinesIsPaused(t *testing.T) {
-	const most = 5
-	if ended := loadUntilCrash(newTestPlanner(), true); ended > most {
-		t.Errorf("loads of one version ended %d machines in a minute, more than %d", ended, most)
+func TestCrashingLoadBacksOff(t *testing.T) {
+	const limit = 5
+	if crashed := simulateCrashingLoads(newTestPlanner(), true); crashed > limit {
+		t.Errorf("loads of one version crashed %d machines in a minute, more than %d", crashed, limit)
 	}
 }
 
-func TestPauseGrowsWithCrashes(t *testing.T) {
+func TestCrashBackoffIsExponential(t *testing.T) {
 	last := time.Unix(1_000, 0)
-	for count, pause := range map[int]time.Duration{
-		2: 10 * time.Second, 3: 20 * time.Second, 4: 40 * time.Second, 6: 160 * time.Second, 7: longestLoadPause, 1000: longestLoadPause,
+	for count, backoff := range map[int]time.Duration{
+		2: 10 * time.Second, 3: 20 * time.Second, 4: 40 * time.Second, 6: 160 * time.Second, 7: maxCrashBackoff, 1000: maxCrashBackoff,
 	} {
-		if resumes := (LoadCrashes{Count: count, Last: last}).resumesAt(); !resumes.Equal(last.Add(pause)) {
-			t.Errorf("after %d crashes a load waits for %s, not %s", count, resumes.Sub(last), pause)
+		if resumes := (LoadCrashes{Count: count, Last: last}).retryAt(); !resumes.Equal(last.Add(backoff)) {
+			t.Errorf("after %d crashes the backoff is %s, not %s", count, resumes.Sub(last), backoff)
 		}
 	}
-	if !(LoadCrashes{Count: 1, Last: last}).resumesAt().IsZero() {
-		t.Error("one crash, which may be chance, pauses loads")
+	if !(LoadCrashes{Count: 1, Last: last}).retryAt().IsZero() {
+		t.Error("a single crash delays loads")
 	}
 }
 
-// TestOnlyMachinesThatEndWhileTheyLoadCount: a load may be decided for a machine that has ended
-// already, and nobody knows yet.
-func TestOnlyMachinesThatEndWhileTheyLoadCount(t *testing.T) {
+// TestOnlyCrashesDuringLoadCount checks that a crash counts only if the engine had reported the
+// load: a load may be decided for a machine that has already crashed.
+func TestOnlyCrashesDuringLoadCount(t *testing.T) {
 	for _, test := range []struct {
 		phase  v1.ReplicaPhase
 		engine string
@@ -102,7 +102,7 @@
 		{v1.ReplicaReady, EngineReady, false},
 	} {
 		for _, restarted := range []bool{false, true} {
-			planner, input := newTestPlanner(), placeInput(1)
+			planner, input := newTestPlanner(), twoMachineInput(1)
 			replica := &Replica{Name: "r", Observed: true, EnginePhase: test.engine, Spec: &v1.ReplicaSpec{
 				Model: "wanted", Version: "wanted", Machine: "fast", Incarnation: 1, Accelerators: []int{0}, Phase: test.phase,
 			}}
--- a/internal/placement/near_test.go
+++ b/internal/placement/near_test.go
@@ -7,9 +7,9 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// regionsInput has a machine in each of three regions: m0 in north, m1 in south, m2 in east, all
-// of them empty, and a version with its weights on every disk.
-func regionsInput(version string) *Input {
+// emptyRegionInput has one empty machine in each of three regions (m0 in north, m1 in south, m2 in
+// east), and a version that is cached on every disk.
+func emptyRegionInput(version string) *Input {
 	input := poolInput(3)
 	input.Replicas = nil
 	poolVersion(input, version)
@@ -20,8 +20,8 @@
 	return input
 }
 
-// loads returns the machines that versions are loaded on.
-func loads(decision Decision) map[string]string {
+// loadedMachines returns the machine on which each version is loaded.
+func loadedMachines(decision Decision) map[string]string {
 	machines := map[string]string{}
 	for _, action := range decision.Actions {
 		if action.Kind == ActionLoad {
@@ -31,9 +31,9 @@
 	return machines
 }
 
-// TestReplicaGoesWhereItIsAskedFor tables the first replica of a version that two requests wait
-// for.
-func TestReplicaGoesWhereItIsAskedFor(t *testing.T) {
+// TestReplicaIsPlacedInRequestingRegion covers the first replica of a version with two waiting
+// requests.
+func TestReplicaIsPlacedInRequestingRegion(t *testing.T) {
 	tests := []struct {
 		name    string
 		regions map[string]float64
@@ -52,20 +52,20 @@
 		}, "m0"},
 	}
 	for _, test := range tests {
-		input := regionsInput("rare")
-		wait(input, "rare", 2)
+		input := emptyRegionInput("rare")
+		setWaiting(input, "rare", 2)
 		input.Demand["rare"].Regions = test.regions
 		test.change(input)
-		if machine := loads(newPoolPlanner().Decide(input))["rare"]; machine != test.machine {
+		if machine := loadedMachines(newPoolPlanner().Decide(input))["rare"]; machine != test.machine {
 			t.Errorf("%s: loaded on %q, not on %s", test.name, machine, test.machine)
 		}
 	}
 }
 
-// TestFurtherReplicaGoesToAnotherRegion: most requests come from the region that has a replica;
-// those of the other one crossed the link for good.
-func TestFurtherReplicaGoesToAnotherRegion(t *testing.T) {
-	input := regionsInput("busy")
+// TestAdditionalReplicaIsPlacedInUncoveredRegion checks that a region without a replica gets the
+// next one, even if more requests come from another region.
+func TestAdditionalReplicaIsPlacedInUncoveredRegion(t *testing.T) {
+	input := emptyRegionInput("busy")
 	input.Machines["m3"] = &Machine{
 		Name: "m3", Region: "north", Accelerators: 1, AcceleratorBytes: 100, Incarnation: 1, Accepts: true, Pool: "pool",
 		Tiers: map[string]Tier{"busy": TierDisk},
@@ -77,21 +77,21 @@
 	input.Demand["busy"] = &Demand{Running: 6, Regions: map[string]float64{"north": 3.5, "south": 2.5}}
 	machine := ""
 	for range 40 {
-		ask(input, 100*time.Millisecond, map[string]uint64{"busy": 900})
-		if loaded := loads(planner.Decide(input))["busy"]; loaded != "" {
+		addWork(input, 100*time.Millisecond, map[string]uint64{"busy": 900})
+		if loaded := loadedMachines(planner.Decide(input))["busy"]; loaded != "" {
 			machine = loaded
 			break
 		}
 	}
 	if machine != "m1" {
-		t.Errorf("the further replica is loaded on %q, not in the south", machine)
+		t.Errorf("the additional replica is loaded on %q, not in the south", machine)
 	}
 }
 
-// TestLostRegionComesBackByWorth: with one place left, what most requests wait for is loaded
-// first, of all that only the lost region held.
-func TestLostRegionComesBackByWorth(t *testing.T) {
-	input := regionsInput("asked-much")
+// TestLostRegionIsReplacedByDemand checks that after the loss of a region, the version with the
+// most waiting requests is loaded first.
+func TestLostRegionIsReplacedByDemand(t *testing.T) {
+	input := emptyRegionInput("asked-much")
 	poolVersion(input, "asked-little")
 	input.Machines["m1"].Tiers["asked-little"] = TierDisk
 	input.Machines["m2"].Tiers["asked-little"] = TierDisk
@@ -100,13 +100,13 @@
 	input.Machines["m0"].Accepts, input.Machines["m0"].Lost = false, true
 	input.Machines["m1"].Accepts = false
 	input.Machines["m2"].AcceleratorBytes = 50
-	wait(input, "asked-little", 1)
-	wait(input, "asked-much", 5)
-	decided := loads(newPoolPlanner().Decide(input))
+	setWaiting(input, "asked-little", 1)
+	setWaiting(input, "asked-much", 5)
+	decided := loadedMachines(newPoolPlanner().Decide(input))
 	if decided["asked-much"] != "m2" || decided["asked-little"] != "" {
 		t.Errorf("loaded %v with room for one", decided)
 	}
 	if phase := input.Replicas[0].Spec.Phase; phase != v1.ReplicaReady {
-		t.Errorf("the record of a replica behind a lost link is %s: its memory may be in use", phase)
+		t.Errorf("the replica on the unreachable machine is %s, although its memory may be in use", phase)
 	}
 }
--- a/internal/placement/place_test.go
+++ b/internal/placement/place_test.go
@@ -8,9 +8,9 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
-// placeInput has two machines of one accelerator each; the wanted model has
-// its checkpoint on the first in memory, on the second on disk.
-func placeInput(waiting int) *Input {
+// twoMachineInput has two machines with one accelerator each. The checkpoint of the wanted model is
+// in memory on the first and on disk on the second.
+func twoMachineInput(waiting int) *Input {
 	input := &Input{
 		Now:      time.Unix(1000, 0),
 		Versions: map[string]*Version{}, Machines: map[string]*Machine{},
@@ -33,9 +33,9 @@
 	return input
 }
 
-// occupy puts a replica of the other model, which takes all the room, on a
-// machine.
-func occupy(input *Input, machine string, running int) {
+// fillMachine places a replica of the other model on a machine, which leaves no room for a second
+// one.
+func fillMachine(input *Input, machine string, running int) {
 	input.Replicas = append(input.Replicas, &Replica{
 		Name: "other.1", Observed: true, EnginePhase: EngineReady, Running: running,
 		Spec: &v1.ReplicaSpec{
@@ -52,7 +52,7 @@
 	})
 }
 
-// describe lists what a decision does and where.
+// describe lists the actions of a decision.
 func describe(decision Decision) []string {
 	var listed []string
 	for _, action := range decision.Actions {
@@ -65,67 +65,65 @@
 	return listed
 }
 
-func expect(t *testing.T, got []string, wanted ...string) {
+func expectActions(t *testing.T, got []string, expected ...string) {
 	t.Helper()
-	if len(got) != len(wanted) {
-		t.Fatalf("%q, expected %q", got, wanted)
+	if len(got) != len(expected) {
+		t.Fatalf("%q, expected %q", got, expected)
 	}
 	for position := range got {
-		if got[position] != wanted[position] {
-			t.Errorf("%q, expected %q", got, wanted)
+		if got[position] != expected[position] {
+			t.Errorf("%q, expected %q", got, expected)
 		}
 	}
 }
 
 func TestFastestTierIsPreferred(t *testing.T) {
-	expect(t, describe(newTestPlanner().Decide(placeInput(1))), "load wanted on fast")
+	expectActions(t, describe(newTestPlanner().Decide(twoMachineInput(1))), "load wanted on fast")
 }
 
-// TestIdleReplicaGivesWayToAFasterLoad: the machine with the checkpoint in
-// memory has no room, the other would take four times as long.
-func TestIdleReplicaGivesWayToAFasterLoad(t *testing.T) {
+// TestIdleReplicaIsEvictedForFasterTier checks that an idle replica is evicted from the machine
+// with the checkpoint in memory, where the load takes a quarter of the time.
+func TestIdleReplicaIsEvictedForFasterTier(t *testing.T) {
 	planner := newTestPlanner()
-	input := placeInput(1)
-	occupy(input, "fast", 0)
-	planner.Decide(placeInput(0)) // Learns nothing that matters.
+	input := twoMachineInput(1)
+	fillMachine(input, "fast", 0)
+	planner.Decide(twoMachineInput(0))
 	input.Now = input.Now.Add(10 * time.Minute)
 	planner.lastUsed["other.1"] = input.Now.Add(-10 * time.Minute)
-	expect(t, describe(planner.Decide(input)), "unload other.1 (evicted)")
+	expectActions(t, describe(planner.Decide(input)), "unload other.1 (evicted)")
 
-	// Until the engine has freed it, nothing else is done.
+	// No load is decided before the engine has freed the memory.
 	input.Replicas[0].Spec.Phase = v1.ReplicaUnloading
 	input.Replicas[0].EnginePhase = EngineUnloading
 	input.Now = input.Now.Add(20 * time.Millisecond)
-	expect(t, describe(planner.Decide(input)))
+	expectActions(t, describe(planner.Decide(input)))
 
-	// Then the load goes there.
 	input.Replicas = nil
 	input.Now = input.Now.Add(20 * time.Millisecond)
-	expect(t, describe(planner.Decide(input)), "load wanted on fast")
+	expectActions(t, describe(planner.Decide(input)), "load wanted on fast")
 }
 
-// TestReplicaInUseStays: nothing gives way that serves somebody.
-func TestReplicaInUseStays(t *testing.T) {
-	input := placeInput(1)
-	occupy(input, "fast", 1)
-	expect(t, describe(newTestPlanner().Decide(input)), "load wanted on slow")
+func TestReplicaInUseIsNotEvicted(t *testing.T) {
+	input := twoMachineInput(1)
+	fillMachine(input, "fast", 1)
+	expectActions(t, describe(newTestPlanner().Decide(input)), "load wanted on slow")
 }
 
-// TestLoadsSpareFullMemories: of two machines that are equally fast, the one
-// whose memory has room for the checkpoint is taken.
-func TestLoadsSpareFullMemories(t *testing.T) {
+// TestLoadAvoidsFullHostMemory checks that of two equally fast machines, the one whose host memory
+// has room for the checkpoint is chosen.
+func TestLoadAvoidsFullHostMemory(t *testing.T) {
 	planner := newTestPlanner()
-	input := placeInput(0)
+	input := twoMachineInput(0)
 	input.Machines["fast"].Tiers = map[string]Tier{"other": TierMemory, "wanted": TierMemory}
 	input.Machines["slow"].Tiers = map[string]Tier{}
 	planner.Decide(input)
-	// The full machine drops one checkpoint, so its size is known now.
-	input = placeInput(1)
+	// The first machine drops a checkpoint, which reveals its capacity.
+	input = twoMachineInput(1)
 	input.Machines["fast"].Tiers = map[string]Tier{"other": TierMemory, "third": TierMemory, "wanted": TierDisk}
 	input.Machines["slow"].Tiers = map[string]Tier{"wanted": TierDisk}
 	input.Versions["third"] = &Version{Name: "third", MaxReplicas: 1, Spec: input.Versions["other"].Spec}
 	third := *input.Versions["other"].Spec
 	third.Checkpoint = "third"
 	input.Versions["third"].Spec = &third
-	expect(t, describe(planner.Decide(input)), "load wanted on slow")
+	expectActions(t, describe(planner.Decide(input)), "load wanted on slow")
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -9,138 +9,135 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
-// Config tunes a Planner.
+// Config configures a Planner.
 type Config struct {
 	Speeds TierSpeeds
-	// StoreLoadsPerSecond and StoreConcurrentLoads are the weight store's
-	// limits.
+	// StoreLoadsPerSecond and StoreConcurrentLoads limit loads from the weight store.
 	StoreLoadsPerSecond  float64
 	StoreConcurrentLoads int
 	KeepAlive            keepalive.Policy
-	// History is what the leader before knew; nil if that is lost.
+	// History is the demand history of the previous leader; nil if there is none.
 	History []VersionHistory
 }
 
-// Planner decides on replicas. What it remembers between passes is soft: a
-// new leader starts without it and at worst keeps replicas a little longer or
-// loads a little later. It is not safe for concurrent use.
+// Planner decides on replicas. Its memory is soft state: a new leader starts without it, and at
+// worst keeps replicas longer or loads them later. It is not safe for concurrent use.
 type Planner struct {
 	config Config
-	store  *storePacer
-	// speeds are learned from loads; loading are those in progress.
-	speeds  *speedTable
-	work    *workRates
-	memory  *hostMemory
+	store  *storeLimiter
+	speeds *speedTable
+	work   *workRates
+	memory *hostMemory
+	// loading holds the loads in progress, by replica.
 	loading map[string]*observedLoad
-	// readySince is when a replica that was loaded became ready.
+	// readySince is when each loaded replica became ready.
 	readySince map[string]time.Time
-	// lastUsed is when a replica last served or became ready.
+	// lastUsed is when each replica last served a request or became ready.
 	lastUsed map[string]time.Time
-	// lastAsked is when a version was last asked for.
-	lastAsked map[string]time.Time
-	arrivals  map[string]uint64
-	// bound is when versions were last asked for under constraints, by the constraint's key.
-	bound map[string]map[string]askedUnder
-	// evicting maps a version to the room that is made for it.
-	evicting map[string]madeRoom
-	// retryAfter holds back versions whose load failed.
+	// lastRequested is when each version was last requested.
+	lastRequested map[string]time.Time
+	// arrivals holds the last seen running totals of arrivals by version.
+	arrivals map[string]uint64
+	// constraints holds the recently requested constraints of each version, by constraint key.
+	constraints map[string]map[string]constraintUse
+	// reservations holds, by version, the machine on which memory is being freed for it.
+	reservations map[string]reservation
+	// retryAfter is the end of the backoff of versions whose load failed.
 	retryAfter map[string]time.Time
-	// loadsSeen has the replicas that their engines have reported to be loading.
-	loadsSeen map[string]bool
-	// leavingSince is when a machine stopped to accept.
+	// loadingReported holds the replicas that their engines have reported as loading.
+	loadingReported map[string]bool
+	// leavingSince is when each leaving machine stopped accepting replicas.
 	leavingSince map[string]time.Time
-	// decidedAt is the time of the last pass.
+	// decidedAt is the time of the previous pass.
 	decidedAt time.Time
 }
 
-// NewPlanner returns a planner without history.
 func NewPlanner(config Config) *Planner {
 	return &Planner{
-		config:       config,
-		store:        newStorePacer(config.StoreLoadsPerSecond, config.StoreConcurrentLoads),
-		speeds:       newSpeedTable(config.Speeds),
-		work:         newWorkRates(),
-		memory:       newHostMemory(),
-		loading:      map[string]*observedLoad{},
-		readySince:   map[string]time.Time{},
-		lastUsed:     map[string]time.Time{},
-		lastAsked:    map[string]time.Time{},
-		arrivals:     map[string]uint64{},
-		bound:        map[string]map[string]askedUnder{},
-		evicting:     map[string]madeRoom{},
-		retryAfter:   map[string]time.Time{},
-		loadsSeen:    map[string]bool{},
-		leavingSince: map[string]time.Time{},
+		config:          config,
+		store:           newStoreLimiter(config.StoreLoadsPerSecond, config.StoreConcurrentLoads),
+		speeds:          newSpeedTable(config.Speeds),
+		work:            newWorkRates(),
+		memory:          newHostMemory(),
+		loading:         map[string]*observedLoad{},
+		readySince:      map[string]time.Time{},
+		lastUsed:        map[string]time.Time{},
+		lastRequested:   map[string]time.Time{},
+		arrivals:        map[string]uint64{},
+		constraints:     map[string]map[string]constraintUse{},
+		reservations:    map[string]reservation{},
+		retryAfter:      map[string]time.Time{},
+		loadingReported: map[string]bool{},
+		leavingSince:    map[string]time.Time{},
 	}
 }
 
-// pass is the working state of one Decide.
+// pass is the working state of one call of Decide.
 type pass struct {
 	planner  *Planner
 	input    *Input
-	machines map[string]*room
-	// largestAccelerator is the memory of the largest, in bytes.
+	machines map[string]*machineState
+	// largestAccelerator is the memory of the largest accelerator, in bytes.
 	largestAccelerator int64
-	// byVersion holds the replicas that count for a version: loading or
-	// ready, on machines that are not lost.
+	// byVersion holds the loading and ready replicas of each version on machines that are not
+	// lost.
 	byVersion map[string][]*Replica
-	// drained holds, by version, the replicas on machines whose zones are drained. They count
-	// for no version, so that what only those zones held is loaded elsewhere.
+	// drained holds, by version, the replicas on machines in drained zones. They are not in
+	// byVersion, so that versions held only there are loaded elsewhere.
 	drained map[string][]*Replica
-	// poolDrained says, by pool, whether all its machines stand in drained zones; see
-	// isAllDrained.
+	// poolDrained caches isPoolDrained, by pool.
 	poolDrained map[string]bool
-	// lostLoads counts, by version, the machines that are lost while they load it.
+	// lostLoads counts, by version, the machines that were lost while loading it.
 	lostLoads map[string]int
-	// changed marks replicas that this pass has acted on.
+	// changed holds the replicas that this pass has acted on.
 	changed map[*Replica]bool
-	// worth is what the replicas on each accelerator are worth, by machine.
-	worth  map[string]map[int]float64
-	spread *spread
-	// accepting, byPool, atHand and largest are worked out when they are first asked for; see
-	// acceptingMachines, rooms, tiersAtHand and fitsAnywhere.
-	accepting []string
-	byPool    map[string][]*room
-	atHand    map[poolCheckpoint][]Tier
-	largest   map[machineSize]bool
-	// storeLoads counts the loads that occupy the weight store, storeQueue those
-	// that this pass has put off until it has room.
+	// acceleratorValues holds the summed index of the replicas on each accelerator, by machine.
+	acceleratorValues map[string]map[int]float64
+	distribution      *workDistribution
+	// schedulable, byPool, cached and fits are computed on first use by schedulableMachines,
+	// poolMachines, cachedTiers and fitsAnywhere.
+	schedulable []string
+	byPool      map[string][]*machineState
+	cached      map[poolCheckpoint][]Tier
+	fits        map[sizeRequirement]bool
+	// storeLoads counts the loads that use the weight store, storeQueue the loads that this pass
+	// deferred because the store is at its limit.
 	storeLoads, storeQueue int
 	decision               Decision
 }
 
-// Decide returns the next changes. The caller must not call again before it
-// has proposed them and seen the outcome in the state.
+// Decide returns the next changes. The caller must propose them and observe the outcome in the
+// state before it calls Decide again.
 func (p *Planner) Decide(input *Input) Decision {
 	current := p.newPass(input)
-	p.takeHistory(input.Now)
-	current.open()
+	p.applyHistory(input.Now)
+	current.buildMachineStates()
 	current.learnSpeeds()
 	p.memory.observe(input)
 	current.reconcile()
 	current.observeUse()
-	current.observeBound()
-	current.openSpread()
+	current.observeConstraints()
+	current.computeDistribution()
 	current.retire()
 	current.place()
-	p.forget(input)
+	p.prune(input)
 	p.decidedAt = input.Now
 	return current.decision
 }
 
 func (p *Planner) newPass(input *Input) *pass {
 	return &pass{
-		planner: p, input: input, machines: map[string]*room{},
+		planner: p, input: input, machines: map[string]*machineState{},
 		byVersion: map[string][]*Replica{}, lostLoads: map[string]int{}, changed: map[*Replica]bool{},
-		worth: map[string]map[int]float64{}, drained: map[string][]*Replica{}, poolDrained: map[string]bool{},
+		acceleratorValues: map[string]map[int]float64{}, drained: map[string][]*Replica{}, poolDrained: map[string]bool{},
 	}
 }
 
-// open builds the free-memory view: every record reserves, whatever its
-// phase, until the engine has confirmed that it is gone.
-func (p *pass) open() {
+// buildMachineStates computes the free memory of each machine. Every record reserves its memory,
+// whatever its phase, until the engine has confirmed that the replica is gone.
+func (p *pass) buildMachineStates() {
 	for name, machine := range p.input.Machines {
-		p.machines[name] = newRoom(machine)
+		p.machines[name] = newMachineState(machine)
 		p.largestAccelerator = max(p.largestAccelerator, machine.AcceleratorBytes)
 		if machine.Accepts || machine.Drained {
 			delete(p.planner.leavingSince, name)
@@ -150,27 +147,27 @@
 	}
 	sort.Slice(p.input.Replicas, func(i, j int) bool { return p.input.Replicas[i].Name < p.input.Replicas[j].Name })
 	for _, replica := range p.input.Replicas {
-		if room := p.machines[replica.Spec.Machine]; room != nil {
-			room.reserve(replica)
+		if state := p.machines[replica.Spec.Machine]; state != nil {
+			state.addReplica(replica)
 		}
 	}
 }
 
-func (p *pass) act(action Action) {
+func (p *pass) addAction(action Action) {
 	if action.Replica != nil {
 		p.changed[action.Replica] = true
-		if room := p.machines[action.Replica.Spec.Machine]; room != nil {
-			room.changed++
+		if state := p.machines[action.Replica.Spec.Machine]; state != nil {
+			state.changed++
 			if action.Kind == ActionRemove {
-				room.release(action.Replica)
+				state.removeReplica(action.Replica)
 			}
 		}
 	}
 	p.decision.Actions = append(p.decision.Actions, action)
 }
 
-// observeUse notes which replicas are in use and which versions are asked
-// for, and counts the replicas of each version.
+// observeUse records which replicas are in use and which versions are requested, and groups the
+// replicas by version.
 func (p *pass) observeUse() {
 	for _, replica := range p.input.Replicas {
 		if p.changed[replica] && replica.Spec.Phase != v1.ReplicaLoading {
@@ -180,7 +177,7 @@
 			continue
 		}
 		machine := p.input.Machines[replica.Spec.Machine]
-		if machine != nil && machine.Lost && p.planner.loadsSeen[replica.Name] && replica.Spec.Phase == v1.ReplicaLoading {
+		if machine != nil && machine.Lost && p.planner.loadingReported[replica.Name] && replica.Spec.Phase == v1.ReplicaLoading {
 			p.lostLoads[replica.Spec.Version]++
 		}
 		if machine == nil || machine.Lost {
@@ -190,7 +187,7 @@
 		if machine.Drained {
 			p.drained[replica.Spec.Version] = append(p.drained[replica.Spec.Version], replica)
 			if known {
-				// It does not grow idle meanwhile: nobody could use it.
+				// Drain time does not count as idle time: the replica receives no requests.
 				p.planner.lastUsed[replica.Name] = used.Add(p.input.Now.Sub(p.planner.decidedAt))
 			}
 			continue
@@ -200,25 +197,25 @@
 		case replica.Running > 0 || replica.Spec.Phase == v1.ReplicaLoading:
 			p.planner.lastUsed[replica.Name] = p.input.Now
 		case !known:
-			p.planner.lastUsed[replica.Name] = p.firstUse(replica.Spec)
+			p.planner.lastUsed[replica.Name] = p.initialLastUsed(replica.Spec)
 		}
 	}
 	for version, demand := range p.input.Demand {
-		grew := demand.Arrivals > p.planner.arrivals[version]
+		requested := demand.Arrivals > p.planner.arrivals[version]
 		p.planner.arrivals[version] = demand.Arrivals
-		if grew || demand.Waiting > 0 || demand.Running > 0 {
+		if requested || demand.Waiting > 0 || demand.Running > 0 {
 			p.planner.config.KeepAlive.Used(version, p.input.Now)
-			p.planner.lastAsked[version] = p.input.Now
+			p.planner.lastRequested[version] = p.input.Now
 		}
-		if grew || demand.Waiting > 0 {
-			p.touch(version)
+		if requested || demand.Waiting > 0 {
+			p.markUsed(version)
 		}
 	}
 }
 
-// touch marks one ready replica of a version as used: a request may have come
-// and gone between two reports.
-func (p *pass) touch(version string) {
+// markUsed marks one ready replica of a version as used: a request may have arrived and finished
+// between two reports.
+func (p *pass) markUsed(version string) {
 	for _, replica := range p.byVersion[version] {
 		if replica.Spec.Phase == v1.ReplicaReady {
 			p.planner.lastUsed[replica.Name] = p.input.Now
@@ -227,8 +224,8 @@
 	}
 }
 
-// forget drops what is remembered of replicas and machines that are gone.
-func (p *Planner) forget(input *Input) {
+// prune drops the state of replicas, machines and versions that are gone or outdated.
+func (p *Planner) prune(input *Input) {
 	present := make(map[string]bool, len(input.Replicas))
 	for _, replica := range input.Replicas {
 		present[replica.Name] = true
@@ -248,9 +245,9 @@
 			delete(p.loading, name)
 		}
 	}
-	for name := range p.loadsSeen {
+	for name := range p.loadingReported {
 		if !present[name] {
-			delete(p.loadsSeen, name)
+			delete(p.loadingReported, name)
 		}
 	}
 	for name := range p.leavingSince {
@@ -258,9 +255,9 @@
 			delete(p.leavingSince, name)
 		}
 	}
-	for version, asked := range p.lastAsked {
-		if input.Now.Sub(asked) >= historyHorizon {
-			delete(p.lastAsked, version)
+	for version, requested := range p.lastRequested {
+		if input.Now.Sub(requested) >= historyRetention {
+			delete(p.lastRequested, version)
 		}
 	}
 	for version, until := range p.retryAfter {
@@ -268,14 +265,14 @@
 			delete(p.retryAfter, version)
 		}
 	}
-	for version, made := range p.evicting {
-		if input.Now.After(made.until) {
-			delete(p.evicting, version)
+	for version, reservation := range p.reservations {
+		if input.Now.After(reservation.until) {
+			delete(p.reservations, version)
 		}
 	}
 }
 
-// Work returns the averaged rate of work of each version, in tokens per second.
+// WorkRates returns the averaged rate of work of each version, in tokens per second.
 func (p *Planner) Work() map[string]float64 {
 	return maps.Clone(p.work.rates)
 }
--- a/internal/placement/planner_bench_test.go
+++ b/internal/placement/planner_bench_test.go
@@ -11,9 +11,9 @@
 
 const gibibyte = 1 << 30
 
-// targetInput is the target size: 890 models on 1,100 machines of 8
-// accelerators, every third model loaded.
-func targetInput() *Input {
+// largeFleet has 890 models on 1,100 machines with 8 accelerators each. Every third model is
+// loaded.
+func largeFleet() *Input {
 	const models, machines = 890, 1100
 	input := &Input{
 		Now: time.Unix(1_000_000, 0), Versions: map[string]*Version{}, Machines: map[string]*Machine{}, Demand: map[string]*Demand{},
@@ -50,7 +50,7 @@
 }
 
 func benchmarkDecide(b *testing.B, waiting int) {
-	input := targetInput()
+	input := largeFleet()
 	for number := range waiting {
 		input.Demand[fmt.Sprintf("model-%04d.v1", 3*number+1)] = &Demand{Waiting: 1, Arrivals: 1, OldestWait: time.Second}
 	}
@@ -63,10 +63,10 @@
 	}
 }
 
-// BenchmarkDecideRemembered is a pass in which nobody waits, while every
-// version was asked for at this time of the day before.
+// BenchmarkDecideRemembered measures a pass without waiting requests, with a history of use at this
+// time of day for every version.
 func BenchmarkDecideRemembered(b *testing.B) {
-	input := targetInput()
+	input := largeFleet()
 	policy := keepalive.NewAdaptive()
 	for version := range input.Versions {
 		policy.Used(version, input.Now.Add(-24*time.Hour))
@@ -80,11 +80,11 @@
 	}
 }
 
-// BenchmarkDecideIdle is a pass in which nobody waits.
+// BenchmarkDecideIdle measures a pass without waiting requests.
 func BenchmarkDecideIdle(b *testing.B) { benchmarkDecide(b, 0) }
 
-// BenchmarkDecideOne is a pass with one cold model.
+// BenchmarkDecideOne measures a pass with one cold model.
 func BenchmarkDecideOne(b *testing.B) { benchmarkDecide(b, 1) }
 
-// BenchmarkDecideBurst is a pass with a burst to 60 cold models.
+// BenchmarkDecideBurst measures a pass with a burst of requests for 60 cold models.
 func BenchmarkDecideBurst(b *testing.B) { benchmarkDecide(b, 60) }
--- a/internal/placement/reconcile.go
+++ b/internal/placement/reconcile.go
@@ -6,42 +6,41 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// failedLoadBackoff is how long a version waits after an engine gave up its
-// load.
+// failedLoadBackoff is the delay before a version is loaded again after a failed load.
 const failedLoadBackoff = time.Second
 
-// The reasons for removing a replica whose machine has ended.
+// Reasons for removing a replica whose machine or engine is gone.
 const (
 	reasonMachineGone     = "machine-gone"
 	reasonEngineRestarted = "engine-restarted"
 )
 
-// reconcile moves each record to where its engine says it is.
+// reconcile updates each record to the phase that its engine reports.
 //
-// Invariant: a record is removed, and its memory freed, only when the engine
-// reports that the replica is gone, or runs under a later incarnation (its
-// memory is empty), or the machine's declaration is gone.
+// Invariant: a record is removed, and its memory freed, only when the engine reports that the
+// replica is gone, or runs under a later incarnation (its memory is empty), or the declaration of
+// the machine is gone.
 func (p *pass) reconcile() {
 	for _, replica := range p.input.Replicas {
 		if action, due := p.follow(replica); due {
-			p.act(action)
+			p.addAction(action)
 		}
 	}
 }
 
 func (p *pass) follow(replica *Replica) (Action, bool) {
 	if p.input.Machines[replica.Spec.Machine] == nil {
-		return p.removeEnded(replica, reasonMachineGone), true
+		return p.removeLost(replica, reasonMachineGone), true
 	}
 	if replica.Restarted {
-		return p.removeEnded(replica, reasonEngineRestarted), true
+		return p.removeLost(replica, reasonEngineRestarted), true
 	}
 	if !replica.Observed {
 		return Action{}, false
 	}
 	switch replica.EnginePhase {
 	case EngineLoading:
-		p.planner.loadsSeen[replica.Name] = true
+		p.planner.loadingReported[replica.Name] = true
 	case EngineReady:
 		if replica.Spec.Phase == v1.ReplicaLoading {
 			p.planner.readySince[replica.Name] = p.input.Now
--- a/internal/placement/regions.go
+++ b/internal/placement/regions.go
@@ -9,58 +9,56 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// Requests that are bound to regions are served by replicas there and by no others: however many
-// there are elsewhere, one that waits goes on waiting. So a version needs a replica for each
-// constraint under which it is asked for, beside those that its load calls for.
+// Requests with a region constraint can be served only by replicas in the allowed regions. A
+// version therefore needs a replica for each requested constraint, besides those that its load
+// requires.
 
-// boundLately is for how long a version keeps its only replica for a constraint after it was last
-// asked for under it: as long as past demand is handed on to the next leader.
-const boundLately = historyHorizon
+// constraintRetention is how long a version keeps its only replica for a constraint after the last
+// request under it.
+const constraintRetention = historyRetention
 
-// BoundDemand is what is asked of a version under one constraint. It is part of the version's.
+// ConstrainedDemand is the part of the demand for a version that has the same region constraint.
 type BoundDemand struct {
 	Allowed places.Constraint
 	Waiting int
 	Running int
-	// OldestWait is how long the request has waited that waits longest.
+	// OldestWait is the wait of the oldest waiting request.
 	OldestWait time.Duration
 	Priority   int32
 }
 
-// askedUnder is when a version was last asked for under a constraint.
-type askedUnder struct {
+// constraintUse is the last use of a constraint in requests for a version.
+type constraintUse struct {
 	allowed places.Constraint
 	last    time.Time
 }
 
-// observeBound notes under which constraints versions are asked for, and forgets those under
-// which they have not been for long.
-func (p *pass) observeBound() {
-	bound := p.planner.bound
+// observeConstraints records the requested constraints of each version, and drops outdated ones.
+func (p *pass) observeConstraints() {
+	constraintsOf := p.planner.constraints
 	for version, demand := range p.input.Demand {
 		for _, entry := range demand.Bound {
-			if bound[version] == nil {
-				bound[version] = map[string]askedUnder{}
+			if constraintsOf[version] == nil {
+				constraintsOf[version] = map[string]constraintUse{}
 			}
-			bound[version][entry.Allowed.Key()] = askedUnder{allowed: entry.Allowed, last: p.input.Now}
-			p.touchIn(version, entry.Allowed)
+			constraintsOf[version][entry.Allowed.Key()] = constraintUse{allowed: entry.Allowed, last: p.input.Now}
+			p.markUsedWithin(version, entry.Allowed)
 		}
 	}
-	for version, constraints := range bound {
-		for key, asked := range constraints {
-			if p.input.Now.Sub(asked.last) >= boundLately {
+	for version, constraints := range constraintsOf {
+		for key, use := range constraints {
+			if p.input.Now.Sub(use.last) >= constraintRetention {
 				delete(constraints, key)
 			}
 		}
 		if len(constraints) == 0 {
-			delete(bound, version)
+			delete(constraintsOf, version)
 		}
 	}
 }
 
-// touchIn marks one ready replica as used that requests under a constraint may have used: that of
-// another region has not served them.
-func (p *pass) touchIn(version string, allowed places.Constraint) {
+// markUsedWithin marks one ready replica as used that the constraint allows.
+func (p *pass) markUsedWithin(version string, allowed places.Constraint) {
 	for _, replica := range p.byVersion[version] {
 		if replica.Spec.Phase == v1.ReplicaReady && allowed.Allows(p.input.Machines[replica.Spec.Machine].Region) {
 			p.planner.lastUsed[replica.Name] = p.input.Now
@@ -69,19 +67,19 @@
 	}
 }
 
-// mayUse reports whether a wanted replica may be loaded on the machine at all.
-func (w *want) mayUse(candidate *room) bool {
-	return candidate.serves(w.version) && (w.bound == nil || w.bound.Allowed.Allows(candidate.machine.Region))
+// canRunOn reports whether a machine may host the pending replica.
+func (r *pendingReplica) canRunOn(candidate *machineState) bool {
+	return candidate.canHost(r.version) && (r.constrained == nil || r.constrained.Allowed.Allows(candidate.machine.Region))
 }
 
-// boundWants lists the replicas that requests wait for which no replica may serve, loading ones
-// included. The narrowest constraints come first: a replica for one often serves others, too.
-func (p *pass) boundWants(version *Version, demand *Demand) []want {
+// constrainedReplicas lists the replicas for waiting requests that no loading or ready replica may
+// serve, narrowest constraint first: one for a narrow constraint often serves wider ones too.
+func (p *pass) constrainedReplicas(version *Version, demand *Demand) []pendingReplica {
 	if demand == nil || len(demand.Bound) == 0 {
-		return nil // So it is for most versions.
+		return nil
 	}
 	waiting := slices.DeleteFunc(slices.Clone(demand.Bound), func(entry BoundDemand) bool {
-		return entry.Waiting == 0 || p.hasReplicaIn(version, entry.Allowed, nil)
+		return entry.Waiting == 0 || p.hasAllowedReplica(version, entry.Allowed, nil)
 	})
 	sort.Slice(waiting, func(i, j int) bool {
 		left, right := waiting[i].Allowed, waiting[j].Allowed
@@ -90,29 +88,29 @@
 		}
 		return left.Key() < right.Key()
 	})
-	var wanted []want
+	var pending []pendingReplica
 	for position := range waiting {
 		entry := &waiting[position]
-		if slices.ContainsFunc(wanted, func(other want) bool { return implies(other.bound.Allowed, entry.Allowed) }) {
+		if slices.ContainsFunc(pending, func(other pendingReplica) bool { return isSubset(other.constrained.Allowed, entry.Allowed) }) {
 			continue
 		}
-		wanted = append(wanted, want{
-			version: version, loadTime: p.loadTime(version, TierDisk), urgent: true, bound: entry,
-			waiting: entry.OldestWait, priority: max(entry.Priority, version.Priority), gain: p.boundGain(version, demand, *entry),
+		pending = append(pending, pendingReplica{
+			version: version, loadTime: p.loadTime(version, TierDisk), urgent: true, constrained: entry,
+			waiting: entry.OldestWait, priority: max(entry.Priority, version.Priority), value: p.constrainedValue(version, demand, *entry),
 		})
 	}
-	return wanted
+	return pending
 }
 
-// boundGain is what a replica for a constraint is worth, on the scale of replicaWorth: those that
-// wait for it, and their share of what is asked of the version.
-func (p *pass) boundGain(version *Version, demand *Demand, entry BoundDemand) float64 {
+// constrainedValue is the value of a replica for a constraint, on the scale of replicaValue, from
+// its waiting requests and their share of the work.
+func (p *pass) constrainedValue(version *Version, demand *Demand, entry BoundDemand) float64 {
 	share := float64(entry.Waiting) / float64(max(entry.Waiting, demand.Waiting+demand.Running))
-	return float64(entry.Waiting) + share*p.planner.work.rates[version.Name]/minimumRate
+	return float64(entry.Waiting) + share*p.planner.work.rates[version.Name]/minSpreadRate
 }
 
-// implies reports whether every region that one constraint allows is allowed by another.
-func implies(narrow, wide places.Constraint) bool {
+// isSubset reports whether every region that one constraint allows is allowed by the other.
+func isSubset(narrow, wide places.Constraint) bool {
 	for _, region := range narrow.Regions() {
 		if !wide.Allows(region) {
 			return false
@@ -121,31 +119,31 @@
 	return true
 }
 
-// hasReplicaIn reports whether a version is loading or loaded where a constraint allows, on a
-// machine that stays, apart from a replica that is left out.
-func (p *pass) hasReplicaIn(version *Version, allowed places.Constraint, leftOut *Replica) bool {
+// hasAllowedReplica reports whether a version has a loading or ready replica, other than the
+// excluded one, on a schedulable machine that the constraint allows.
+func (p *pass) hasAllowedReplica(version *Version, allowed places.Constraint, excluded *Replica) bool {
 	for _, replica := range p.byVersion[version.Name] {
 		machine := p.input.Machines[replica.Spec.Machine]
-		if replica != leftOut && machine.Accepts && allowed.Allows(machine.Region) {
+		if replica != excluded && machine.Accepts && allowed.Allows(machine.Region) {
 			return true
 		}
 	}
 	return false
 }
 
-// isOnlyAllowed reports whether a replica is the only one that may serve requests that its version
-// was asked for lately.
+// isOnlyAllowed reports whether a replica is the only one that may serve recently requested
+// constraints of its version.
 func (p *pass) isOnlyAllowed(replica *Replica, version *Version) bool {
-	for _, asked := range p.planner.bound[version.Name] {
+	for _, use := range p.planner.constraints[version.Name] {
 		machine := p.input.Machines[replica.Spec.Machine]
-		if asked.allowed.Allows(machine.Region) && !p.hasReplicaIn(version, asked.allowed, replica) {
+		if use.allowed.Allows(machine.Region) && !p.hasAllowedReplica(version, use.allowed, replica) {
 			return true
 		}
 	}
 	return false
 }
 
-// isSpare reports whether the version can do without a ready replica.
-func (p *pass) isSpare(replica *Replica, version *Version) bool {
+// isDispensable reports whether a version can do without a ready replica.
+func (p *pass) isDispensable(replica *Replica, version *Version) bool {
 	return p.isSurplus(version) && !p.isOnlyAllowed(replica, version)
 }
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -12,8 +12,8 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// regionInput is a pool of full machines, one in each region, by name.
-func regionInput(regions ...string) *Input {
+// fullRegionInput is a pool of full machines, one for each of the given regions.
+func fullRegionInput(regions ...string) *Input {
 	input := poolInput(len(regions))
 	for position, region := range regions {
 		input.Machines["m"+strconv.Itoa(position)].Region = region
@@ -21,107 +21,110 @@
 	return input
 }
 
-// waitBound lets requests wait that are bound to regions.
-func waitBound(input *Input, version string, requests int, regions ...string) {
-	wait(input, version, requests)
+// setConstrainedWaiting sets waiting requests that are constrained to regions.
+func setConstrainedWaiting(input *Input, version string, requests int, regions ...string) {
+	setWaiting(input, version, requests)
 	demand := input.Demand[version]
 	demand.Bound = append(demand.Bound, BoundDemand{Allowed: places.Only(regions...), Waiting: requests, OldestWait: time.Second})
 }
 
-// dropFrom takes all replicas off a machine.
-func dropFrom(input *Input, machine string) {
+// clearMachine removes all replicas from a machine.
+func clearMachine(input *Input, machine string) {
 	input.Replicas = slices.DeleteFunc(input.Replicas, func(replica *Replica) bool { return replica.Spec.Machine == machine })
 }
 
-// TestBoundDemandIsServedWhereItMayBe: a ready replica elsewhere does not count, nor does room.
-func TestBoundDemandIsServedWhereItMayBe(t *testing.T) {
-	input := regionInput("a", "b", "a", "")
-	dropFrom(input, "m1")
-	dropFrom(input, "m2")
-	dropFrom(input, "m3")
-	waitBound(input, "v0", 1, "b")
+// TestConstrainedDemandLoadsInAllowedRegion checks that neither a ready replica nor free memory in
+// another region prevents a load in the allowed region.
+func TestConstrainedDemandLoadsInAllowedRegion(t *testing.T) {
+	input := fullRegionInput("a", "b", "a", "")
+	clearMachine(input, "m1")
+	clearMachine(input, "m2")
+	clearMachine(input, "m3")
+	setConstrainedWaiting(input, "v0", 1, "b")
 	decision := newPoolPlanner().Decide(input)
-	expect(t, describe(decision), "load v0 on m1")
+	expectActions(t, describe(decision), "load v0 on m1")
 	if decision.Actions[0].Reason != "demand-in-region" || len(decision.Estimates) != 0 {
 		t.Errorf("reason %s, estimates %+v", decision.Actions[0].Reason, decision.Estimates)
 	}
-	// One that is loading there is enough.
+	// A loading replica in the allowed region is enough.
 	poolReplica(input, "v0", "m1")
 	loading := input.Replicas[len(input.Replicas)-1]
 	loading.Spec.Phase, loading.Spec.Tier, loading.EnginePhase = v1.ReplicaLoading, string(TierRemote), EngineLoading
 	input.Now = input.Now.Add(100 * time.Millisecond)
-	expect(t, describe(newPoolPlanner().Decide(input)))
+	expectActions(t, describe(newPoolPlanner().Decide(input)))
 }
 
-// TestNoMachineInTheAllowedRegion: nothing is loaded elsewhere instead.
-func TestNoMachineInTheAllowedRegion(t *testing.T) {
-	input := regionInput("a", "b", "")
-	dropFrom(input, "m2")
-	waitBound(input, "v0", 3, "c")
-	waitBound(input, "v4", 3, "c")
-	expect(t, describe(newPoolPlanner().Decide(input)))
+// TestNoLoadOutsideAllowedRegion checks that nothing is loaded if no machine is in the allowed
+// region.
+func TestNoLoadOutsideAllowedRegion(t *testing.T) {
+	input := fullRegionInput("a", "b", "")
+	clearMachine(input, "m2")
+	setConstrainedWaiting(input, "v0", 3, "c")
+	setConstrainedWaiting(input, "v4", 3, "c")
+	expectActions(t, describe(newPoolPlanner().Decide(input)))
 }
 
-// TestRoomIsMadeWhereRequestsMayBeServed: where no room is free, what is worth less gives way in
-// the allowed region.
-func TestRoomIsMadeWhereRequestsMayBeServed(t *testing.T) {
-	input := regionInput("a", "b", "a")
-	dropFrom(input, "m2")
-	waitBound(input, "v0", 5, "b")
+// TestEvictionHappensInAllowedRegion checks that memory is freed in the allowed region, although
+// another region has free memory.
+func TestEvictionHappensInAllowedRegion(t *testing.T) {
+	input := fullRegionInput("a", "b", "a")
+	clearMachine(input, "m2")
+	setConstrainedWaiting(input, "v0", 5, "b")
 	decision := newPoolPlanner().Decide(input)
 	if len(decision.Actions) != 1 || decision.Actions[0].Kind != ActionUnload || decision.Actions[0].Replica.Spec.Machine != "m1" {
 		t.Errorf("%v", describe(decision))
 	}
 }
 
-// TestOneReplicaServesNestedConstraints: one that the narrowest allows does for the wider, too.
+// TestOneReplicaServesNestedConstraints checks that a replica for the narrowest constraint also
+// counts for wider ones.
 func TestOneReplicaServesNestedConstraints(t *testing.T) {
-	input := regionInput("a", "b", "c")
-	dropFrom(input, "m1")
-	dropFrom(input, "m2")
-	input.Machines["m2"].Tiers["v0"] = TierMemory // A load there would be quicker.
-	waitBound(input, "v0", 1, "b", "c")
-	waitBound(input, "v0", 1, "b")
-	expect(t, describe(newPoolPlanner().Decide(input)), "load v0 on m1")
+	input := fullRegionInput("a", "b", "c")
+	clearMachine(input, "m1")
+	clearMachine(input, "m2")
+	input.Machines["m2"].Tiers["v0"] = TierMemory // A load on m2 would be faster.
+	setConstrainedWaiting(input, "v0", 1, "b", "c")
+	setConstrainedWaiting(input, "v0", 1, "b")
+	expectActions(t, describe(newPoolPlanner().Decide(input)), "load v0 on m1")
 }
 
-// TestOnlyAllowedReplicaIsNoSurplus: v0 has two replicas and needs one for its load. The one that
-// bound requests use is worth what they are, and without them next to nothing.
-func TestOnlyAllowedReplicaIsNoSurplus(t *testing.T) {
+// TestOnlyAllowedReplicaIsNotSurplus checks that the only replica that may serve recent constrained
+// requests is kept, although the load of the version requires one replica less.
+func TestOnlyAllowedReplicaIsNotSurplus(t *testing.T) {
 	tests := []struct {
 		name string
-		// asked is set where v0 is asked for under a constraint at first, stillAsked where it is
-		// to the end.
-		asked, stillAsked bool
-		span              time.Duration
-		stays             bool
+		// requested is set if v0 is requested under a constraint at first, stillRequested if it
+		// is until the end.
+		requested, stillRequested bool
+		span                      time.Duration
+		stays                     bool
 	}{
 		{"asked for", true, true, 3 * time.Second, true},
-		{"asked for long ago", true, false, boundLately + time.Second, false},
+		{"asked for long ago", true, false, constraintRetention + time.Second, false},
 		{"never asked for", false, false, 3 * time.Second, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			input := regionInput("a", "b")
-			dropFrom(input, "m1")
+			input := fullRegionInput("a", "b")
+			clearMachine(input, "m1")
 			poolReplica(input, "v0", "m1")
 			input.Machines["m1"].AcceleratorBytes = 50
 			planner := newPoolPlanner()
-			if test.asked {
+			if test.requested {
 				input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.Only("b"), Running: 1}}}
 			}
 			planner.Decide(input)
-			if test.asked && !test.stillAsked {
+			if test.requested && !test.stillRequested {
 				input.Demand["v0"].Bound = nil
 			}
 			for range 20 {
-				ask(input, test.span/20, map[string]uint64{"v1": 900})
+				addWork(input, test.span/20, map[string]uint64{"v1": 900})
 				planner.Decide(input)
 			}
-			// The wanted version would be ready soonest where v0 is in region b.
+			// The wanted version is cached in region b, where v0 is loaded.
 			poolVersion(input, "wanted")
 			input.Machines["m1"].Tiers["wanted"] = TierDisk
-			wait(input, "wanted", 1)
+			setWaiting(input, "wanted", 1)
 			evicted := map[string]bool{}
 			for _, action := range planner.Decide(input).Actions {
 				if action.Kind == ActionUnload {
@@ -131,46 +134,46 @@
 			if evicted["v0.m1"] == test.stays {
 				t.Errorf("evicted: %v", evicted)
 			}
-			if remembered := len(planner.bound) > 0; remembered != test.stillAsked {
+			if remembered := len(planner.constraints) > 0; remembered != test.stillRequested {
 				t.Errorf("remembered: %t", remembered)
 			}
 		})
 	}
 }
 
-// TestFurtherReplicasDoNotTakeTheOnlyAllowedOne: another version that needs more replicas to share
-// its load is no reason to leave bound requests without any.
-func TestFurtherReplicasDoNotTakeTheOnlyAllowedOne(t *testing.T) {
-	for _, bound := range []bool{true, false} {
-		input := regionInput("a", "b")
-		dropFrom(input, "m1")
+// TestAdditionalReplicaDoesNotEvictOnlyAllowedOne checks that an additional replica of another
+// version does not evict the only replica for constrained requests.
+func TestAdditionalReplicaDoesNotEvictOnlyAllowedOne(t *testing.T) {
+	for _, constrained := range []bool{true, false} {
+		input := fullRegionInput("a", "b")
+		clearMachine(input, "m1")
 		poolReplica(input, "v0", "m1")
 		input.Machines["m1"].AcceleratorBytes = 50
 		input.Replicas = slices.DeleteFunc(input.Replicas, func(replica *Replica) bool { return replica.Name == "v0.m0" })
 		planner := newPoolPlanner()
-		if bound {
+		if constrained {
 			input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.Only("b"), Running: 1}}}
 		}
 		planner.Decide(input)
 		evicted := false
 		for range 60 {
 			delete(input.Demand, "v0")
-			ask(input, 100*time.Millisecond, map[string]uint64{"v1": 90_000})
+			addWork(input, 100*time.Millisecond, map[string]uint64{"v1": 90_000})
 			input.Demand["v1"].Running = 200
 			for _, action := range planner.Decide(input).Actions {
 				evicted = evicted || action.Kind == ActionUnload && action.Replica.Name == "v0.m1"
 			}
 		}
-		if evicted == bound {
-			t.Errorf("bound %t, evicted %t", bound, evicted)
+		if evicted == constrained {
+			t.Errorf("constrained %t, evicted %t", constrained, evicted)
 		}
 	}
 }
 
-// TestBoundDemandIsServedWhereverThereIsRoom: in any fleet, what waits under a constraint and has
-// no replica that may serve it gets one there, if a machine there has room and is free for orders;
-// and no load for it goes elsewhere.
-func TestBoundDemandIsServedWhereverThereIsRoom(t *testing.T) {
+// TestConstrainedDemandIsLoadedWhereMemoryIsFree checks, in random fleets, that constrained
+// requests without an allowed replica get one on an allowed machine with free memory, and that no
+// load goes elsewhere.
+func TestConstrainedDemandIsLoadedWhereMemoryIsFree(t *testing.T) {
 	regions := []string{"a", "b", "c", ""}
 	rapid.Check(t, func(t *rapid.T) {
 		input := poolInput(0)
@@ -192,8 +195,8 @@
 			}
 		}
 		allowed := places.Only(rapid.SliceOfNDistinct(rapid.SampledFrom(regions[:3]), 1, 2, rapid.ID[string]).Draw(t, "allowed")...)
-		waitBound(input, "v0", rapid.IntRange(1, 5).Draw(t, "waiting"), allowed.Regions()...)
-		served, room := false, false
+		setConstrainedWaiting(input, "v0", rapid.IntRange(1, 5).Draw(t, "waiting"), allowed.Regions()...)
+		served, hasMemory := false, false
 		for name, machine := range input.Machines {
 			held, holds := 0, false
 			for _, replica := range input.Replicas {
@@ -203,7 +206,7 @@
 				}
 			}
 			if machine.Accepts && allowed.Allows(machine.Region) {
-				served, room = served || holds, room || held < 2
+				served, hasMemory = served || holds, hasMemory || held < 2
 			}
 		}
 		loads := 0
@@ -213,10 +216,10 @@
 			}
 			loads++
 			if region := input.Machines[action.Spec.Machine].Region; !allowed.Allows(region) {
-				t.Fatalf("loaded in region %q for requests that are bound to %v", region, allowed.Regions())
+				t.Fatalf("loaded in region %q for requests constrained to %v", region, allowed.Regions())
 			}
 		}
-		if wanted := !served && room; wanted && loads != 1 {
+		if wanted := !served && hasMemory; wanted && loads != 1 {
 			t.Fatalf("%d loads", loads)
 		}
 	})
--- a/internal/placement/retire.go
+++ b/internal/placement/retire.go
@@ -7,12 +7,12 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
-// leaveGrace is how long a leaving machine's replica waits for another to
-// take over. Routers prefer others meanwhile; after it, nothing new comes.
-const leaveGrace = 2 * time.Second
+// leavingGracePeriod is how long a replica on a leaving machine waits for a replacement. Routers
+// prefer other replicas meanwhile, and send it no new requests afterwards.
+const leavingGracePeriod = 2 * time.Second
 
-// retire unloads replicas that are idle for longer than they are worth, those
-// that nobody declares any more, and those on machines that leave.
+// retire unloads replicas whose idle time outweighs their value, replicas of undeclared versions,
+// and replicas on leaving machines.
 func (p *pass) retire() {
 	for _, replica := range p.input.Replicas {
 		if p.changed[replica] || replica.Spec.Phase == v1.ReplicaUnloading {
@@ -25,7 +25,7 @@
 }
 
 func (p *pass) unload(replica *Replica, reason string) {
-	p.act(Action{Kind: ActionUnload, Replica: replica, Reason: reason})
+	p.addAction(Action{Kind: ActionUnload, Replica: replica, Reason: reason})
 	version := replica.Spec.Version
 	p.byVersion[version] = withoutReplica(p.byVersion[version], replica)
 	p.drained[version] = withoutReplica(p.drained[version], replica)
@@ -38,30 +38,30 @@
 	case machine.Drained:
 		return p.drainedReason(replica, version)
 	case machine.Pool != "" && !machine.Accepts:
-		// A registered machine that leaves takes its models with it, and one
-		// that is silent may still serve: nothing is unloaded there.
+		// Nothing is unloaded on a registered machine: if it leaves, its models go with it, and
+		// if it is silent, it may still serve.
 		return ""
 	case machine.Lost:
 		return "machine-lost"
 	case version == nil:
 		return "not-declared"
 	case !machine.Accepts:
-		return p.leaveReason(replica)
-	case replica.Spec.Phase == v1.ReplicaReady && p.isWorthless(replica, version):
+		return p.leavingReason(replica)
+	case replica.Spec.Phase == v1.ReplicaReady && p.isNotWorthKeeping(replica, version):
 		return "idle"
 	}
 	return ""
 }
 
-func (p *pass) leaveReason(replica *Replica) string {
+func (p *pass) leavingReason(replica *Replica) string {
 	waited := p.input.Now.Sub(p.planner.leavingSince[replica.Spec.Machine])
-	if waited >= leaveGrace || replica.Spec.Phase == v1.ReplicaLoading || p.readyElsewhere(replica) {
+	if waited >= leavingGracePeriod || replica.Spec.Phase == v1.ReplicaLoading || p.isReadyElsewhere(replica) {
 		return "machine-leaving"
 	}
 	return ""
 }
 
-func (p *pass) readyElsewhere(replica *Replica) bool {
+func (p *pass) isReadyElsewhere(replica *Replica) bool {
 	for _, other := range p.byVersion[replica.Spec.Version] {
 		machine := p.input.Machines[other.Spec.Machine]
 		if other != replica && other.Spec.Phase == v1.ReplicaReady && machine.Accepts {
@@ -76,43 +76,42 @@
 	return replica.Running == 0 && (demand == nil || demand.Waiting == 0)
 }
 
-// isWorthless reports whether an idle replica is no longer worth its place.
-// The replicas that share an accelerator pay for it together: it is kept as
-// long as one of them is in use or they are worth one accelerator in sum.
-func (p *pass) isWorthless(replica *Replica, version *Version) bool {
+// isNotWorthKeeping reports whether an idle replica should be unloaded. Replicas that share an
+// accelerator are kept while one of them is in use or their indices add up to at least one
+// accelerator.
+func (p *pass) isNotWorthKeeping(replica *Replica, version *Version) bool {
 	if !p.isIdle(replica) || len(p.byVersion[version.Name]) <= version.MinReplicas {
 		return false
 	}
-	if p.indexOf(replica) == keepalive.Never {
+	if p.keepAliveIndex(replica) == keepalive.Never {
 		return true
 	}
-	worth := p.accelerators(replica.Spec.Machine)
+	values := p.valuesByAccelerator(replica.Spec.Machine)
 	for _, accelerator := range replica.Spec.Accelerators {
-		if worth[accelerator] >= 1 {
+		if values[accelerator] >= 1 {
 			return false
 		}
 	}
 	return true
 }
 
-// accelerators returns what the replicas on each accelerator of a machine are
-// worth together.
-func (p *pass) accelerators(machine string) map[int]float64 {
-	if worth, known := p.worth[machine]; known {
-		return worth
+// valuesByAccelerator returns the summed index of the replicas on each accelerator of a machine.
+func (p *pass) valuesByAccelerator(machine string) map[int]float64 {
+	if values, known := p.acceleratorValues[machine]; known {
+		return values
 	}
-	worth := map[int]float64{}
+	values := map[int]float64{}
 	for _, replica := range p.machines[machine].replicas {
 		for _, accelerator := range replica.Spec.Accelerators {
-			worth[accelerator] += max(p.indexOf(replica), 0) / float64(len(replica.Spec.Accelerators))
+			values[accelerator] += max(p.keepAliveIndex(replica), 0) / float64(len(replica.Spec.Accelerators))
 		}
 	}
-	p.worth[machine] = worth
-	return worth
+	p.acceleratorValues[machine] = values
+	return values
 }
 
-// indexOf returns what keeping a replica is worth, in accelerators.
-func (p *pass) indexOf(replica *Replica) float64 {
+// keepAliveIndex returns the value of keeping a replica, in accelerators.
+func (p *pass) keepAliveIndex(replica *Replica) float64 {
 	version := p.input.Versions[replica.Spec.Version]
 	switch {
 	case version == nil || replica.Spec.Phase == v1.ReplicaUnloading:
--- a/internal/placement/retire_test.go
+++ b/internal/placement/retire_test.go
@@ -8,33 +8,32 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
-// indexed is a policy whose indices a test sets.
-type indexed map[string]float64
+// fixedIndices is a policy with fixed indices.
+type fixedIndices map[string]float64
 
-func (i indexed) Name() string                                 { return "indexed" }
-func (i indexed) Used(string, time.Time)                       {}
-func (i indexed) Prewarm(keepalive.Subject, time.Time) float64 { return 0 }
-func (i indexed) Index(subject keepalive.Subject, _ time.Duration, _ time.Time) float64 {
+func (i fixedIndices) Name() string                                 { return "indexed" }
+func (i fixedIndices) Used(string, time.Time)                       {}
+func (i fixedIndices) Prewarm(keepalive.Subject, time.Time) float64 { return 0 }
+func (i fixedIndices) Index(subject keepalive.Subject, _ time.Duration, _ time.Time) float64 {
 	return i[subject.Version]
 }
 
-// TestSharedAcceleratorsArePaidForTogether has two idle replicas on one
-// accelerator and one on another.
-func TestSharedAcceleratorsArePaidForTogether(t *testing.T) {
+// TestAcceleratorIsKeptByCombinedIndex has two idle replicas on one accelerator and one on another.
+func TestAcceleratorIsKeptByCombinedIndex(t *testing.T) {
 	cases := []struct {
 		name    string
-		indices indexed
+		indices fixedIndices
 		running string
 		unloads []string
 	}{
-		{"worth one together", indexed{"a": 0.6, "b": 0.5, "c": 0.9}, "", []string{"c"}},
-		{"worth less together", indexed{"a": 0.4, "b": 0.5, "c": 1.1}, "", []string{"a", "b"}},
-		{"a neighbour in use pays", indexed{"a": 0, "b": 0, "c": 0}, "a", []string{"c"}},
-		{"what must go goes", indexed{"a": keepalive.Always, "b": keepalive.Never, "c": keepalive.Always}, "", []string{"b"}},
+		{"worth one together", fixedIndices{"a": 0.6, "b": 0.5, "c": 0.9}, "", []string{"c"}},
+		{"worth less together", fixedIndices{"a": 0.4, "b": 0.5, "c": 1.1}, "", []string{"a", "b"}},
+		{"a neighbour in use pays", fixedIndices{"a": 0, "b": 0, "c": 0}, "a", []string{"c"}},
+		{"what must go goes", fixedIndices{"a": keepalive.Always, "b": keepalive.Never, "c": keepalive.Always}, "", []string{"b"}},
 	}
-	for _, entry := range cases {
-		t.Run(entry.name, func(t *testing.T) {
-			planner := NewPlanner(Config{Speeds: DefaultTierSpeeds, StoreLoadsPerSecond: 1, StoreConcurrentLoads: 1, KeepAlive: entry.indices})
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			planner := NewPlanner(Config{Speeds: DefaultTierSpeeds, StoreLoadsPerSecond: 1, StoreConcurrentLoads: 1, KeepAlive: test.indices})
 			input := &Input{
 				Now: time.Unix(1000, 0), Versions: map[string]*Version{}, Demand: map[string]*Demand{},
 				Machines: map[string]*Machine{"m": {
@@ -50,7 +49,7 @@
 						BytesPerAccelerator: 30 * gibibyte, Phase: v1.ReplicaReady,
 					},
 				}
-				if name == entry.running {
+				if name == test.running {
 					replica.Running = 1
 				}
 				input.Replicas = append(input.Replicas, replica)
@@ -61,12 +60,12 @@
 					unloads = append(unloads, action.Replica.Name)
 				}
 			}
-			if len(unloads) != len(entry.unloads) {
-				t.Fatalf("unloads %v, expected %v", unloads, entry.unloads)
+			if len(unloads) != len(test.unloads) {
+				t.Fatalf("unloads %v, expected %v", unloads, test.unloads)
 			}
 			for position := range unloads {
-				if unloads[position] != entry.unloads[position] {
-					t.Errorf("unloads %v, expected %v", unloads, entry.unloads)
+				if unloads[position] != test.unloads[position] {
+					t.Errorf("unloads %v, expected %v", unloads, test.unloads)
 				}
 			}
 		})
--- a/internal/placement/reuse_test.go
+++ b/internal/placement/reuse_test.go
@@ -7,29 +7,29 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// TestRoomOfWhatIsGoneIsUsedAtOnce: a machine that has unloaded a model to make room is told in the
-// same pass what to load, and waits for no further commit.
-func TestRoomOfWhatIsGoneIsUsedAtOnce(t *testing.T) {
+// TestFreedMemoryIsReusedInSamePass checks that a load does not wait for the pass after the removal
+// that frees its memory.
+func TestFreedMemoryIsReusedInSamePass(t *testing.T) {
 	input := poolInput(1)
 	poolVersion(input, "wanted")
-	wait(input, "wanted", 1)
-	gone := input.Replicas[0]
-	gone.Spec.Phase, gone.EnginePhase = v1.ReplicaUnloading, ""
+	setWaiting(input, "wanted", 1)
+	unloaded := input.Replicas[0]
+	unloaded.Spec.Phase, unloaded.EnginePhase = v1.ReplicaUnloading, ""
 	actions := newPoolPlanner().Decide(input).Actions
 	if len(actions) != 2 || actions[0].Kind != ActionRemove || actions[1].Kind != ActionLoad {
 		t.Fatalf("decided %v, want the removal and, behind it, the load", actions)
 	}
-	if spec := actions[1].Spec; spec.Version != "wanted" || spec.Machine != gone.Spec.Machine {
+	if spec := actions[1].Spec; spec.Version != "wanted" || spec.Machine != unloaded.Spec.Machine {
 		t.Errorf("loads %s on %s", spec.Version, spec.Machine)
 	}
 }
 
-// TestRoomIsNotUsedBeforeItIsFree: an unload that waits for its runs still holds its memory; a
-// load ordered into it would end the machine.
-func TestRoomIsNotUsedBeforeItIsFree(t *testing.T) {
+// TestMemoryIsNotReusedBeforeUnload checks that nothing is loaded into the memory of a replica that
+// is still unloading, which would crash the machine.
+func TestMemoryIsNotReusedBeforeUnload(t *testing.T) {
 	input := poolInput(1)
 	poolVersion(input, "wanted")
-	wait(input, "wanted", 1)
+	setWaiting(input, "wanted", 1)
 	input.Replicas[0].Spec.Phase = v1.ReplicaUnloading
 	for _, action := range newPoolPlanner().Decide(input).Actions {
 		if action.Kind == ActionLoad {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestIdleVictimIsPreferred: a replica that its version can do without stays while it runs requests
-// and another machine has an idle one: its machine takes no other order until they are done.
+// TestIdleVictimIsPreferred checks that an idle replica is evicted rather than a surplus one with
+// running requests, whose unload would block the machine until they finish.
 func TestIdleVictimIsPreferred(t *testing.T) {
 	input := poolInput(2)
 	input.Replicas = nil
@@ -53,9 +53,9 @@
 	input.Demand["v0"] = &Demand{Running: 8}
 	input.Demand["v1"] = &Demand{Running: 1}
 	planner := newPoolPlanner()
-	planner.work.settled = true
+	planner.work.converged = true
 	planner.lastUsed["v2.m1"] = input.Now.Add(-20 * time.Second)
-	wait(input, "wanted", 1)
+	setWaiting(input, "wanted", 1)
 	decided := planner.Decide(input)
 	for _, action := range decided.Actions {
 		if action.Kind == ActionUnload && action.Replica.Spec.Version != "v2" {
--- a/internal/placement/speeds.go
+++ b/internal/placement/speeds.go
@@ -7,16 +7,14 @@
 )
 
 const (
-	// speedGain is the weight of the newest load in the learned speed.
-	speedGain = 0.25
-	// minimumLearned is the shortest load that says anything about a speed:
-	// shorter ones are mostly the delay of reports.
-	minimumLearned = 200 * time.Millisecond
+	// speedSmoothing is the weight of the newest load in the moving average of a speed.
+	speedSmoothing = 0.25
+	// minLoadSample is the shortest load that is measured: reporting delays dominate shorter ones.
+	minLoadSample = 200 * time.Millisecond
 )
 
-// speedTable holds the speeds at which weights arrive from each tier, learned
-// from the loads seen. Estimates decide which callers are refused at once, so
-// a configured guess is not good enough; it only serves until loads are seen.
+// speedTable holds the moving averages of the load speeds of the tiers. Configured speeds apply
+// until loads have been observed.
 type speedTable struct {
 	speeds TierSpeeds
 }
@@ -29,8 +27,8 @@
 	return t.speeds.LoadTime(bytes, tier)
 }
 
-// versionLoadTime returns the declared load time of a version, or the learned
-// one where none is declared.
+// versionLoadTime returns the declared load time of a version, or the estimated one if there is
+// none.
 func (t *speedTable) versionLoadTime(spec *v1.ModelVersionSpec, tier Tier) time.Duration {
 	declared := spec.LoadTime
 	switch tier {
@@ -45,12 +43,12 @@
 	return t.loadTime(spec.WeightBytes, tier)
 }
 
-// observe learns from one finished load.
-func (t *speedTable) observe(bytes int64, tier Tier, took time.Duration) {
-	if took < minimumLearned {
+// observe updates the speed of a tier with a finished load.
+func (t *speedTable) observe(bytes int64, tier Tier, elapsed time.Duration) {
+	if elapsed < minLoadSample {
 		return
 	}
-	speed := float64(bytes) / took.Seconds()
+	speed := float64(bytes) / elapsed.Seconds()
 	target := &t.speeds.Remote
 	switch tier {
 	case TierMemory:
@@ -58,22 +56,23 @@
 	case TierDisk:
 		target = &t.speeds.Disk
 	}
-	*target += speedGain * (speed - *target)
+	*target += speedSmoothing * (speed - *target)
 }
 
-// observedLoad is a load that is being watched.
+// observedLoad is a load in progress.
 type observedLoad struct {
-	since time.Time
-	// begun is when its engine was first seen at it.
-	begun time.Time
-	// beside is the time for which it has run, times how many ran from the store.
-	beside  float64
-	updated time.Time
-	// slow is set once it has taken longer than at full speed.
+	firstSeen time.Time
+	// engineStartedAt is when the engine first reported the load.
+	engineStartedAt time.Time
+	// concurrencySeconds is the integral of the number of concurrent loads from the store over
+	// time.
+	concurrencySeconds float64
+	updated            time.Time
+	// slow is set once the load has exceeded its time at full speed.
 	slow bool
 }
 
-// learnSpeeds notes when loads begin and learns from those that have ended.
+// learnSpeeds tracks loads in progress and learns from finished ones.
 func (p *pass) learnSpeeds() {
 	running := p.storeLoadsRunning()
 	for _, replica := range p.input.Replicas {
@@ -82,21 +81,21 @@
 		}
 		load, known := p.planner.loading[replica.Name]
 		if !known {
-			p.planner.loading[replica.Name] = &observedLoad{since: p.input.Now}
+			p.planner.loading[replica.Name] = &observedLoad{firstSeen: p.input.Now}
 			continue
 		}
 		ended := replica.Observed && replica.EnginePhase == EngineReady
 		if replica.Spec.Tier == string(TierRemote) {
-			p.learnStore(load, replica, running, ended)
+			p.learnStoreConcurrency(load, replica, running, ended)
 		}
 		if ended {
-			p.planner.speeds.observe(replica.Spec.WeightBytes, Tier(replica.Spec.Tier), p.input.Now.Sub(load.since))
+			p.planner.speeds.observe(replica.Spec.WeightBytes, Tier(replica.Spec.Tier), p.input.Now.Sub(load.firstSeen))
 			delete(p.planner.loading, replica.Name)
 		}
 	}
 }
 
-// storeLoadsRunning counts the loads from the weight store that engines are at.
+// storeLoadsRunning counts the loads from the weight store that engines have started.
 func (p *pass) storeLoadsRunning() int {
 	count := 0
 	for _, replica := range p.input.Replicas {
@@ -107,26 +106,26 @@
 	return count
 }
 
-// learnStore compares a load from the store with its declared time.
-func (p *pass) learnStore(load *observedLoad, replica *Replica, running int, ended bool) {
+// learnStoreConcurrency compares the time of a load from the store with its declared time.
+func (p *pass) learnStoreConcurrency(load *observedLoad, replica *Replica, running int, ended bool) {
 	version := p.input.Versions[replica.Spec.Version]
 	if version == nil || version.Spec.LoadTime <= 0 {
 		return
 	}
-	if replica.EnginePhase == EngineLoading && load.begun.IsZero() {
-		load.begun, load.updated = p.input.Now, p.input.Now
+	if replica.EnginePhase == EngineLoading && load.engineStartedAt.IsZero() {
+		load.engineStartedAt, load.updated = p.input.Now, p.input.Now
 		return
 	}
-	if load.begun.IsZero() {
+	if load.engineStartedAt.IsZero() {
 		return
 	}
-	load.beside += p.input.Now.Sub(load.updated).Seconds() * float64(running)
+	load.concurrencySeconds += p.input.Now.Sub(load.updated).Seconds() * float64(running)
 	load.updated = p.input.Now
-	took := p.input.Now.Sub(load.begun).Seconds()
+	elapsed := p.input.Now.Sub(load.engineStartedAt).Seconds()
 	declared := time.Duration(version.Spec.LoadTime).Seconds()
-	if took <= 0 || !ended && (load.slow || took < slowedLoad*declared) {
+	if elapsed <= 0 || !ended && (load.slow || elapsed < slowLoadRatio*declared) {
 		return
 	}
-	load.slow = took >= slowedLoad*declared
-	p.planner.store.observe(load.beside/took, took/declared, ended)
+	load.slow = elapsed >= slowLoadRatio*declared
+	p.planner.store.observe(load.concurrencySeconds/elapsed, elapsed/declared, ended)
 }
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -7,133 +7,130 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// Machines that registered hold models side by side, and what a model costs is
-// the work that its requests mean, not the places that it takes: a model that is
-// asked for much overloads the one machine that holds it long before its slots
-// are full. So the replicas of a version follow its share of all work.
+// Registered machines hold models side by side. A busy model overloads its only machine long before
+// its slots are full, so the number of replicas of a version follows its share of the work.
 
 const (
-	// workMemory is the time over which the rate of work is averaged.
-	workMemory = 3 * time.Second
-	// spreadMargin is by how much more than its even share of work a machine
-	// may get from one version.
-	spreadMargin = 2.6
-	// minimumRate, in tokens per second, is below which one replica will do.
-	minimumRate = 500
+	// workDecayTime is the time constant of the averaged rates.
+	workDecayTime = 3 * time.Second
+	// maxShareFactor is how much work a machine may get from one version, relative to its fair
+	// share.
+	maxShareFactor = 2.6
+	// minSpreadRate, in tokens per second, is the rate of work below which one replica is enough.
+	minSpreadRate = 500
 )
 
-// workRates are the averaged rates of work by version, in tokens per second.
+// workRates holds exponentially averaged rates by version.
 type workRates struct {
+	// rates are in tokens per second.
 	rates map[string]float64
-	// inUse is the averaged number of requests that run or wait, by version.
-	inUse map[string]float64
-	// arrivals are the averaged rates of requests by version, a second.
-	arrivals map[string]float64
-	// seen and seenArrivals are the running totals that were taken last.
-	seen         map[string]uint64
-	seenArrivals map[string]uint64
-	begun        time.Time
+	// concurrency is the averaged number of running and waiting requests.
+	concurrency map[string]float64
+	// requestRates are in requests per second.
+	requestRates map[string]float64
+	// lastWork and lastArrivals are the last running totals.
+	lastWork     map[string]uint64
+	lastArrivals map[string]uint64
+	startedAt    time.Time
 	updated      time.Time
-	// settled is set once the rates are believed where they are low.
-	settled bool
+	// converged is set once low rates are trusted.
+	converged bool
 }
 
 func newWorkRates() *workRates {
-	return &workRates{rates: map[string]float64{}, inUse: map[string]float64{}, arrivals: map[string]float64{}, seen: map[string]uint64{}, seenArrivals: map[string]uint64{}}
+	return &workRates{rates: map[string]float64{}, concurrency: map[string]float64{}, requestRates: map[string]float64{}, lastWork: map[string]uint64{}, lastArrivals: map[string]uint64{}}
 }
 
-// observe takes the running totals of work.
+// observe updates the rates from the running totals of the demand.
 func (w *workRates) observe(now time.Time, demand map[string]*Demand) {
-	first := w.begun.IsZero()
+	first := w.startedAt.IsZero()
 	if first {
-		w.begun, w.updated = now, now
+		w.startedAt, w.updated = now, now
 	}
 	elapsed := now.Sub(w.updated).Seconds()
 	w.updated = now
-	w.settled = w.settled || now.Sub(w.begun) >= ratesSettle
+	w.converged = w.converged || now.Sub(w.startedAt) >= rateConvergenceTime
 	if elapsed <= 0 && !first {
 		return
 	}
-	keep := math.Exp(-elapsed / workMemory.Seconds())
+	decay := math.Exp(-elapsed / workDecayTime.Seconds())
 	for version := range w.rates {
-		w.rates[version] *= keep
+		w.rates[version] *= decay
 	}
-	for version := range w.inUse {
-		w.inUse[version] *= keep
+	for version := range w.concurrency {
+		w.concurrency[version] *= decay
 	}
-	for version := range w.arrivals {
-		w.arrivals[version] *= keep
+	for version := range w.requestRates {
+		w.requestRates[version] *= decay
 	}
 	for version, entry := range demand {
-		w.inUse[version] += (1 - keep) * float64(entry.Running+entry.Waiting)
-		grown := float64(entry.Work - min(w.seen[version], entry.Work))
-		w.seen[version] = entry.Work
-		came := float64(entry.Arrivals - min(w.seenArrivals[version], entry.Arrivals))
-		w.seenArrivals[version] = entry.Arrivals
+		w.concurrency[version] += (1 - decay) * float64(entry.Running+entry.Waiting)
+		newWork := float64(entry.Work - min(w.lastWork[version], entry.Work))
+		w.lastWork[version] = entry.Work
+		newArrivals := float64(entry.Arrivals - min(w.lastArrivals[version], entry.Arrivals))
+		w.lastArrivals[version] = entry.Arrivals
 		if !first {
-			w.rates[version] += grown / workMemory.Seconds()
-			w.arrivals[version] += came / workMemory.Seconds()
+			w.rates[version] += newWork / workDecayTime.Seconds()
+			w.requestRates[version] += newArrivals / workDecayTime.Seconds()
 		}
 	}
 }
 
-// spread is the view of work in one pass.
-type spread struct {
-	// total is the rate of all work by pool, machines the number of those that
-	// take replicas.
+// workDistribution is the distribution of work in one pass.
+type workDistribution struct {
+	// total is the rate of work by pool, machines the number of schedulable machines by pool.
 	total    map[string]float64
 	machines map[string]int
 }
 
-func (p *pass) openSpread() {
+func (p *pass) computeDistribution() {
 	p.planner.work.observe(p.input.Now, p.input.Demand)
-	opened := &spread{total: map[string]float64{}, machines: map[string]int{}}
+	distribution := &workDistribution{total: map[string]float64{}, machines: map[string]int{}}
 	for name, version := range p.input.Versions {
-		opened.total[version.Spec.Pool] += p.planner.work.rates[name]
+		distribution.total[version.Spec.Pool] += p.planner.work.rates[name]
 	}
 	for _, machine := range p.input.Machines {
 		if machine.Accepts {
-			opened.machines[machine.Pool]++
+			distribution.machines[machine.Pool]++
 		}
 	}
 	for name, replicas := range p.byVersion {
 		for _, replica := range replicas {
-			p.machines[replica.Spec.Machine].work += p.planner.work.rates[name] / float64(len(replicas))
+			p.machines[replica.Spec.Machine].workRate += p.planner.work.rates[name] / float64(len(replicas))
 		}
 	}
-	p.spread = opened
+	p.distribution = distribution
 }
 
-// evenShare is the rate of work that each machine of a pool would get if all got
-// the same.
-func (s *spread) evenShare(pool string) float64 {
-	return s.total[pool] / float64(max(1, s.machines[pool]))
+// fairShare is the rate of work per machine of a pool if it is spread evenly.
+func (d *workDistribution) fairShare(pool string) float64 {
+	return d.total[pool] / float64(max(1, d.machines[pool]))
 }
 
-// spreadOver is over how many machines a version should be spread.
-func (p *pass) spreadOver(version *Version) int {
+// replicasForWork returns the number of machines over which a version should be spread.
+func (p *pass) replicasForWork(version *Version) int {
 	rate := p.planner.work.rates[version.Name]
 	pool := version.Spec.Pool
-	if pool == "" || rate < minimumRate || p.spread.total[pool] == 0 {
+	if pool == "" || rate < minSpreadRate || p.distribution.total[pool] == 0 {
 		return 0
 	}
-	wanted := int(math.Ceil(rate / (p.spread.evenShare(pool) * spreadMargin)))
-	return min(p.spread.machines[pool], wanted)
+	replicas := int(math.Ceil(rate / (p.distribution.fairShare(pool) * maxShareFactor)))
+	return min(p.distribution.machines[pool], replicas)
 }
 
-// crowdingPerWork is what it costs to load where much else is asked for, for each unit of the
-// machine's rate of work, on the scale of eviction costs.
-func (p *pass) crowdingPerWork(entry want) float64 {
-	pool := entry.version.Spec.Pool
-	if pool == "" || p.spread.total[pool] == 0 {
+// contentionCost is the cost of loading on a machine per unit of its work rate, in weighted
+// seconds.
+func (p *pass) contentionCost(pending pendingReplica) float64 {
+	pool := pending.version.Spec.Pool
+	if pool == "" || p.distribution.total[pool] == 0 {
 		return 0
 	}
-	return p.loadTime(entry.version, TierDisk).Seconds() * entry.version.ColdStartWeight / p.spread.evenShare(pool)
+	return p.loadTime(pending.version, TierDisk).Seconds() * pending.version.ColdStartWeight / p.distribution.fairShare(pool)
 }
 
-// hasReplica reports whether the version is loading or loaded on a machine.
-func (r *room) hasReplica(version string) bool {
-	for _, replica := range r.replicas {
+// hasReplica reports whether a version is loading or ready on the machine.
+func (s *machineState) hasReplica(version string) bool {
+	for _, replica := range s.replicas {
 		if replica.Spec.Version == version && replica.Spec.Phase != v1.ReplicaUnloading {
 			return true
 		}
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -9,8 +9,8 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
-// poolInput has registered machines that hold two models each, and as many
-// versions as fill them.
+// poolInput has registered machines with two models each, and as many versions as the machines
+// hold.
 func poolInput(machines int) *Input {
 	input := &Input{
 		Now: time.Unix(1000, 0), Versions: map[string]*Version{}, Machines: map[string]*Machine{}, Demand: map[string]*Demand{},
@@ -20,8 +20,8 @@
 		input.Machines[name] = &Machine{
 			Name: name, Accelerators: 1, AcceleratorBytes: 100, Incarnation: 1, Accepts: true, Pool: "pool", Tiers: map[string]Tier{},
 		}
-		for place := range 2 {
-			version := "v" + strconv.Itoa(2*position+place)
+		for slot := range 2 {
+			version := "v" + strconv.Itoa(2*position+slot)
 			poolVersion(input, version)
 			poolReplica(input, version, name)
 		}
@@ -55,8 +55,8 @@
 	})
 }
 
-// ask adds work that requests mean, in tokens, over a span.
-func ask(input *Input, span time.Duration, work map[string]uint64) {
+// addWork advances the time and adds requested work in tokens.
+func addWork(input *Input, span time.Duration, work map[string]uint64) {
 	input.Now = input.Now.Add(span)
 	for version, tokens := range work {
 		demand := input.Demand[version]
@@ -69,8 +69,8 @@
 	}
 }
 
-// carryOut changes the replicas as a decision says, at once.
-func carryOut(input *Input, decision Decision) {
+// applyDecision applies the loads and unloads of a decision immediately.
+func applyDecision(input *Input, decision Decision) {
 	for _, action := range decision.Actions {
 		switch action.Kind {
 		case ActionLoad:
@@ -96,29 +96,28 @@
 	return count
 }
 
-// TestReplicasFollowWork: a version that most of the work is for gets several
-// machines before its slots are full, one that is hardly asked for keeps one, and
-// when the work moves on, so do the replicas.
+// TestReplicasFollowWork checks that the number of replicas follows the share of the work, before
+// any slots are full, and adapts when the work shifts to another version.
 func TestReplicasFollowWork(t *testing.T) {
 	input := poolInput(9)
 	planner := newPoolPlanner()
 	planner.Decide(input)
-	follow := func(hot string) {
+	run := func(busy string) {
 		for range 100 {
-			ask(input, 100*time.Millisecond, map[string]uint64{hot: 3000, "v2": 100, "v3": 300})
-			carryOut(input, planner.Decide(input))
+			addWork(input, 100*time.Millisecond, map[string]uint64{busy: 3000, "v2": 100, "v3": 300})
+			applyDecision(input, planner.Decide(input))
 		}
 	}
-	follow("v0")
+	run("v0")
 	if count := replicasOf(input, "v0"); count < 3 || count > 9 {
 		t.Errorf("v0, with nine tenths of the work, has %d replicas", count)
 	}
 	if replicasOf(input, "v2") != 1 || replicasOf(input, "v3") != 1 {
 		t.Errorf("v2 and v3, with little work, have %d and %d replicas", replicasOf(input, "v2"), replicasOf(input, "v3"))
 	}
-	follow("v17")
+	run("v17")
 	if count := replicasOf(input, "v17"); count < 3 {
-		t.Errorf("v17, which most of the work is for now, has %d replicas", count)
+		t.Errorf("v17, with most of the work, has %d replicas", count)
 	}
 	for name := range input.Machines {
 		held := map[string]bool{}
@@ -131,9 +130,9 @@
 	}
 }
 
-// TestRoomIsKeptForWhatItWasMadeFor: the room that an eviction made for one
-// version went to another, often to the one that had just been evicted.
-func TestRoomIsKeptForWhatItWasMadeFor(t *testing.T) {
+// TestFreedMemoryIsReservedForItsVersion checks that memory freed for one version is not taken by a
+// more urgent one.
+func TestFreedMemoryIsReservedForItsVersion(t *testing.T) {
 	input := poolInput(1)
 	poolVersion(input, "wanted")
 	poolVersion(input, "other")
@@ -143,20 +142,20 @@
 	if len(first.Actions) != 1 || first.Actions[0].Kind != ActionUnload {
 		t.Fatalf("%v", describe(first))
 	}
-	carryOut(input, first)
-	// Another that is more urgent comes up in between.
+	applyDecision(input, first)
+	// A more urgent version is requested in the meantime.
 	input.Demand["other"] = &Demand{Waiting: 1, Arrivals: 1, OldestWait: time.Minute, Priority: 5}
 	input.Now = input.Now.Add(100 * time.Millisecond)
 	for _, action := range planner.Decide(input).Actions {
 		if action.Kind == ActionLoad && action.Spec.Version != "wanted" {
-			t.Errorf("%s got the room that was made for wanted", action.Spec.Version)
+			t.Errorf("%s took the memory freed for wanted", action.Spec.Version)
 		}
 	}
 }
 
-// TestRegisteredMachinesAreLeftAlone: what a silent or leaving machine holds is
-// not unloaded: it may still serve, and takes its models with it.
-func TestRegisteredMachinesAreLeftAlone(t *testing.T) {
+// TestNoUnloadOnUnavailableRegisteredMachines checks that nothing is unloaded on silent or leaving
+// registered machines, which may still serve.
+func TestNoUnloadOnUnavailableRegisteredMachines(t *testing.T) {
 	input := poolInput(2)
 	planner := newPoolPlanner()
 	planner.Decide(input)
@@ -168,9 +167,9 @@
 	}
 }
 
-// TestColdVersionDoesNotPushOutBusyOnes: where few machines could take orders, a
-// single request for a rare version evicted the only replica of a busy one.
-func TestColdVersionDoesNotPushOutBusyOnes(t *testing.T) {
+// TestColdVersionDoesNotEvictBusyOnes checks that a single request for a cold version does not
+// evict the only replica of a busy one.
+func TestColdVersionDoesNotEvictBusyOnes(t *testing.T) {
 	input := poolInput(3)
 	poolVersion(input, "cold")
 	planner := newPoolPlanner()
@@ -181,27 +180,27 @@
 		}
 	}
 	for range 30 {
-		ask(input, 100*time.Millisecond, work)
+		addWork(input, 100*time.Millisecond, work)
 		planner.Decide(input)
 	}
 	wait := func(requests int) int {
 		input.Demand["cold"] = &Demand{Arrivals: uint64(requests), Work: 500, Waiting: requests, OldestWait: time.Second}
-		all, _ := evicted(planner.Decide(input), "")
+		all, _ := countEvictions(planner.Decide(input), "")
 		return all
 	}
 	if evictions := wait(1); evictions != 0 {
 		t.Errorf("one request evicted %d busy replicas", evictions)
 	}
 	if evictions := wait(100); evictions == 0 {
-		t.Error("a hundred requests got no room")
+		t.Error("a hundred requests evicted nothing")
 	}
 }
 
-// TestQueuedLoadsCount: a busy version was sent to a machine that had its weights on
-// disk, behind a load from the store that took longer than one elsewhere.
-func TestQueuedLoadsCount(t *testing.T) {
+// TestQueuedLoadsDelayPlacement checks that queued loads count in the choice of a machine, even if
+// it has the weights on disk.
+func TestQueuedLoadsDelayPlacement(t *testing.T) {
 	input := poolInput(2)
-	// One place is free on each machine; m0 is to load v1 from the store first.
+	// Each machine has memory for one more model; m0 still loads v1 from the store.
 	input.Replicas = []*Replica{
 		{Name: "a", Observed: true, EnginePhase: EngineReady, Spec: input.Replicas[0].Spec},
 		{Name: "b", Observed: true, EnginePhase: EngineReady, Spec: input.Replicas[2].Spec},
--- a/internal/placement/swap_reference_test.go
+++ b/internal/placement/swap_reference_test.go
@@ -14,7 +14,7 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
-// TestMain fixes the seed, so that the verdict is the same on every run.
+// TestMain fixes the random seed, so that results are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -23,16 +23,16 @@
 	os.Exit(m.Run())
 }
 
-// referenceSwap looks at every machine of the fleet, and works everything out for each anew. It is
-// what cheapestSwap is held against.
-func referenceSwap(p *pass, entry want) *swap {
-	var best *swap
-	for _, name := range p.acceptingMachines() {
+// referenceOption is a straightforward implementation of cheapestOption without caching or early
+// exits.
+func referenceOption(p *pass, pending pendingReplica) *placementOption {
+	var best *placementOption
+	for _, name := range p.schedulableMachines() {
 		candidate := p.machines[name]
-		if !candidate.serves(entry.version) || candidate.hasReplica(entry.version.Name) || candidate.isPromisedToOthers(entry.version) {
+		if !candidate.canHost(pending.version) || candidate.hasReplica(pending.version.Name) || candidate.isReservedForOthers(pending.version) {
 			continue
 		}
-		option := referenceSwapOn(p, entry, candidate)
+		option := referenceOptionOn(p, pending, candidate)
 		if option != nil && (best == nil || option.cost < best.cost) {
 			best = option
 		}
@@ -40,45 +40,45 @@
 	return best
 }
 
-func referenceSwapOn(p *pass, entry want, candidate *room) *swap {
-	spec := entry.version.Spec
-	option := &swap{room: candidate, tier: candidate.machine.tierOf(spec.Checkpoint)}
-	if option.tier == TierRemote && entry.isReserve() && referenceIsAtHand(p, entry.version) {
+func referenceOptionOn(p *pass, pending pendingReplica, candidate *machineState) *placementOption {
+	spec := pending.version.Spec
+	option := &placementOption{state: candidate, tier: candidate.machine.tierOf(spec.Checkpoint)}
+	if option.tier == TierRemote && pending.isProactive() && referenceIsCached(p, pending.version) {
 		return nil
 	}
-	option.readyIn = referenceOrdersTake(p, entry, candidate) + p.loadTime(entry.version, option.tier)
+	option.readyIn = referenceOrderDelay(p, pending, candidate) + p.loadTime(pending.version, option.tier)
 	if option.tier == TierRemote {
-		option.readyIn += p.planner.store.delay(p.storeQueue, p.storeLoads, p.loadTime(entry.version, TierRemote))
+		option.readyIn += p.planner.store.queueDelay(p.storeQueue, p.storeLoads, p.loadTime(pending.version, TierRemote))
 	}
-	if fit(candidate.free, candidate.holds, spec.Accelerators, spec.BytesPerAccelerator()) == nil {
-		if entry.isReserve() {
+	if fit(candidate.freeBytes, candidate.replicaCounts, spec.Accelerators, spec.BytesPerAccelerator()) == nil {
+		if pending.isProactive() {
 			return nil
 		}
-		victims, lost := p.victimsOn(entry, candidate)
-		if victims == nil || !p.paysToEvict(entry, victims) {
+		victims, lost := p.victimsOn(pending, candidate)
+		if victims == nil || !p.isEvictionWorthwhile(pending, victims) {
 			return nil
 		}
 		option.victims = victims
-		option.readyIn += evictionTakes
+		option.readyIn += evictionTime
 		option.cost += lost
 	}
-	option.cost += option.readyIn.Seconds() * entry.version.ColdStartWeight * max(1, entry.gain)
-	if pool := spec.Pool; p.spread.total[pool] != 0 {
-		option.cost += candidate.work / p.spread.evenShare(pool) * p.loadTime(entry.version, TierDisk).Seconds() * entry.version.ColdStartWeight
+	option.cost += option.readyIn.Seconds() * pending.version.ColdStartWeight * max(1, pending.value)
+	if pool := spec.Pool; p.distribution.total[pool] != 0 {
+		option.cost += candidate.workRate / p.distribution.fairShare(pool) * p.loadTime(pending.version, TierDisk).Seconds() * pending.version.ColdStartWeight
 	}
-	option.cost += referenceDetour(p, entry, candidate) * entry.version.ColdStartWeight * max(1, entry.gain)
+	option.cost += referenceCrossRegionDelay(p, pending, candidate) * pending.version.ColdStartWeight * max(1, pending.value)
 	return option
 }
 
-// referenceDetour is by how much a replica on a machine is as if it were ready later.
-func referenceDetour(p *pass, entry want, candidate *room) float64 {
-	demand := p.input.Demand[entry.version.Name]
+// referenceCrossRegionDelay returns the cross-region penalty of a machine in seconds.
+func referenceCrossRegionDelay(p *pass, pending pendingReplica, candidate *machineState) float64 {
+	demand := p.input.Demand[pending.version.Name]
 	if demand == nil {
 		return 0
 	}
 	unserved := func(region string) float64 {
 		served := 1.0
-		for _, replica := range p.byVersion[entry.version.Name] {
+		for _, replica := range p.byVersion[pending.version.Name] {
 			if machine := p.input.Machines[replica.Spec.Machine]; machine.Accepts && machine.Region == region {
 				served++
 			}
@@ -92,10 +92,10 @@
 	if total == 0 {
 		return 0
 	}
-	return regionDetour.Seconds() * (1 - unserved(candidate.machine.Region)/total)
+	return crossRegionDelay.Seconds() * (1 - unserved(candidate.machine.Region)/total)
 }
 
-func referenceIsAtHand(p *pass, version *Version) bool {
+func referenceIsCached(p *pass, version *Version) bool {
 	for _, machine := range p.input.Machines {
 		if machine.Accepts && machine.Pool == version.Spec.Pool && machine.tierOf(version.Spec.Checkpoint) != TierRemote {
 			return true
@@ -114,25 +114,25 @@
 	return best
 }
 
-func referenceOrdersTake(p *pass, entry want, candidate *room) time.Duration {
-	total := p.queued(candidate)
+func referenceOrderDelay(p *pass, pending pendingReplica, candidate *machineState) time.Duration {
+	total := p.queuedLoadTime(candidate)
 	for _, replica := range candidate.replicas {
 		if (replica.Spec.Phase == v1.ReplicaUnloading || p.changed[replica]) && replica.Spec.Phase != v1.ReplicaLoading {
-			total += evictionTakes
+			total += evictionTime
 		}
 	}
-	planned := candidate.expected
-	for _, promised := range candidate.promised {
-		if promised == entry.version.Name {
+	planned := candidate.pendingLoads
+	for _, promised := range candidate.reservedFor {
+		if promised == pending.version.Name {
 			planned--
 			break
 		}
 	}
-	return total + time.Duration(planned)*p.loadTime(entry.version, TierDisk)
+	return total + time.Duration(planned)*p.loadTime(pending.version, TierDisk)
 }
 
-// drawFleet draws a fleet of two pools with models on disks and in memory, some loading, some
-// unloading, and demand.
+// drawFleet generates a fleet with two pools, cached checkpoints, replicas in all phases, and
+// demand.
 func drawFleet(t *rapid.T) *Input {
 	const weights = 70 * gibibyte
 	input := &Input{
@@ -172,11 +172,11 @@
 			}
 		}
 		first := rapid.IntRange(0, models-1).Draw(t, "model")
-		for place := range rapid.IntRange(0, int(machine.AcceleratorBytes/weights)).Draw(t, "loaded") {
-			model := name((first + place) % models)
+		for position := range rapid.IntRange(0, int(machine.AcceleratorBytes/weights)).Draw(t, "loaded") {
+			model := name((first + position) % models)
 			phase := rapid.SampledFrom(phases).Draw(t, "phase")
 			input.Replicas = append(input.Replicas, &Replica{
-				Name: fmt.Sprintf("%s.%s.%d", model, machine.Name, place), Observed: true, EnginePhase: EngineReady,
+				Name: fmt.Sprintf("%s.%s.%d", model, machine.Name, position), Observed: true, EnginePhase: EngineReady,
 				Spec: &v1.ReplicaSpec{
 					Model: model, Version: model, Checkpoint: model, Machine: machine.Name, Incarnation: 1, Accelerators: []int{0},
 					BytesPerAccelerator: weights, WeightBytes: weights, Phase: phase, Tier: string(TierDisk),
@@ -187,7 +187,7 @@
 	return input
 }
 
-// drawRegions draws where requests come from; regions that no machine is in are among them.
+// drawRegions generates the regions of the demand, including one without machines.
 func drawRegions(t *rapid.T) map[string]float64 {
 	regions := map[string]float64{}
 	for _, region := range []string{"region-0", "region-1", "region-2"} {
@@ -198,8 +198,8 @@
 	return regions
 }
 
-// TestCheapestSwapIsTheReference: what is worked out once and left early changes no choice.
-func TestCheapestSwapIsTheReference(t *testing.T) {
+// TestCheapestOptionMatchesReference checks that caching and early exits do not change the choice.
+func TestCheapestOptionMatchesReference(t *testing.T) {
 	const tolerance = 1e-9
 	rapid.Check(t, func(t *rapid.T) {
 		input := drawFleet(t)
@@ -213,25 +213,25 @@
 			demand.Work *= 2
 		}
 		current := planner.newPass(&later)
-		current.open()
+		current.buildMachineStates()
 		current.reconcile()
 		current.observeUse()
-		current.openSpread()
+		current.computeDistribution()
 		current.retire()
-		current.expect()
-		for _, entry := range current.wants() {
-			if best, reference := current.bestLoadTime(entry.version), referenceBestLoadTime(current, entry.version); best != reference {
-				t.Fatalf("%s is loaded in %s at best, not in %s", entry.version.Name, reference, best)
+		current.trackReservations()
+		for _, pending := range current.pendingReplicas() {
+			if best, reference := current.bestLoadTime(pending.version), referenceBestLoadTime(current, pending.version); best != reference {
+				t.Fatalf("%s is loaded in %s at best, not in %s", pending.version.Name, reference, best)
 			}
-			chosen, reference := current.cheapestSwap(entry), referenceSwap(current, entry)
+			chosen, reference := current.cheapestOption(pending), referenceOption(current, pending)
 			if (chosen == nil) != (reference == nil) {
-				t.Fatalf("%s: chosen %+v, reference %+v", entry.version.Name, chosen, reference)
+				t.Fatalf("%s: chosen %+v, reference %+v", pending.version.Name, chosen, reference)
 			}
 			if chosen != nil && math.Abs(chosen.cost-reference.cost) > tolerance*math.Max(1, reference.cost) {
-				t.Fatalf("%s: on %s at %v, reference on %s at %v", entry.version.Name,
-					chosen.room.machine.Name, chosen.cost, reference.room.machine.Name, reference.cost)
+				t.Fatalf("%s: on %s at %v, reference on %s at %v", pending.version.Name,
+					chosen.state.machine.Name, chosen.cost, reference.state.machine.Name, reference.cost)
 			}
-			current.placeOnRegistered(entry)
+			current.placeOnRegistered(pending)
 		}
 	})
 }
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -6,27 +6,25 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// Tier is where a machine finds a checkpoint.
+// Tier is the storage tier in which a machine has a checkpoint.
 type Tier string
 
-// The tiers, from fast to slow.
+// Storage tiers, fastest first.
 const (
 	TierMemory Tier = "memory"
 	TierDisk   Tier = "disk"
 	TierRemote Tier = "remote"
 )
 
-// TierSpeeds are bytes per second at which weights reach the accelerators.
+// TierSpeeds are the load bandwidths of the tiers, in bytes per second.
 type TierSpeeds struct {
 	Memory, Disk, Remote float64
 }
 
-// DefaultTierSpeeds are assumed until loads have been observed. They are on
-// the fast side on purpose: too slow a guess refuses callers who could have
-// been served, too fast a one only lets them wait until their deadline.
+// DefaultTierSpeeds are assumed until loads have been observed. They err on the fast side: an
+// estimate that is too slow refuses requests that could have been served.
 var DefaultTierSpeeds = TierSpeeds{Memory: 32e9, Disk: 8e9, Remote: 4e9}
 
-// Of returns the speed of a tier.
 func (s TierSpeeds) Of(tier Tier) float64 {
 	switch tier {
 	case TierMemory:
@@ -37,7 +35,7 @@
 	return s.Remote
 }
 
-// LoadTime returns how long a load of the given size takes from a tier.
+// LoadTime returns the time to load the given number of bytes from a tier.
 func (s TierSpeeds) LoadTime(bytes int64, tier Tier) time.Duration {
 	return time.Duration(float64(bytes) / s.Of(tier) * float64(time.Second))
 }
@@ -52,51 +50,53 @@
 	Priority        int32
 }
 
-// Machine is a declared machine as observed.
+// Machine is a declared machine with its observed state.
 type Machine struct {
 	Name string
 	Zone string
-	// Region is where the zone lies; empty where that is not known.
+	// Region is empty if the region of the zone is unknown.
 	Region           string
 	Accelerators     int
 	AcceleratorBytes int64
 	Incarnation      uint64
-	// Accepts is set for a live machine that may get new replicas.
+	// Schedulable is set for a live machine that accepts new replicas.
 	Accepts bool
-	// Drained is set for a live machine whose zone is drained: it accepts nothing, and keeps
-	// what it holds for the end of the drain.
+	// Drained is set for a live machine in a drained zone. It accepts no replicas, and keeps those
+	// that it has until the drain ends.
 	Drained bool
-	// Lost is set for a machine that has been silent too long.
+	// Lost is set for a machine whose reports have timed out.
 	Lost bool
-	// Tiers holds the checkpoints that are not only remote.
+	// Tiers holds the tier of each checkpoint that is cached on the machine.
 	Tiers map[string]Tier
-	// Fence is the highest fence that the engine has accepted.
+	// Fence is the highest fencing token that the engine has accepted.
 	Fence uint64
-	// Pool is what the machine registered for; empty if it did not register.
+	// Pool is the pool of a registered machine; empty if the machine is not registered.
 	Pool string
-	// ReducedFor is for how much longer the machine bears less than usual, as it warms up or names
-	// a limit, and ReducedRate how many requests a second it bears until then.
+	// ReducedFor is the remaining time for which the machine has reduced capacity, because it is
+	// warming up or has reported a limit. ReducedRate is its capacity until then, in requests per
+	// second.
 	ReducedFor  time.Duration
 	ReducedRate float64
 }
 
-// Replica is a decided replica with what its engine reports of it.
+// Replica is a replica record with the state that its engine reports.
 type Replica struct {
 	Name     string
 	Revision uint64
 	Spec     *v1.ReplicaSpec
-	// Observed is set where the engine answered with the same incarnation
-	// as the replica's, after the decision reached it.
+	// Observed is set if the engine has reported after the decision reached it, under the
+	// incarnation of the replica.
 	Observed bool
-	// Restarted is set where the engine runs under a later incarnation.
+	// Restarted is set if the engine runs under a later incarnation.
 	Restarted bool
-	// EnginePhase is the engine's own phase; empty if it lists no such replica.
+	// EnginePhase is the phase that the engine reports; empty if it does not report the replica.
 	EnginePhase string
-	Remaining   time.Duration
-	Running     int
+	// Remaining is the remaining load time that the engine reports.
+	Remaining time.Duration
+	Running   int
 }
 
-// The phases that engines report.
+// Phases reported by engines.
 const (
 	EngineLoading   = "loading"
 	EngineReady     = "ready"
@@ -104,52 +104,52 @@
 	EngineUnloading = "unloading"
 )
 
-// Demand is what all routers together ask of a version.
+// Demand is the demand for a version, summed over all routers.
 type Demand struct {
 	Waiting  int
 	Running  int
 	Arrivals uint64
-	// Work is what all requests so far asked of machines, in tokens.
+	// Work is the running total of the requested work, in tokens.
 	Work uint64
-	// Target is the shortest time within which a request wanted its answer to
-	// begin; 0 if none said.
+	// FirstTokenTarget is the shortest requested time until the start of an answer; 0 if no
+	// request states one.
 	Target     time.Duration
 	OldestWait time.Duration
 	Priority   int32
-	// Bound is the part of it that is bound to regions, by constraint.
+	// Constrained is the part of the demand that has a region constraint, by constraint.
 	Bound []BoundDemand
-	// Regions are the requests that wait or run, by the region of their routers; nil where no
-	// region is known.
+	// Regions is the number of waiting and running requests by the region of their routers; nil if
+	// no region is known.
 	Regions map[string]float64
 }
 
-// Input is everything that a decision depends on.
+// Input is the complete input of a decision.
 type Input struct {
 	Now      time.Time
 	Versions map[string]*Version
 	Machines map[string]*Machine
 	Replicas []*Replica
 	Demand   map[string]*Demand
-	// StoreLoadsPerSecond and StoreConcurrentLoads are the weight store's
-	// limits as declared; 0 leaves the configured ones in force.
+	// StoreLoadsPerSecond and StoreConcurrentLoads are the declared limits of the weight store; 0
+	// leaves the configured limits in force.
 	StoreLoadsPerSecond  float64
 	StoreConcurrentLoads int
-	// LoadCrashes has the versions under whose loads machines ended.
+	// LoadCrashes holds the versions whose loads have crashed machines.
 	LoadCrashes map[string]LoadCrashes
 }
 
-// ActionKind is what to do to a replica record.
+// ActionKind is the kind of change of a replica record.
 type ActionKind string
 
-// The kinds of actions.
+// Kinds of actions.
 const (
 	// ActionLoad creates a record in phase Loading.
 	ActionLoad ActionKind = "load"
-	// ActionReady moves it to Ready.
+	// ActionReady moves a record to Ready.
 	ActionReady ActionKind = "ready"
-	// ActionUnload moves it to Unloading.
+	// ActionUnload moves a record to Unloading.
 	ActionUnload ActionKind = "unload"
-	// ActionRemove deletes it and frees its reservation.
+	// ActionRemove deletes a record and frees its reservation.
 	ActionRemove ActionKind = "remove"
 )
 
@@ -158,28 +158,28 @@
 	Kind ActionKind
 	// Replica is the record to change; nil for ActionLoad.
 	Replica *Replica
-	// Spec is the new record's for ActionLoad.
+	// Spec is the new record for ActionLoad.
 	Spec *v1.ReplicaSpec
-	// Reason says why, for logs and metrics.
+	// Reason is logged and used as a metric label.
 	Reason string
-	// EndedUnderLoad is set where the replica's machine ended while it loaded the version.
+	// CrashedDuringLoad is set if the machine of the replica crashed while it loaded the version.
 	EndedUnderLoad bool
 }
 
-// Estimate tells routers when a version that they wait for may be ready.
+// Estimate tells routers when a version that requests wait for may be ready.
 type Estimate struct {
 	Version string
-	// ReadyIn is how long it is expected to take, with all that is ahead.
+	// ReadyIn is the expected time until a replica is ready, including queued work.
 	ReadyIn time.Duration
-	// EarliestIn is how long it takes at least: what is ahead may go sooner than
-	// expected, and no caller is refused for an expectation.
+	// EarliestIn is the minimum time until a replica is ready. Deadlines are checked against this
+	// bound, since queued work may finish earlier than expected.
 	EarliestIn time.Duration
-	// Refused is set where the version can't be loaded; Reason says why.
+	// Refused is set if the version cannot be loaded; Reason states why.
 	Refused bool
 	Reason  string
 }
 
-// Decision is what Decide returns.
+// Decision is the result of Decide.
 type Decision struct {
 	Actions   []Action
 	Estimates []Estimate
--- a/internal/placement/want.go
+++ b/internal/placement/want.go
@@ -7,106 +7,101 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// prewarmMargin is by how much loading ahead must be worth more than keeping:
-// a load costs the store's bandwidth, and what is loaded must not be unloaded
-// by the next pass.
+// prewarmMargin is the factor by which the value of prewarming must exceed that of keeping, so that
+// a prewarmed replica is not unloaded by the next pass.
 const prewarmMargin = 1.2
 
-// want is one replica that should be loaded.
-type want struct {
+// pendingReplica is a replica that should be loaded.
+type pendingReplica struct {
 	version *Version
-	// waiting is how long the oldest request has waited; 0 for prewarming.
+	// waiting is the wait of the oldest request; 0 for proactive loads.
 	waiting time.Duration
 	urgent  bool
-	// replaces is set where the version is held only by machines that leave or whose zones are
-	// drained.
+	// replaces is set if all replicas of the version are on leaving or drained machines.
 	replaces bool
-	// further is set where the version has a replica and needs more to share
-	// its work.
-	further bool
-	// bound is what waits for the replica where that is bound to regions, else nil.
-	bound *BoundDemand
-	// gain is what the replica of a pool's version would be worth.
-	gain     float64
+	// additional is set if the version has a replica and needs more for its load.
+	additional bool
+	// constrained is the constrained demand that the replica serves; nil if it is unconstrained.
+	constrained *BoundDemand
+	// value ranks replicas of pooled versions, on the scale of replicaValue.
+	value    float64
 	priority int32
 	loadTime time.Duration
 }
 
-// wants lists the replicas to load, most urgent first: requests that wait
-// come before replicas kept in reserve; then by what they are worth on registered
-// machines; then by priority, then by who has waited longest for the time that the
-// load takes.
-func (p *pass) wants() []want {
-	var wanted []want
+// pendingReplicas lists the replicas to load, most urgent first: those with waiting requests before
+// proactive ones, then by value on registered machines, then by priority, then by response ratio.
+func (p *pass) pendingReplicas() []pendingReplica {
+	var wanted []pendingReplica
 	for name, version := range p.input.Versions {
 		missing := p.missing(name, version)
-		wanted = append(wanted, missing.bound...)
+		wanted = append(wanted, missing.constrained...)
 		if missing.anywhere <= 0 {
 			continue
 		}
-		entry := want{version: version, loadTime: p.loadTime(version, TierDisk)}
+		pending := pendingReplica{version: version, loadTime: p.loadTime(version, TierDisk)}
 		if demand := p.input.Demand[name]; demand != nil && demand.Waiting > 0 {
-			entry.urgent = true
-			entry.waiting = demand.OldestWait
-			entry.priority = max(demand.Priority, version.Priority)
+			pending.urgent = true
+			pending.waiting = demand.OldestWait
+			pending.priority = max(demand.Priority, version.Priority)
 		}
 		if version.Spec.Pool != "" && len(p.byVersion[name])+len(p.drained[name]) > 0 {
-			entry.further = p.usable(version) > 0
-			entry.replaces = !entry.further
+			pending.additional = p.usable(version) > 0
+			pending.replaces = !pending.additional
 		}
 		for range missing.anywhere {
 			if version.Spec.Pool != "" {
-				entry.gain = p.gain(entry)
+				pending.value = p.value(pending)
 			}
-			wanted = append(wanted, entry)
-			entry.further = entry.further || version.Spec.Pool != ""
+			wanted = append(wanted, pending)
+			pending.additional = pending.additional || version.Spec.Pool != ""
 		}
 	}
 	sort.Slice(wanted, func(i, j int) bool { return wanted[i].before(wanted[j]) })
 	return wanted
 }
 
-// isReserve reports whether nobody waits for the replica or needs it by now.
-func (w want) isReserve() bool {
-	return !w.urgent && !w.further && !w.replaces
+// isProactive reports whether no request needs the replica yet: it is prewarmed or belongs to the
+// minimum.
+func (r pendingReplica) isProactive() bool {
+	return !r.urgent && !r.additional && !r.replaces
 }
 
-func (w want) before(other want) bool {
+func (r pendingReplica) before(other pendingReplica) bool {
 	switch {
-	case w.further != other.further:
-		return other.further
-	case w.isReserve() != other.isReserve():
-		return other.isReserve()
-	case w.gain != other.gain:
-		return w.gain > other.gain
-	case w.priority != other.priority:
-		return w.priority > other.priority
-	case w.score() != other.score():
-		return w.score() > other.score()
-	case w.version.Name != other.version.Name:
-		return w.version.Name < other.version.Name
+	case r.additional != other.additional:
+		return other.additional
+	case r.isProactive() != other.isProactive():
+		return other.isProactive()
+	case r.value != other.value:
+		return r.value > other.value
+	case r.priority != other.priority:
+		return r.priority > other.priority
+	case r.score() != other.score():
+		return r.score() > other.score()
+	case r.version.Name != other.version.Name:
+		return r.version.Name < other.version.Name
 	}
-	return w.bound != nil && other.bound != nil && w.bound.Allowed.Key() < other.bound.Allowed.Key()
+	return r.constrained != nil && other.constrained != nil && r.constrained.Allowed.Key() < other.constrained.Allowed.Key()
 }
 
-// score is the response ratio: the time waited and to wait, over the time
-// that the load takes. Short loads go first, and none starves.
-func (w want) score() float64 {
-	load := max(w.loadTime, time.Millisecond).Seconds()
-	return (w.waiting.Seconds() + load) / load
+// score is the response ratio: waiting time plus load time, over load time. Short loads go first,
+// and no load starves.
+func (r pendingReplica) score() float64 {
+	load := max(r.loadTime, time.Millisecond).Seconds()
+	return (r.waiting.Seconds() + load) / load
 }
 
-// missingReplicas are those that a version should have beside its own.
+// missingReplicas are the replicas that a version lacks.
 type missingReplicas struct {
-	// bound are those that requests wait for which are bound to regions.
-	bound []want
-	// anywhere is how many more there should be, wherever they are.
+	// constrained holds the replicas for waiting requests with a region constraint.
+	constrained []pendingReplica
+	// anywhere is the number of missing replicas without a constraint.
 	anywhere int
 }
 
-// missing returns which more replicas a version should have.
 func (p *pass) missing(name string, version *Version) missingReplicas {
-	if p.input.Now.Before(p.planner.retryAfter[name]) || p.isPaused(name) {
+	if p.input.Now.Before(p.planner.retryAfter[name]) || p.inCrashBackoff(name) {
 		return missingReplicas{}
 	}
 	desired := version.MinReplicas
@@ -114,22 +109,22 @@
 	if demand := p.input.Demand[name]; demand != nil {
 		desired = max(desired, p.desiredFor(demand, version, usable))
 	}
-	desired = max(desired, p.needed(version, slotsUsed))
-	if desired == 0 && usable == 0 && p.isWorthLoading(version) {
+	desired = max(desired, p.requiredReplicas(version, targetUtilization))
+	if desired == 0 && usable == 0 && p.shouldPrewarm(version) {
 		desired = 1
 	}
 	if desired == 0 && p.mustReplace(name) {
 		desired = 1
 	}
-	// The state machine counts every replica that is loading or ready, also
-	// on machines that leave or whose zones are drained.
+	// The replicated state machine counts all loading and ready replicas against the maximum,
+	// including those on leaving and drained machines.
 	allowed := max(0, version.MaxReplicas-len(p.byVersion[name])-len(p.drained[name]))
-	bound := p.boundWants(version, p.input.Demand[name])
-	bound = bound[:min(len(bound), allowed)]
-	return missingReplicas{bound: bound, anywhere: min(desired-usable, allowed) - len(bound)}
+	constrained := p.constrainedReplicas(version, p.input.Demand[name])
+	constrained = constrained[:min(len(constrained), allowed)]
+	return missingReplicas{constrained: constrained, anywhere: min(desired-usable, allowed) - len(constrained)}
 }
 
-// usable counts the replicas of a version that are there to stay.
+// usable counts the replicas of a version on schedulable machines.
 func (p *pass) usable(version *Version) int {
 	count := 0
 	for _, replica := range p.byVersion[version.Name] {
@@ -140,26 +135,25 @@
 	return count
 }
 
-// isWorthLoading reports whether a version that nobody asks for is worth the
-// part of an accelerator that it would take: replicas that are loaded ahead
-// share accelerators.
-func (p *pass) isWorthLoading(version *Version) bool {
-	worth := p.planner.config.KeepAlive.Prewarm(p.planner.subject(version), p.input.Now)
-	if worth <= 0 {
+// shouldPrewarm reports whether the prewarming index of a version exceeds the share of the
+// accelerators that it would occupy.
+func (p *pass) shouldPrewarm(version *Version) bool {
+	index := p.planner.config.KeepAlive.Prewarm(p.planner.subject(version), p.input.Now)
+	if index <= 0 {
 		return false
 	}
 	share := 1.0
 	if p.largestAccelerator > 0 {
 		share = float64(version.Spec.BytesPerAccelerator()) / float64(p.largestAccelerator)
 	}
-	return worth >= prewarmMargin*share*float64(version.Spec.Accelerators)
+	return index >= prewarmMargin*share*float64(version.Spec.Accelerators)
 }
 
-// desiredFor sizes a version for its load. A further replica is worth its
-// load only where those present are full.
+// desiredFor returns the number of replicas for the current demand. A replica is added only when
+// those present are full.
 func (p *pass) desiredFor(demand *Demand, version *Version, usable int) int {
 	if version.Spec.Pool != "" {
-		return min(demand.Waiting, 1) // The rest follows from its averaged load.
+		return min(demand.Waiting, 1) // Further replicas follow from the averaged load, see requiredReplicas.
 	}
 	if demand.Waiting == 0 {
 		return min(usable, version.MaxReplicas)
@@ -169,8 +163,7 @@
 	return min(version.MaxReplicas, max(1, (total+slots-1)/slots))
 }
 
-// mustReplace reports whether a replica in use sits on a machine that leaves, or whose zone is
-// drained.
+// mustReplace reports whether a replica on a leaving or drained machine is in use.
 func (p *pass) mustReplace(name string) bool {
 	for _, replica := range p.byVersion[name] {
 		leaving := !p.input.Machines[replica.Spec.Machine].Accepts
@@ -178,5 +171,5 @@
 			return true
 		}
 	}
-	return p.runsDrained(name)
+	return p.isServingDrained(name)
 }
--- a/internal/placement/worth.go
+++ b/internal/placement/worth.go
@@ -6,44 +6,40 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// What a replica on a registered machine is worth decides on loads and on
-// evictions alike. Both must ask for the same number of replicas: where loads
-// counted the requests that wait and evictions did not, each load was undone as
-// soon as it was ready.
+// Loads and evictions on registered machines use the same value of a replica and the same number of
+// required replicas. Otherwise an eviction could undo a load as soon as it is done.
 
 const (
-	// leastRecent is what a replica is worth that nobody has asked for.
-	leastRecent = 0.05
-	// surplusWorth is the part of its worth that is left of a replica of which
-	// there are more than needed.
-	surplusWorth = 0.01
-	// reserveValue makes evicting for a further replica harder than for a first.
-	reserveValue = 0.5
-	// swapMargin is by how much more than it costs a swap must bring: both versions
-	// wait for it, and the next one may undo it.
-	swapMargin = 1.5
-	// slotsUsed is the share of its slots up to which a machine is planned to be
-	// used by one version.
-	slotsUsed = 0.9
-	// slotsSpare is the share below which the others must stay before one of
-	// them counts as more than needed.
-	slotsSpare = 0.6
+	// minRecency is the recency value of a replica that has not been used for long.
+	minRecency = 0.05
+	// surplusFactor reduces the value of replicas beyond the required number.
+	surplusFactor = 0.01
+	// additionalFactor reduces the value of an additional replica relative to a first one.
+	additionalFactor = 0.5
+	// evictionMargin is the factor by which the value of a load must exceed that of its victims:
+	// both versions wait for the change, and it may be undone.
+	evictionMargin = 1.5
+	// targetUtilization is the share of the slots of a machine that one version is planned to use.
+	targetUtilization = 0.9
+	// surplusUtilization is the slot utilization below which the remaining replicas must stay for
+	// one to be surplus.
+	surplusUtilization = 0.6
 )
 
-// needed is how many replicas of a version carry what is asked of it, when the
-// slots of a machine may be used up to the given share.
-func (p *pass) needed(version *Version, share float64) int {
+// requiredReplicas returns the number of replicas that the load of a version requires at the given
+// slot utilization.
+func (p *pass) requiredReplicas(version *Version, share float64) int {
 	if version.Spec.Pool == "" {
 		return 0
 	}
 	bySlots := 0
 	if slots := float64(version.Spec.MaxConcurrent) * share; slots > 0 {
-		bySlots = int(math.Ceil(p.planner.work.inUse[version.Name] / slots))
+		bySlots = int(math.Ceil(p.planner.work.concurrency[version.Name] / slots))
 	}
-	return max(bySlots, p.spreadOver(version)) + p.lostToReduced(version)
+	return max(bySlots, p.replicasForWork(version)) + p.reducedCapacityLoss(version)
 }
 
-// ready counts the replicas of a version that take requests.
+// ready counts the ready replicas of a version on schedulable machines.
 func (p *pass) ready(version *Version) int {
 	count := 0
 	for _, replica := range p.byVersion[version.Name] {
@@ -54,22 +50,22 @@
 	return count
 }
 
-// isSurplus reports whether the version can do with a ready replica less. One that
-// is loading does not stand in for one that is ready.
+// isSurplus reports whether a version has more ready replicas than required. Loading replicas do
+// not count.
 func (p *pass) isSurplus(version *Version) bool {
-	return p.planner.work.settled && p.ready(version) > max(1, p.needed(version, slotsSpare))
+	return p.planner.work.converged && p.ready(version) > max(1, p.requiredReplicas(version, surplusUtilization))
 }
 
-// isFresh reports whether a replica has been ready for less time than its load
-// took: what was loaded must pay for its load before it goes.
-func (p *pass) isFresh(replica *Replica, version *Version) bool {
+// isRecentlyLoaded reports whether a replica has been ready for less than its load time. Such
+// replicas are not evicted, so that a load pays off.
+func (p *pass) isRecentlyLoaded(replica *Replica, version *Version) bool {
 	since, known := p.planner.readySince[replica.Name]
 	return known && p.input.Now.Sub(since) < p.loadTime(version, Tier(replica.Spec.Tier))
 }
 
-// urgency is which part of a cold start its requests would miss: next to nothing
-// where they have time for it, all of it where their target is shorter, or not
-// known.
+// urgency is the fraction of the cold start penalty that applies to a version: 1 if the load takes
+// longer than the target of its requests or the target is unknown, and less if there is time for
+// it.
 func (p *pass) urgency(version *Version) float64 {
 	demand := p.input.Demand[version.Name]
 	if demand == nil || demand.Target == 0 {
@@ -79,23 +75,22 @@
 	return min(1, missed*missed)
 }
 
-// replicaWorth is what a replica of a pool's version is worth, in weighted
-// seconds of cold starts for each second: what it serves, or nearly nothing
-// where its version has more replicas than it needs.
-func (p *pass) replicaWorth(replica *Replica, version *Version) float64 {
+// replicaValue is the value of keeping a replica of a pooled version, in weighted seconds of cold
+// start per second, from its recency, its share of the work and its running requests.
+func (p *pass) replicaValue(replica *Replica, version *Version) float64 {
 	rate := p.planner.work.rates[version.Name]
 	count := max(1, p.ready(version))
 	idle := p.input.Now.Sub(p.planner.lastUsed[replica.Name]).Seconds()
-	worth := (max(leastRecent, 1/(1+idle)) + rate/float64(count)/minimumRate) * p.urgency(version)
-	if p.isSpare(replica, version) {
-		return surplusWorth * worth
+	value := (max(minRecency, 1/(1+idle)) + rate/float64(count)/minSpreadRate) * p.urgency(version)
+	if p.isDispensable(replica, version) {
+		return surplusFactor * value
 	}
-	return worth + p.interrupted(version)
+	return value + p.runningRequests(version)
 }
 
-// interrupted is how many requests have to be waited for before the only replica
-// of a version is gone; a machine takes no other order meanwhile.
-func (p *pass) interrupted(version *Version) float64 {
+// runningRequests is the number of running requests that an unload of the only replica of a version
+// waits for.
+func (p *pass) runningRequests(version *Version) float64 {
 	demand := p.input.Demand[version.Name]
 	if demand == nil {
 		return 0
@@ -103,44 +98,44 @@
 	return float64(demand.Running)
 }
 
-// mayEvict reports whether a replica may make room. What a registered machine
-// runs of a model is not reported; an unload waits for its runs, so there it is
-// a matter of worth alone.
+// mayEvict reports whether a replica may be evicted. Registered machines do not report running
+// requests by model, and their unloads wait for them, so running requests do not prevent an
+// eviction there.
 func (p *pass) mayEvict(replica *Replica) bool {
 	version := p.input.Versions[replica.Spec.Version]
 	if version == nil || version.Spec.Pool == "" {
 		return p.isIdle(replica)
 	}
-	if p.isFresh(replica, version) {
+	if p.isRecentlyLoaded(replica, version) {
 		return false
 	}
 	demand := p.input.Demand[replica.Spec.Version]
-	return demand == nil || demand.Waiting == 0 || p.isSpare(replica, version)
+	return demand == nil || demand.Waiting == 0 || p.isDispensable(replica, version)
 }
 
-// gain is what a wanted replica is worth, on the scale of replicaWorth.
-func (p *pass) gain(entry want) float64 {
-	if entry.bound != nil {
-		return entry.gain
+// value is the value of a pending replica, on the scale of replicaValue.
+func (p *pass) value(pending pendingReplica) float64 {
+	if pending.constrained != nil {
+		return pending.value
 	}
-	served := p.planner.work.rates[entry.version.Name] / minimumRate
-	if entry.further {
-		return reserveValue * served / float64(len(p.byVersion[entry.version.Name])+1)
+	served := p.planner.work.rates[pending.version.Name] / minSpreadRate
+	if pending.additional {
+		return additionalFactor * served / float64(len(p.byVersion[pending.version.Name])+1)
 	}
-	if demand := p.input.Demand[entry.version.Name]; demand != nil {
+	if demand := p.input.Demand[pending.version.Name]; demand != nil {
 		served += float64(demand.Waiting)
 	}
 	return served
 }
 
-// paysToEvict reports whether a replica is worth more than what it pushes out.
-func (p *pass) paysToEvict(entry want, victims []*Replica) bool {
-	gained := p.gain(entry)
+// isEvictionWorthwhile reports whether a pending replica is worth more than its victims.
+func (p *pass) isEvictionWorthwhile(pending pendingReplica, victims []*Replica) bool {
+	value := p.value(pending)
 	lost := 0.0
 	for _, victim := range victims {
 		if version := p.input.Versions[victim.Spec.Version]; version != nil {
-			lost += p.replicaWorth(victim, version)
+			lost += p.replicaValue(victim, version)
 		}
 	}
-	return gained > swapMargin*lost
+	return value > evictionMargin*lost
 }
