--- a/internal/places/constraint.go
+++ b/internal/places/constraint.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// Constraint says which regions may serve a request. The zero value allows every region, and
-// places whose region is not known.
+// Constraint is the set of regions that may serve a request. The zero value allows every region,
+// including unknown ones.
 type Constraint struct {
-	bound   bool
-	regions []string
+	restricted bool
+	regions    []string
 }
 
-// Only returns the constraint that allows the named regions; with none named it allows all, as
-// a declaration without regions does.
+// RestrictTo returns the constraint that allows only the named regions. Without names it allows all
+// regions, like a declaration that lists none.
 func Only(regions ...string) Constraint {
 	if len(regions) == 0 {
 		return Constraint{}
 	}
 	sorted := slices.Clone(regions)
 	slices.Sort(sorted)
-	return Constraint{bound: true, regions: slices.Compact(sorted)}
+	return Constraint{restricted: true, regions: slices.Compact(sorted)}
 }
 
-// And returns the constraint that allows what both allow.
+// Intersect returns the constraint that allows the regions that both constraints allow.
 func (c Constraint) And(other Constraint) Constraint {
 	switch {
-	case !c.bound:
+	case !c.restricted:
 		return other
-	case !other.bound:
+	case !other.restricted:
 		return c
 	}
 	common := []string{}
@@ -37,34 +37,35 @@
 			common = append(common, region)
 		}
 	}
-	return Constraint{bound: true, regions: common}
+	return Constraint{restricted: true, regions: common}
 }
 
-// Allows reports whether a region may serve the request. One that is not known, which is named
-// by the empty string, may not where anything is excluded.
+// Allows reports whether a region may serve the request. The empty string is an unknown region,
+// which only an unrestricted constraint allows.
 func (c Constraint) Allows(region string) bool {
-	return !c.bound || region != "" && slices.Contains(c.regions, region)
+	return !c.restricted || region != "" && slices.Contains(c.regions, region)
 }
 
-// IsBound reports whether any region is excluded.
+// IsRestrictive reports whether any region is excluded.
 func (c Constraint) IsBound() bool {
-	return c.bound
+	return c.restricted
 }
 
-// IsEmpty reports whether no region at all is allowed.
+// IsEmpty reports whether no region is allowed.
 func (c Constraint) IsEmpty() bool {
-	return c.bound && len(c.regions) == 0
+	return c.restricted && len(c.regions) == 0
 }
 
-// Regions returns the allowed regions by name, which must not be changed; nil where all are.
+// Regions returns the allowed regions in sorted order; nil if all are allowed. The caller must not
+// modify the slice.
 func (c Constraint) Regions() []string {
 	return c.regions
 }
 
-// Key tells constraints apart: equal ones have the same key, and that of one that allows
-// everything is empty.
+// Key returns a key that is equal for equal constraints; the key of an unrestricted constraint is
+// empty.
 func (c Constraint) Key() string {
-	if !c.bound {
+	if !c.restricted {
 		return ""
 	}
 	return "only " + strings.Join(c.regions, ",")
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -5,51 +5,51 @@
 	"slices"
 )
 
-// Map holds the region of each zone. The zero value knows no zone.
+// ZoneMap maps zones to regions. The zero value has no zones.
 type Map struct {
 	regions map[string]string
 }
 
-// NewMap returns a Map of a table from zones to regions, which is copied.
+// NewZoneMap returns a ZoneMap with a copy of the given table from zones to regions.
 func NewMap(regions map[string]string) Map {
 	return Map{regions: maps.Clone(regions)}
 }
 
-// Region returns the region of a zone; empty if it is not known.
+// Region returns the region of a zone; empty if it is unknown.
 func (m Map) Region(zone string) string {
 	return m.regions[zone]
 }
 
-// Knows reports whether the table names a zone.
+// HasZone reports whether the table contains a zone.
 func (m Map) Knows(zone string) bool {
 	_, known := m.regions[zone]
 	return known
 }
 
-// Zones returns the zones that the table names, by name.
+// Zones returns the zones of the table in sorted order.
 func (m Map) Zones() []string {
 	return slices.Sorted(maps.Keys(m.regions))
 }
 
-// Nearness is how near two places are, the nearest first.
+// Proximity ranks how close two zones are. Smaller values are closer.
 type Nearness int
 
-// The steps of nearness.
+// Proximity levels.
 const (
-	// SameZone: the two share a zone.
+	// SameZone means that the zones are equal.
 	SameZone Nearness = iota
-	// SameRegion: they are in different zones of one region.
+	// SameRegion means that two different zones are in the same region.
 	SameRegion
-	// Further: their regions differ, or one of them is not known.
+	// OtherRegion means that the regions differ or one of them is unknown.
 	Further
 )
 
-// String names the nearness in logs and metrics.
+// String returns the name used in logs and metrics.
 func (n Nearness) String() string {
 	return [...]string{"same_zone", "same_region", "further"}[n]
 }
 
-// Between returns how near two zones are.
+// Proximity returns the proximity of two zones.
 func (m Map) Between(left, right string) Nearness {
 	if left == right {
 		return SameZone
@@ -60,13 +60,13 @@
 	return Further
 }
 
-// Position is where a node stands among the zones of a map.
+// Location is the zone of a node with the zones around it.
 type Position struct {
 	Zone string
 	Map  Map
 }
 
-// To returns how near a zone is.
+// ProximityOf returns the proximity of a zone to the location.
 func (p Position) To(zone string) Nearness {
 	return p.Map.Between(p.Zone, zone)
 }
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-var table = NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b", "nowhere": ""})
+var zones = NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b", "nowhere": ""})
 
-func TestBetween(t *testing.T) {
+func TestProximity(t *testing.T) {
 	for _, check := range []struct {
 		left, right string
 		want        Nearness
@@ -20,39 +20,39 @@
 		{"unknown", "a1", Further},
 		{"nowhere", "other", Further},
 	} {
-		if got := table.Between(check.left, check.right); got != check.want {
+		if got := zones.Between(check.left, check.right); got != check.want {
 			t.Errorf("from %s to %s: %s, want %s", check.left, check.right, got, check.want)
 		}
-		if got := table.Between(check.right, check.left); got != check.want {
+		if got := zones.Between(check.right, check.left); got != check.want {
 			t.Errorf("from %s to %s: %s, want %s", check.right, check.left, got, check.want)
 		}
 	}
 }
 
 func TestConstraintOfUnknownRegion(t *testing.T) {
-	if Only("a").Allows(table.Region("unknown")) {
-		t.Error("a zone whose region is not known is allowed by a constraint")
+	if Only("a").Allows(zones.Region("unknown")) {
+		t.Error("a constraint allows a zone of unknown region")
 	}
-	if !Only().Allows(table.Region("unknown")) {
-		t.Error("without a constraint a zone is refused")
+	if !Only().Allows(zones.Region("unknown")) {
+		t.Error("an unrestricted constraint refuses a zone of unknown region")
 	}
 }
 
-// TestAnd checks that both sides of a conjunction bind, for any two constraints.
-func TestAnd(t *testing.T) {
+// TestIntersect checks that an intersection allows exactly the regions that both constraints allow.
+func TestIntersect(t *testing.T) {
 	regions := []string{"a", "b", "c", ""}
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) Constraint {
 			return Only(rapid.SliceOfN(rapid.SampledFrom(regions[:3]), 0, 3).Draw(t, label)...)
 		}
 		left, right := draw("left"), draw("right")
-		both, turned := left.And(right), right.And(left)
-		if both.Key() != turned.Key() {
-			t.Fatalf("%q one way and %q the other", both.Key(), turned.Key())
+		intersection, reversed := left.And(right), right.And(left)
+		if intersection.Key() != reversed.Key() {
+			t.Fatalf("Intersect is not commutative: %q and %q", intersection.Key(), reversed.Key())
 		}
 		for _, region := range regions {
-			if both.Allows(region) != (left.Allows(region) && right.Allows(region)) {
-				t.Fatalf("region %q: %q and %q together allow it: %t", region, left.Key(), right.Key(), both.Allows(region))
+			if intersection.Allows(region) != (left.Allows(region) && right.Allows(region)) {
+				t.Fatalf("region %q: the intersection of %q and %q allows it: %t", region, left.Key(), right.Key(), intersection.Allows(region))
 			}
 		}
 	})
