--- a/internal/keepalive/adaptive.go
+++ b/internal/keepalive/adaptive.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// The histogram's edges grow by edgeGrowth from firstEdge: 1 s to a day.
+	// Bucket edges grow by edgeGrowth from firstEdge, up to about a day.
 	firstEdge   = time.Second
 	edgeGrowth  = 1.5
 	bucketCount = 29
 	gapDecay    = 0.97
-	// priorGaps is how many observed gaps weigh as much as no knowledge.
+	// priorGaps is the weight of the ski-rental prior, in observed gaps.
 	priorGaps = 2.0
-	// minimumGap separates uses; shorter ones are one use.
-	minimumGap = time.Second
-	// shortestIdle keeps the index of a replica that has just been used
-	// finite.
-	shortestIdle = time.Second
+	// minGap is the shortest gap that separates two uses.
+	minGap = time.Second
+	// minIdle keeps the index of a replica that was just used finite.
+	minIdle = time.Second
 )
 
-// Adaptive learns from each version's history; see the package documentation.
+// Adaptive derives the index of a version from its history: the largest ratio, over all horizons,
+// of expected cold starts saved to idle time (a Gittins index) from the gaps between uses, or the
+// rate of use at the time of day on earlier days if that is higher. Without history it follows the
+// ski-rental rule.
 type Adaptive struct {
-	histories map[string]*history
+	histories map[string]*versionHistory
 }
 
-// NewAdaptive returns an Adaptive policy without any history.
 func NewAdaptive() *Adaptive {
-	return &Adaptive{histories: map[string]*history{}}
+	return &Adaptive{histories: map[string]*versionHistory{}}
 }
 
-// history is what is remembered of one version.
-type history struct {
+type versionHistory struct {
 	lastUsed time.Time
 	gaps     gapHistogram
 	daily    dailyRates
@@ -40,57 +40,56 @@
 // Name implements Policy.
 func (a *Adaptive) Name() string { return "adaptive" }
 
-// Used implements Policy.
+// RecordUse implements Policy.
 func (a *Adaptive) Used(version string, now time.Time) {
-	held := a.histories[version]
-	if held == nil {
-		held = &history{lastUsed: now}
-		held.daily.begin(now)
-		held.daily.add(now)
-		a.histories[version] = held
+	past := a.histories[version]
+	if past == nil {
+		past = &versionHistory{lastUsed: now}
+		past.daily.begin(now)
+		past.daily.add(now)
+		a.histories[version] = past
 		return
 	}
-	gap := now.Sub(held.lastUsed)
+	gap := now.Sub(past.lastUsed)
 	if gap < 0 {
 		return
 	}
-	held.lastUsed = now
-	if gap >= minimumGap {
-		held.gaps.add(gap)
+	past.lastUsed = now
+	if gap >= minGap {
+		past.gaps.add(gap)
 	}
 	if gap >= sessionGap {
-		held.daily.add(now)
+		past.daily.add(now)
 	}
 }
 
 // Index implements Policy.
-func (a *Adaptive) Index(subject Subject, idle time.Duration, now time.Time) float64 {
-	idle = max(idle, shortestIdle)
-	unknown := subject.coldCost() / idle.Seconds()
-	held := a.histories[subject.Version]
-	if held == nil {
-		return unknown
+func (a *Adaptive) Index(profile Subject, idle time.Duration, now time.Time) float64 {
+	idle = max(idle, minIdle)
+	prior := profile.coldStartCost() / idle.Seconds()
+	past := a.histories[profile.Version]
+	if past == nil {
+		return prior
 	}
-	known := held.gaps.remaining(idle)
-	byGaps := (known*held.gaps.index(subject.coldCost(), idle) + priorGaps*unknown) / (known + priorGaps)
-	return max(byGaps, held.daily.rate(now)*subject.coldCost())
+	weight := past.gaps.countLonger(idle)
+	byGaps := (weight*past.gaps.index(profile.coldStartCost(), idle) + priorGaps*prior) / (weight + priorGaps)
+	return max(byGaps, past.daily.rate(now)*profile.coldStartCost())
 }
 
-// Prewarm implements Policy: what loading now would be worth is the rate of
-// uses at the time when the load will be done.
-func (a *Adaptive) Prewarm(subject Subject, now time.Time) float64 {
-	held := a.histories[subject.Version]
-	if held == nil {
+// PrewarmIndex implements Policy. The index is the expected rate of use at the time when the load
+// would be done.
+func (a *Adaptive) Prewarm(profile Subject, now time.Time) float64 {
+	past := a.histories[profile.Version]
+	if past == nil {
 		return 0
 	}
-	return held.daily.rate(now.Add(subject.LoadTime)) * subject.coldCost()
+	return past.daily.rate(now.Add(profile.LoadTime)) * profile.coldStartCost()
 }
 
-// gapHistogram counts the gaps between uses in geometric buckets and forgets
-// old ones.
+// gapHistogram counts the gaps between uses in geometric buckets, with exponential decay.
 type gapHistogram struct {
 	counts [bucketCount + 1]float64
-	// sums holds the seconds of the gaps in each bucket, for their mean.
+	// sums holds the total seconds of the gaps in each bucket.
 	sums [bucketCount + 1]float64
 }
 
@@ -102,7 +101,7 @@
 	return min(position, bucketCount)
 }
 
-// edges holds the upper edge of each bucket, in seconds.
+// edges holds the upper edge of each bucket in seconds.
 var edges = func() (edges [bucketCount + 1]float64) {
 	for bucket := range edges {
 		edges[bucket] = firstEdge.Seconds() * math.Pow(edgeGrowth, float64(bucket))
@@ -120,18 +119,18 @@
 	h.sums[bucket] += gap.Seconds()
 }
 
-// remaining is how many of the remembered gaps were longer than the idle time.
-func (h *gapHistogram) remaining(idle time.Duration) float64 {
+// countLonger returns the weight of the gaps that are longer than the idle time.
+func (h *gapHistogram) countLonger(idle time.Duration) float64 {
 	total := 0.0
 	for bucket, count := range h.counts {
-		total += count * longerShare(bucket, idle.Seconds())
+		total += count * fractionLonger(bucket, idle.Seconds())
 	}
 	return total
 }
 
-// longerShare is the share of a bucket's gaps that are longer than a time, if
-// they lie evenly between its edges.
-func longerShare(bucket int, seconds float64) float64 {
+// fractionLonger returns the fraction of the gaps of a bucket that are longer than the given time,
+// if they are uniformly distributed in the bucket.
+func fractionLonger(bucket int, seconds float64) float64 {
 	upper, lower := edges[bucket], 0.0
 	if bucket > 0 {
 		lower = edges[bucket-1]
@@ -139,28 +138,28 @@
 	return min(1, max(0, (upper-seconds)/(upper-lower)))
 }
 
-// index returns the largest ratio, over all horizons, of the cold start saved
-// to the time idled until then: for gaps longer than the time idled so far,
-// P(gap <= horizon) * cold / E[min(gap, horizon) - idle].
-func (h *gapHistogram) index(coldCost float64, idle time.Duration) float64 {
+// index returns the largest ratio, over all horizons, of the cold start cost saved to the further
+// idle time, for gaps longer than the idle time so far: P(gap <= horizon) * cost / E[min(gap,
+// horizon) - idle].
+func (h *gapHistogram) index(cost float64, idle time.Duration) float64 {
 	elapsed := idle.Seconds()
-	total := h.remaining(idle)
+	total := h.countLonger(idle)
 	best, ended, waited := 0.0, 0.0, 0.0
 	for bucket := bucketOf(idle); bucket <= bucketCount; bucket++ {
-		count := h.counts[bucket] * longerShare(bucket, elapsed)
+		count := h.counts[bucket] * fractionLonger(bucket, elapsed)
 		if count == 0 {
 			continue
 		}
-		middle := h.sums[bucket] / h.counts[bucket]
-		if middle <= elapsed {
-			middle = (elapsed + edges[bucket]) / 2
+		mean := h.sums[bucket] / h.counts[bucket]
+		if mean <= elapsed {
+			mean = (elapsed + edges[bucket]) / 2
 		}
 		ended += count
-		waited += count * (middle - elapsed)
+		waited += count * (mean - elapsed)
 		horizon := max(edges[bucket]-elapsed, 0)
 		expected := waited + (total-ended)*horizon
 		if expected > 0 {
-			best = max(best, ended*coldCost/expected)
+			best = max(best, ended*cost/expected)
 		}
 	}
 	return best
--- a/internal/keepalive/adaptive_test.go
+++ b/internal/keepalive/adaptive_test.go
@@ -9,15 +9,14 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestAdaptive feeds uses at times of day and asks what a replica is worth.
-// The subject has one accelerator and a cold start of 10 s, weighed 60: alone
-// it is worth keeping while its index is at least 1.
+// TestAdaptive records uses and prints indices. The profile has a cold start of 10 s with weight
+// 60, so that a replica alone on its accelerator is kept while its index is at least 1.
 func TestAdaptive(t *testing.T) {
-	subject := Subject{Version: "model", Accelerators: 1, LoadTime: 10 * time.Second, ColdStartWeight: 60}
+	profile := Subject{Version: "model", Accelerators: 1, LoadTime: 10 * time.Second, ColdStartWeight: 60}
 	begin := time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
 	var policy *Adaptive
 	datadriven.RunTest(t, "testdata/adaptive", func(t *testing.T, d *datadriven.TestData) string {
-		at := func(name string) time.Duration {
+		duration := func(name string) time.Duration {
 			var text string
 			d.ScanArgs(t, name, &text)
 			value, err := time.ParseDuration(text)
@@ -35,8 +34,8 @@
 			d.ScanArgs(t, "count", &count)
 			for day := range days {
 				for number := range count {
-					offset := time.Duration(day)*24*time.Hour + at("from") + time.Duration(number)*at("every")
-					policy.Used(subject.Version, begin.Add(offset))
+					offset := time.Duration(day)*24*time.Hour + duration("from") + time.Duration(number)*duration("every")
+					policy.Used(profile.Version, begin.Add(offset))
 				}
 			}
 		case "index":
@@ -46,11 +45,11 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				fmt.Fprintf(&out, "idle %s: %.2f\n", text, policy.Index(subject, idle, begin.Add(at("at"))))
+				fmt.Fprintf(&out, "idle %s: %.2f\n", text, policy.Index(profile, idle, begin.Add(duration("at"))))
 			}
 			return out.String()
 		case "prewarm":
-			return fmt.Sprintf("%.2f\n", policy.Prewarm(subject, begin.Add(at("at"))))
+			return fmt.Sprintf("%.2f\n", policy.Prewarm(profile, begin.Add(duration("at"))))
 		}
 		return ""
 	})
--- a/internal/keepalive/daily.go
+++ b/internal/keepalive/daily.go
@@ -8,26 +8,25 @@
 const (
 	daySlots     = 96
 	slotDuration = 24 * time.Hour / daySlots
-	// slotDecay is the weight of a day against the one after it.
+	// slotDecay is the weight of a day relative to the following day.
 	slotDecay = 0.7
-	// priorDays is how many days of no use the estimate begins with.
+	// priorDays is the weight of the prior, in days without use.
 	priorDays = 0.5
-	// sessionGap separates visits: what follows sooner belongs to the visit
-	// and is left to the gaps.
+	// sessionGap separates sessions. Uses within a session count only in the gap histogram.
 	sessionGap = 2 * time.Minute
 )
 
-// kernel smooths over neighbouring slots: people are not that punctual.
+// kernel smooths the counts over neighboring slots.
 var kernel = [...]float64{0.2, 0.6, 0.2}
 
-// dailyRates holds how often a version was visited at each time of day.
+// dailyRates counts the sessions of a version by time of day.
 type dailyRates struct {
 	firstDay int64
 	slots    [daySlots]slotCount
 }
 
-// slotCount counts the visits in a part of the day, those of a day apart from
-// the decayed ones of the days before.
+// slotCount counts the sessions in a slot: those of the current day, and the decayed sum of earlier
+// days.
 type slotCount struct {
 	past  float64
 	today float64
@@ -50,35 +49,33 @@
 	slot := &d.slots[slotOf(now)]
 	today := dayOf(now)
 	if slot.day != today {
-		*slot = slotCount{past: slot.before(today), day: today}
+		*slot = slotCount{past: slot.earlier(today), day: today}
 	}
 	slot.today++
 }
 
-// before returns the visits of the days before one, the day before weighing
-// slotDecay.
-func (s slotCount) before(day int64) float64 {
+// earlier returns the decayed count of the days before the given day.
+func (s slotCount) earlier(day int64) float64 {
 	if day == s.day {
 		return s.past
 	}
 	return (s.past + s.today) * math.Pow(slotDecay, float64(day-s.day))
 }
 
-// rate returns the expected visits a second at a time of day, by the days
-// before.
+// rate returns the expected sessions per second at a time of day, from earlier days.
 func (d *dailyRates) rate(now time.Time) float64 {
 	today := dayOf(now)
 	days := float64(today - d.firstDay)
 	if days < 1 {
 		return 0
 	}
-	// The weights of the days before add up to a geometric sum.
+	// The total weight of the earlier days is a geometric series.
 	weight := slotDecay * (1 - math.Pow(slotDecay, days)) / (1 - slotDecay)
-	visits := 0.0
-	middle := slotOf(now)
+	sessions := 0.0
+	center := slotOf(now)
 	for offset, share := range kernel {
-		position := (middle + offset - len(kernel)/2 + daySlots) % daySlots
-		visits += share * d.slots[position].before(today)
+		position := (center + offset - len(kernel)/2 + daySlots) % daySlots
+		sessions += share * d.slots[position].earlier(today)
 	}
-	return visits / (weight + priorDays) / slotDuration.Seconds()
+	return sessions / (weight + priorDays) / slotDuration.Seconds()
 }
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -1,27 +1,8 @@
-// Package keepalive decides how long a replica that serves nobody is kept, and
-// which to load before anybody asks.
-//
-// The problem: an accelerator that holds weights while nothing runs on it costs
-// idle hours, and a replica that was unloaded too early costs its next caller a
-// cold start. Which is worse is for the operator to say: a service's
-// ColdStartWeight is how many accelerator-seconds of idling one second of cold
-// start is worth.
-//
-// The mechanism: a policy gives each replica an index: what keeping it is worth
-// now, in accelerators. It is the expected cold start saved for each second of
-// idling until the next use, the largest such ratio over all horizons (a
-// Gittins index). Replicas share accelerators, so the planner adds up the
-// indices of those on one: an accelerator is kept as long as its replicas
-// together are worth one accelerator, and a replica worth little stays for
-// nothing beside one that is worth much.
-//
-// The index comes from two sources, whichever is higher: the gaps between a
-// version's uses, by how long it has idled; and the rate of its uses at this
-// time of day on the days before. Without history a version is worth its cold
-// start over the time that it has idled, so that alone it is kept as long as
-// idling costs less than loading (the ski-rental rule).
-//
-// All functions take the time as an argument.
+// Package keepalive decides how long idle replicas are kept and which versions are prewarmed. A
+// policy returns an index for each replica: the value of keeping it, in accelerators. An
+// accelerator is kept while the indices of its replicas add up to at least one. ColdStartWeight
+// sets how many accelerator-seconds of idling one second of cold start is worth. All functions take
+// the time as an argument.
 package keepalive
 
 import (
@@ -29,54 +10,50 @@
 	"time"
 )
 
-// Subject is the version that a question is about.
+// VersionProfile holds the properties of a version that determine its index.
 type Subject struct {
 	Version string
-	// Accelerators that a replica occupies.
+	// Accelerators is the number of accelerators that a replica occupies.
 	Accelerators int
-	// LoadTime is the expected cold start.
+	// LoadTime is the expected duration of a cold start.
 	LoadTime time.Duration
 	// ColdStartWeight is in accelerator-seconds per second of cold start.
 	ColdStartWeight float64
 }
 
-// coldCost is what a cold start costs, in accelerator-seconds.
-func (s Subject) coldCost() float64 {
-	return s.ColdStartWeight * s.LoadTime.Seconds()
+// coldStartCost is the cost of a cold start in accelerator-seconds.
+func (p Subject) coldStartCost() float64 {
+	return p.ColdStartWeight * p.LoadTime.Seconds()
 }
 
-// Rent is for how long idling alone costs as much as one cold start.
-func (s Subject) Rent() time.Duration {
-	return time.Duration(s.coldCost() / float64(max(1, s.Accelerators)) * float64(time.Second))
+// BreakEven returns the idle time that costs as much as one cold start.
+func (p Subject) Rent() time.Duration {
+	return time.Duration(p.coldStartCost() / float64(max(1, p.Accelerators)) * float64(time.Second))
 }
 
 const (
-	// Always is the index of what must be kept.
+	// Always is the index of a replica that must be kept.
 	Always = math.MaxFloat64
-	// Never is the index of what must go, whatever it shares accelerators
-	// with.
+	// Never is the index of a replica that must be unloaded, even on a shared accelerator.
 	Never = -1.0
 )
 
-// Policy says what replicas are worth. Implementations are not safe for
-// concurrent use.
+// Policy rates replicas. Implementations are not safe for concurrent use.
 type Policy interface {
-	// Name is the policy's name in settings and reports.
+	// Name returns the name of the policy in settings and reports.
 	Name() string
-	// Used records that a version was in use at a time.
+	// RecordUse records that a version was in use at the given time.
 	Used(version string, now time.Time)
-	// Index returns what a replica that has idled for so long is worth, in
-	// accelerators, or Always or Never.
-	Index(subject Subject, idle time.Duration, now time.Time) float64
-	// Prewarm returns what loading a version that nobody asks for is worth,
-	// in accelerators.
-	Prewarm(subject Subject, now time.Time) float64
+	// Index returns the value of keeping an idle replica, in accelerators, or Always or Never.
+	Index(profile Subject, idle time.Duration, now time.Time) float64
+	// PrewarmIndex returns the value of loading a version without demand, in accelerators.
+	Prewarm(profile Subject, now time.Time) float64
 }
 
-// Names lists the policies that New knows.
+// Names lists the policies that New accepts.
 var Names = []string{"adaptive", "ski-rental", "fixed-10m", "none", "always-loaded", "resident"}
 
-// New returns a policy by name, or nil.
+// New returns the policy of the given name, or nil if it is unknown.
 func New(name string) Policy {
 	switch name {
 	case "adaptive":
@@ -88,7 +65,7 @@
 	case "none":
 		return fixed{name: name}
 	case "resident":
-		// Nothing is unloaded but to make room.
+		// Replicas are unloaded only by evictions.
 		return fixed{name: name, timeout: math.MaxInt64}
 	case "always-loaded":
 		return fixed{name: name, timeout: math.MaxInt64, prewarm: Always}
@@ -96,12 +73,12 @@
 	return nil
 }
 
-// NewFixed returns a policy that keeps every replica equally long.
+// NewFixed returns a policy that keeps every idle replica for the same time.
 func NewFixed(timeout time.Duration) Policy {
 	return fixed{name: "fixed-" + timeout.String(), timeout: timeout}
 }
 
-// KeepIf returns the index of a rule that only knows keeping and unloading.
+// KeepIf returns the index of a policy that only decides between keeping and unloading.
 func KeepIf(keep bool) float64 {
 	if keep {
 		return Always
@@ -109,7 +86,7 @@
 	return Never
 }
 
-// fixed keeps every replica equally long.
+// fixed keeps every idle replica for the same time.
 type fixed struct {
 	name    string
 	timeout time.Duration
@@ -123,12 +100,12 @@
 	return KeepIf(idle <= f.timeout)
 }
 
-// skiRental idles as long as a cold start is worth.
+// skiRental keeps an idle replica until idling has cost as much as a cold start.
 type skiRental struct{}
 
 func (skiRental) Name() string                       { return "ski-rental" }
 func (skiRental) Used(string, time.Time)             {}
 func (skiRental) Prewarm(Subject, time.Time) float64 { return 0 }
-func (skiRental) Index(subject Subject, idle time.Duration, _ time.Time) float64 {
-	return KeepIf(idle <= subject.Rent())
+func (skiRental) Index(profile Subject, idle time.Duration, _ time.Time) float64 {
+	return KeepIf(idle <= profile.Rent())
 }
