--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -2,56 +2,56 @@
 
 import "github.com/weldline/weldline/internal/wire/wirepb"
 
-// Step is what an attempt does next.
+// Step is the next step of an attempt.
 type Step int
 
-// The steps of an attempt.
+// Steps of an attempt.
 const (
-	// StepSend asks for a back end and sends the request to it, once.
+	// StepSend picks a back end and sends the request to it once.
 	StepSend Step = iota
-	// StepCloseNotRun closes the claim before anything is said.
+	// StepCloseNotRun closes the claim as not run before the caller is answered.
 	StepCloseNotRun
-	// StepAnswer passes the back end's answer on and records it.
+	// StepAnswer forwards the answer of the back end and records it.
 	StepAnswer
 	// StepAnswerNotRun tells the caller that the request did not run.
 	StepAnswerNotRun
 	// StepAnswerUnknown tells the caller that the request may have run.
 	StepAnswerUnknown
-	// StepRecordUnknown does the same and closes the claim accordingly.
+	// StepRecordUnknown does the same and closes the claim as unknown.
 	StepRecordUnknown
-	// StepReplay passes on the answer recorded by an earlier attempt.
+	// StepReplay forwards the answer recorded by an earlier attempt.
 	StepReplay
-	// StepMismatch refuses a key that was used for another request.
+	// StepMismatch rejects a key that was used for a different request.
 	StepMismatch
 )
 
-// SendEnd is how the sending of a claimed request ended.
+// SendOutcome is the outcome of sending a claimed request.
 type SendEnd int
 
-// The ends of a sending.
+// Outcomes of sending a request.
 const (
-	// SendAnswered: the whole answer has come.
+	// SendAnswered means that the complete answer was received.
 	SendAnswered SendEnd = iota
-	// SendNotRun: nothing was sent, or the back end said that it did not run.
+	// SendNotRun means that nothing was sent, or that the back end reported that the request did
+	// not run.
 	SendNotRun
-	// SendUnknown: it was sent, and no answer came.
+	// SendUnknown means that the request was sent and no answer was received.
 	SendUnknown
 )
 
-// Attempt decides the course of one attempt at an unrepeatable request. It is
-// pure: the gateway and the simulator carry its steps out.
+// Attempt is the state machine of one attempt at a non-idempotent request. It does no I/O: the
+// gateway and the fault simulator execute its steps.
 //
-// Invariant: StepSend follows only a granted claim or a sending that proved
-// not to have run; "not run" is said only after the claim is closed against
-// any later run; once an outcome is unknown, nothing is sent again.
+// Invariant: StepSend follows only a granted claim or a send that did not run; "not run" is
+// answered only after the claim is closed as not run; after an unknown outcome nothing is sent
+// again.
 type Attempt struct {
 	granted bool
 	unknown bool
 }
 
-// Claimed takes the result of opening the claim. An error means that the
-// grant is uncertain: nothing was sent under it and nothing will be, but
-// another attempt under the key may run.
+// Claimed handles the result of opening the claim. After an error the grant is uncertain: this
+// attempt sends nothing, but another attempt under the same key may run.
 func (a *Attempt) Claimed(state wirepb.ClaimState, err error) Step {
 	if err != nil {
 		return StepAnswerUnknown
@@ -68,7 +68,7 @@
 	return StepAnswerUnknown
 }
 
-// Refused takes the refusal of a back end before anything was sent.
+// Refused handles the refusal of a back end before anything was sent.
 func (a *Attempt) Refused() Step {
 	if !a.granted || a.unknown {
 		return StepAnswerUnknown
@@ -76,9 +76,9 @@
 	return StepCloseNotRun
 }
 
-// Sent takes the end of a sending.
-func (a *Attempt) Sent(end SendEnd) Step {
-	switch end {
+// Sent handles the outcome of sending the request.
+func (a *Attempt) Sent(outcome SendEnd) Step {
+	switch outcome {
 	case SendAnswered:
 		return StepAnswer
 	case SendNotRun:
@@ -90,7 +90,7 @@
 	return StepRecordUnknown
 }
 
-// Closed takes the result of closing the claim as not run.
+// Closed handles the result of closing the claim as not run.
 func (a *Attempt) Closed(err error) Step {
 	if err != nil {
 		return StepAnswerUnknown
--- a/internal/claims/attempt_test.go
+++ b/internal/claims/attempt_test.go
@@ -16,9 +16,9 @@
 	StepReplay: "replay the recorded answer", StepMismatch: "refuse the key",
 }
 
-// TestAttempt feeds one attempt the events of a table, one a line.
+// TestAttempt feeds the events of a table to an attempt.
 func TestAttempt(t *testing.T) {
-	lost := fault.Unavailable.New("lost")
+	failure := fault.Unavailable.New("lost")
 	datadriven.RunTest(t, "testdata/attempt", func(t *testing.T, d *datadriven.TestData) string {
 		attempt := &Attempt{}
 		events := map[string]func() Step{
@@ -27,13 +27,13 @@
 			"mismatch":     func() Step { return attempt.Claimed(wirepb.ClaimState_CLAIM_STATE_MISMATCH, nil) },
 			"open":         func() Step { return attempt.Claimed(wirepb.ClaimState_CLAIM_STATE_OPEN, nil) },
 			"unknown":      func() Step { return attempt.Claimed(wirepb.ClaimState_CLAIM_STATE_UNKNOWN, nil) },
-			"claim-lost":   func() Step { return attempt.Claimed(0, lost) },
+			"claim-lost":   func() Step { return attempt.Claimed(0, failure) },
 			"refused":      attempt.Refused,
 			"answered":     func() Step { return attempt.Sent(SendAnswered) },
 			"not-run":      func() Step { return attempt.Sent(SendNotRun) },
 			"no-answer":    func() Step { return attempt.Sent(SendUnknown) },
 			"closed":       func() Step { return attempt.Closed(nil) },
-			"close-failed": func() Step { return attempt.Closed(lost) },
+			"close-failed": func() Step { return attempt.Closed(failure) },
 		}
 		var out strings.Builder
 		for _, event := range strings.Fields(d.Input) {
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,20 +1,7 @@
-// Package claims makes a router the owner of an unrepeatable request before
-// it is sent.
-//
-// The problem: callers resend requests when answers are lost, to any router;
-// a seat must be held once. And a refusal that says "not run" must be true,
-// also when a router or the leader dies in between.
-//
-// The mechanism: a claim under the request's key is committed to the
-// replicated log before the request is sent (a durable record before the
-// effect). One owner is granted it. The owner closes the claim with the
-// answer, as not run (only where it knows that nothing was sent), or as
-// unknown. A resend finds the claim, whichever router it meets. Claims of
-// many requests travel in one log entry.
-//
-// When the grant itself is uncertain, because the control plane did not
-// answer, the request was not sent under it and never will be; but another
-// attempt under the same key may run, so the caller is told "unknown".
+// Package claims executes non-idempotent requests at most once. A claim under the request's key is
+// committed to the replicated log before the request is sent, and closed with the answer, as not
+// run, or as unknown; a retry finds it through any router. Invariant: a claim has one owner, and it
+// is closed as not run only if the request is known not to have run.
 package claims
 
 import (
@@ -28,17 +15,17 @@
 )
 
 const (
-	// batchLimit bounds the claims in one log entry.
-	batchLimit = 128
-	// pollDelay is the pause between looks at a claim that another owns.
-	pollDelay = 50 * time.Millisecond
-	// attemptTimeout bounds one proposal; it is sent again until the
-	// caller's deadline. Claim operations may be repeated.
-	attemptTimeout = 1500 * time.Millisecond
-	retryDelay     = 50 * time.Millisecond
+	// maxBatchSize is the maximum number of claims in one log entry.
+	maxBatchSize = 128
+	// pollInterval is the interval of polling a claim of another owner.
+	pollInterval = 50 * time.Millisecond
+	// proposalTimeout limits one proposal. Claim operations are idempotent, so proposals are
+	// retried until the deadline of the caller.
+	proposalTimeout = 1500 * time.Millisecond
+	retryDelay      = 50 * time.Millisecond
 )
 
-// Keeper proposes claims in batches.
+// Client proposes claim operations in batches.
 type Keeper struct {
 	propose feed.ProposeFunc
 	queue   chan *call
@@ -54,31 +41,31 @@
 	err    error
 }
 
-// NewKeeper returns a keeper; Run must be running for it to work.
+// NewClient returns a Client. Its operations block until Run is called.
 func NewKeeper(propose feed.ProposeFunc) *Keeper {
-	return &Keeper{propose: propose, queue: make(chan *call, batchLimit)}
+	return &Keeper{propose: propose, queue: make(chan *call, maxBatchSize)}
 }
 
-// Run sends batches until ctx ends. While one is on its way, the next fills.
-func (k *Keeper) Run(ctx context.Context) {
-	var flights sync.WaitGroup
-	defer flights.Wait()
+// Run proposes batches concurrently until ctx ends.
+func (c *Keeper) Run(ctx context.Context) {
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-k.queue:
-			batch := k.gather(first)
-			flights.Go(func() { k.send(ctx, batch) })
+		case first := <-c.queue:
+			batch := c.collect(first)
+			inFlight.Go(func() { c.send(ctx, batch) })
 		}
 	}
 }
 
-func (k *Keeper) gather(first *call) []*call {
+func (c *Keeper) collect(first *call) []*call {
 	batch := []*call{first}
-	for len(batch) < batchLimit {
+	for len(batch) < maxBatchSize {
 		select {
-		case next := <-k.queue:
+		case next := <-c.queue:
 			batch = append(batch, next)
 		default:
 			return batch
@@ -87,37 +74,37 @@
 	return batch
 }
 
-func (k *Keeper) send(ctx context.Context, batch []*call) {
-	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
+func (c *Keeper) send(ctx context.Context, batch []*call) {
+	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	claims := &wirepb.ClaimBatch{}
-	for _, entry := range batch {
-		claims.Claims = append(claims.Claims, entry.claim)
+	for _, operation := range batch {
+		claims.Claims = append(claims.Claims, operation.claim)
 	}
-	result, err := k.propose(ctx, &wirepb.Command{Body: &wirepb.Command_Claims{Claims: claims}})
+	result, err := c.propose(ctx, &wirepb.Command{Body: &wirepb.Command_Claims{Claims: claims}})
 	if err == nil && len(result.GetClaims()) != len(batch) {
-		err = fault.Protocol.New("%d results for %d claims", len(result.GetClaims()), len(batch))
+		err = fault.Protocol.New("received %d results for %d claims", len(result.GetClaims()), len(batch))
 	}
-	for position, entry := range batch {
+	for position, operation := range batch {
 		if err != nil {
-			entry.reply <- callReply{err: err}
+			operation.reply <- callReply{err: err}
 			continue
 		}
-		entry.reply <- callReply{result: result.GetClaims()[position]}
+		operation.reply <- callReply{result: result.GetClaims()[position]}
 	}
 }
 
-// apply proposes one operation until it is answered or ctx ends.
-func (k *Keeper) apply(ctx context.Context, claim *wirepb.ClaimCommand) (*wirepb.ClaimResult, error) {
+// apply proposes an operation until it succeeds or ctx ends.
+func (c *Keeper) apply(ctx context.Context, claim *wirepb.ClaimCommand) (*wirepb.ClaimResult, error) {
 	for {
-		entry := &call{claim: claim, reply: make(chan callReply, 1)}
+		operation := &call{claim: claim, reply: make(chan callReply, 1)}
 		select {
-		case k.queue <- entry:
+		case c.queue <- operation:
 		case <-ctx.Done():
 			return nil, fault.Deadline.New("no claim before the deadline")
 		}
 		select {
-		case reply := <-entry.reply:
+		case reply := <-operation.reply:
 			if reply.err == nil {
 				return reply.result, nil
 			}
@@ -132,55 +119,55 @@
 	}
 }
 
-// Open asks for the claim. While another owner holds it, Open waits for the
-// outcome until ctx ends; the state is then still open.
-func (k *Keeper) Open(ctx context.Context, key string, fingerprint uint64, owner string, deadline time.Time) (*wirepb.ClaimResult, error) {
+// Open claims the key for the owner. While another owner holds the claim, Open polls until the
+// claim is closed or ctx ends; in the latter case the returned state is still open.
+func (c *Keeper) Open(ctx context.Context, key string, fingerprint uint64, owner string, deadline time.Time) (*wirepb.ClaimResult, error) {
 	claim := &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_OPEN, Key: key, Fingerprint: fingerprint,
 		Owner: owner, DeadlineUnixMs: deadline.UnixMilli(),
 	}
 	for {
-		result, err := k.apply(ctx, claim)
+		result, err := c.apply(ctx, claim)
 		if err != nil || result.GetState() != wirepb.ClaimState_CLAIM_STATE_OPEN {
 			return result, err
 		}
 		select {
-		case <-time.After(pollDelay):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return result, nil
 		}
 	}
 }
 
-// Complete records the answer.
-func (k *Keeper) Complete(ctx context.Context, key, owner string, answer *wirepb.RecordedAnswer) error {
-	return k.resolve(ctx, &wirepb.ClaimCommand{
+// Complete closes the claim with the recorded answer.
+func (c *Keeper) Complete(ctx context.Context, key, owner string, answer *wirepb.RecordedAnswer) error {
+	return c.closeClaim(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_COMPLETE, Key: key, Owner: owner, Answer: answer,
 	}, wirepb.ClaimState_CLAIM_STATE_COMPLETED)
 }
 
-// CloseNotRun closes the attempt as not run. Only after it has returned
-// without an error may a caller be told so.
-func (k *Keeper) CloseNotRun(ctx context.Context, key, owner string) error {
-	return k.resolve(ctx, &wirepb.ClaimCommand{
+// CloseNotRun closes the claim as not run. The caller of the request may be told so only after it
+// has returned without an error.
+func (c *Keeper) CloseNotRun(ctx context.Context, key, owner string) error {
+	return c.closeClaim(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_NOT_RUN, Key: key, Owner: owner,
 	}, wirepb.ClaimState_CLAIM_STATE_NOT_RUN)
 }
 
-// CloseUnknown closes the key: the request may have run.
-func (k *Keeper) CloseUnknown(ctx context.Context, key, owner string) error {
-	return k.resolve(ctx, &wirepb.ClaimCommand{
+// CloseUnknown closes the claim with an unknown outcome: the request may have run.
+func (c *Keeper) CloseUnknown(ctx context.Context, key, owner string) error {
+	return c.closeClaim(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_UNKNOWN, Key: key, Owner: owner,
 	}, wirepb.ClaimState_CLAIM_STATE_UNKNOWN)
 }
 
-func (k *Keeper) resolve(ctx context.Context, claim *wirepb.ClaimCommand, wanted wirepb.ClaimState) error {
-	result, err := k.apply(ctx, claim)
+func (c *Keeper) closeClaim(ctx context.Context, claim *wirepb.ClaimCommand, expected wirepb.ClaimState) error {
+	result, err := c.apply(ctx, claim)
 	if err != nil {
 		return err
 	}
-	if result.GetState() != wanted {
-		return fault.Conflict.New("the claim was closed as %s meanwhile", result.GetState().String())
+	if result.GetState() != expected {
+		return fault.Conflict.New("claim is already closed as %s", result.GetState().String())
 	}
 	return nil
 }
