--- a/internal/keepalive/adaptive.go
+++ b/internal/keepalive/adaptive.go
@@ -64,7 +64,7 @@
 }
 
 // Index implements Policy.
-func (a *Adaptive) Index(profile Subject, idle time.Duration, now time.Time) float64 {
+func (a *Adaptive) Index(profile VersionProfile, idle time.Duration, now time.Time) float64 {
 	idle = max(idle, minIdle)
 	prior := profile.coldStartCost() / idle.Seconds()
 	past := a.histories[profile.Version]
@@ -78,7 +78,7 @@
 
 // PrewarmIndex implements Policy. The index is the expected rate of use at the time when the load
 // would be done.
-func (a *Adaptive) Prewarm(profile Subject, now time.Time) float64 {
+func (a *Adaptive) Prewarm(profile VersionProfile, now time.Time) float64 {
 	past := a.histories[profile.Version]
 	if past == nil {
 		return 0
--- a/internal/keepalive/adaptive_test.go
+++ b/internal/keepalive/adaptive_test.go
@@ -12,7 +12,7 @@
 // TestAdaptive records uses and prints indices. The profile has a cold start of 10 s with weight
 // 60, so that a replica alone on its accelerator is kept while its index is at least 1.
 func TestAdaptive(t *testing.T) {
-	profile := Subject{Version: "model", Accelerators: 1, LoadTime: 10 * time.Second, ColdStartWeight: 60}
+	profile := VersionProfile{Version: "model", Accelerators: 1, LoadTime: 10 * time.Second, ColdStartWeight: 60}
 	begin := time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
 	var policy *Adaptive
 	datadriven.RunTest(t, "testdata/adaptive", func(t *testing.T, d *datadriven.TestData) string {
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -11,7 +11,7 @@
 )
 
 // VersionProfile holds the properties of a version that determine its index.
-type Subject struct {
+type VersionProfile struct {
 	Version string
 	// Accelerators is the number of accelerators that a replica occupies.
 	Accelerators int
@@ -22,12 +22,12 @@
 }
 
 // coldStartCost is the cost of a cold start in accelerator-seconds.
-func (p Subject) coldStartCost() float64 {
+func (p VersionProfile) coldStartCost() float64 {
 	return p.ColdStartWeight * p.LoadTime.Seconds()
 }
 
 // BreakEven returns the idle time that costs as much as one cold start.
-func (p Subject) Rent() time.Duration {
+func (p VersionProfile) BreakEven() time.Duration {
 	return time.Duration(p.coldStartCost() / float64(max(1, p.Accelerators)) * float64(time.Second))
 }
 
@@ -45,9 +45,9 @@
 	// RecordUse records that a version was in use at the given time.
 	Used(version string, now time.Time)
 	// Index returns the value of keeping an idle replica, in accelerators, or Always or Never.
-	Index(profile Subject, idle time.Duration, now time.Time) float64
+	Index(profile VersionProfile, idle time.Duration, now time.Time) float64
 	// PrewarmIndex returns the value of loading a version without demand, in accelerators.
-	Prewarm(profile Subject, now time.Time) float64
+	Prewarm(profile VersionProfile, now time.Time) float64
 }
 
 // Names lists the policies that New accepts.
@@ -93,19 +93,19 @@
 	prewarm float64
 }
 
-func (f fixed) Name() string                       { return f.name }
-func (f fixed) Used(string, time.Time)             {}
-func (f fixed) Prewarm(Subject, time.Time) float64 { return f.prewarm }
-func (f fixed) Index(_ Subject, idle time.Duration, _ time.Time) float64 {
+func (f fixed) Name() string                              { return f.name }
+func (f fixed) Used(string, time.Time)                    {}
+func (f fixed) Prewarm(VersionProfile, time.Time) float64 { return f.prewarm }
+func (f fixed) Index(_ VersionProfile, idle time.Duration, _ time.Time) float64 {
 	return KeepIf(idle <= f.timeout)
 }
 
 // skiRental keeps an idle replica until idling has cost as much as a cold start.
 type skiRental struct{}
 
-func (skiRental) Name() string                       { return "ski-rental" }
-func (skiRental) Used(string, time.Time)             {}
-func (skiRental) Prewarm(Subject, time.Time) float64 { return 0 }
-func (skiRental) Index(profile Subject, idle time.Duration, _ time.Time) float64 {
-	return KeepIf(idle <= profile.Rent())
+func (skiRental) Name() string                              { return "ski-rental" }
+func (skiRental) Used(string, time.Time)                    {}
+func (skiRental) Prewarm(VersionProfile, time.Time) float64 { return 0 }
+func (skiRental) Index(profile VersionProfile, idle time.Duration, _ time.Time) float64 {
+	return KeepIf(idle <= profile.BreakEven())
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -277,8 +277,8 @@
 	return maps.Clone(p.work.rates)
 }
 
-func (p *Planner) subject(version *Version) keepalive.Subject {
-	return keepalive.Subject{
+func (p *Planner) profile(version *Version) keepalive.VersionProfile {
+	return keepalive.VersionProfile{
 		Version:         version.Name,
 		Accelerators:    version.Spec.Accelerators,
 		LoadTime:        p.speeds.versionLoadTime(version.Spec, TierDisk),
--- a/internal/placement/retire.go
+++ b/internal/placement/retire.go
@@ -120,5 +120,5 @@
 		return keepalive.Always
 	}
 	idle := p.input.Now.Sub(p.planner.lastUsed[replica.Name])
-	return p.planner.config.KeepAlive.Index(p.planner.subject(version), idle, p.input.Now)
+	return p.planner.config.KeepAlive.Index(p.planner.profile(version), idle, p.input.Now)
 }
--- a/internal/policysim/policy.go
+++ b/internal/policysim/policy.go
@@ -67,12 +67,12 @@
 func (c *clairvoyant) Used(string, time.Time) {}
 
 // Index implements keepalive.Policy.
-func (c *clairvoyant) Index(subject keepalive.Subject, idle time.Duration, now time.Time) float64 {
+func (c *clairvoyant) Index(subject keepalive.VersionProfile, idle time.Duration, now time.Time) float64 {
 	uses := c.uses[subject.Version]
 	next := sort.Search(len(uses), func(i int) bool { return !uses[i].Before(now) })
 	// The whole gap counts: idling that is past was decided on, too.
-	return keepalive.KeepIf(next < len(uses) && uses[next].Sub(now)+idle <= subject.Rent())
+	return keepalive.KeepIf(next < len(uses) && uses[next].Sub(now)+idle <= subject.BreakEven())
 }
 
 // Prewarm implements keepalive.Policy.
-func (c *clairvoyant) Prewarm(keepalive.Subject, time.Time) float64 { return 0 }
+func (c *clairvoyant) Prewarm(keepalive.VersionProfile, time.Time) float64 { return 0 }
