--- a/internal/keepalive/adaptive.go
+++ b/internal/keepalive/adaptive.go
@@ -41,7 +41,7 @@
 func (a *Adaptive) Name() string { return "adaptive" }
 
 // RecordUse implements Policy.
-func (a *Adaptive) Used(version string, now time.Time) {
+func (a *Adaptive) RecordUse(version string, now time.Time) {
 	past := a.histories[version]
 	if past == nil {
 		past = &versionHistory{lastUsed: now}
@@ -78,7 +78,7 @@
 
 // PrewarmIndex implements Policy. The index is the expected rate of use at the time when the load
 // would be done.
-func (a *Adaptive) Prewarm(profile VersionProfile, now time.Time) float64 {
+func (a *Adaptive) PrewarmIndex(profile VersionProfile, now time.Time) float64 {
 	past := a.histories[profile.Version]
 	if past == nil {
 		return 0
--- a/internal/keepalive/adaptive_test.go
+++ b/internal/keepalive/adaptive_test.go
@@ -35,7 +35,7 @@
 			for day := range days {
 				for number := range count {
 					offset := time.Duration(day)*24*time.Hour + duration("from") + time.Duration(number)*duration("every")
-					policy.Used(profile.Version, begin.Add(offset))
+					policy.RecordUse(profile.Version, begin.Add(offset))
 				}
 			}
 		case "index":
@@ -49,7 +49,7 @@
 			}
 			return out.String()
 		case "prewarm":
-			return fmt.Sprintf("%.2f\n", policy.Prewarm(profile, begin.Add(duration("at"))))
+			return fmt.Sprintf("%.2f\n", policy.PrewarmIndex(profile, begin.Add(duration("at"))))
 		}
 		return ""
 	})
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -43,11 +43,11 @@
 	// Name returns the name of the policy in settings and reports.
 	Name() string
 	// RecordUse records that a version was in use at the given time.
-	Used(version string, now time.Time)
+	RecordUse(version string, now time.Time)
 	// Index returns the value of keeping an idle replica, in accelerators, or Always or Never.
 	Index(profile VersionProfile, idle time.Duration, now time.Time) float64
 	// PrewarmIndex returns the value of loading a version without demand, in accelerators.
-	Prewarm(profile VersionProfile, now time.Time) float64
+	PrewarmIndex(profile VersionProfile, now time.Time) float64
 }
 
 // Names lists the policies that New accepts.
@@ -93,9 +93,9 @@
 	prewarm float64
 }
 
-func (f fixed) Name() string                              { return f.name }
-func (f fixed) Used(string, time.Time)                    {}
-func (f fixed) Prewarm(VersionProfile, time.Time) float64 { return f.prewarm }
+func (f fixed) Name() string                                   { return f.name }
+func (f fixed) RecordUse(string, time.Time)                    {}
+func (f fixed) PrewarmIndex(VersionProfile, time.Time) float64 { return f.prewarm }
 func (f fixed) Index(_ VersionProfile, idle time.Duration, _ time.Time) float64 {
 	return KeepIf(idle <= f.timeout)
 }
@@ -103,9 +103,9 @@
 // skiRental keeps an idle replica until idling has cost as much as a cold start.
 type skiRental struct{}
 
-func (skiRental) Name() string                              { return "ski-rental" }
-func (skiRental) Used(string, time.Time)                    {}
-func (skiRental) Prewarm(VersionProfile, time.Time) float64 { return 0 }
+func (skiRental) Name() string                                   { return "ski-rental" }
+func (skiRental) RecordUse(string, time.Time)                    {}
+func (skiRental) PrewarmIndex(VersionProfile, time.Time) float64 { return 0 }
 func (skiRental) Index(profile VersionProfile, idle time.Duration, _ time.Time) float64 {
 	return KeepIf(idle <= profile.BreakEven())
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -204,7 +204,7 @@
 		requested := demand.Arrivals > p.planner.arrivals[version]
 		p.planner.arrivals[version] = demand.Arrivals
 		if requested || demand.Waiting > 0 || demand.Running > 0 {
-			p.planner.config.KeepAlive.Used(version, p.input.Now)
+			p.planner.config.KeepAlive.RecordUse(version, p.input.Now)
 			p.planner.lastRequested[version] = p.input.Now
 		}
 		if requested || demand.Waiting > 0 {
--- a/internal/placement/planner_bench_test.go
+++ b/internal/placement/planner_bench_test.go
@@ -69,7 +69,7 @@
 	input := largeFleet()
 	policy := keepalive.NewAdaptive()
 	for version := range input.Versions {
-		policy.Used(version, input.Now.Add(-24*time.Hour))
+		policy.RecordUse(version, input.Now.Add(-24*time.Hour))
 	}
 	planner := NewPlanner(Config{
 		Speeds: DefaultTierSpeeds, StoreLoadsPerSecond: 100, StoreConcurrentLoads: 100, KeepAlive: policy,
--- a/internal/placement/retire_test.go
+++ b/internal/placement/retire_test.go
@@ -11,9 +11,9 @@
 // fixedIndices is a policy with fixed indices.
 type fixedIndices map[string]float64
 
-func (i fixedIndices) Name() string                                        { return "indexed" }
-func (i fixedIndices) Used(string, time.Time)                              {}
-func (i fixedIndices) Prewarm(keepalive.VersionProfile, time.Time) float64 { return 0 }
+func (i fixedIndices) Name() string                                             { return "indexed" }
+func (i fixedIndices) RecordUse(string, time.Time)                              {}
+func (i fixedIndices) PrewarmIndex(keepalive.VersionProfile, time.Time) float64 { return 0 }
 func (i fixedIndices) Index(subject keepalive.VersionProfile, _ time.Duration, _ time.Time) float64 {
 	return i[subject.Version]
 }
--- a/internal/placement/want.go
+++ b/internal/placement/want.go
@@ -138,7 +138,7 @@
 // shouldPrewarm reports whether the prewarming index of a version exceeds the share of the
 // accelerators that it would occupy.
 func (p *pass) shouldPrewarm(version *Version) bool {
-	index := p.planner.config.KeepAlive.Prewarm(p.planner.profile(version), p.input.Now)
+	index := p.planner.config.KeepAlive.PrewarmIndex(p.planner.profile(version), p.input.Now)
 	if index <= 0 {
 		return false
 	}
--- a/internal/policysim/policy.go
+++ b/internal/policysim/policy.go
@@ -63,8 +63,8 @@
 // Name implements keepalive.Policy.
 func (c *clairvoyant) Name() string { return "clairvoyant" }
 
-// Used implements keepalive.Policy.
-func (c *clairvoyant) Used(string, time.Time) {}
+// RecordUse implements keepalive.Policy.
+func (c *clairvoyant) RecordUse(string, time.Time) {}
 
 // Index implements keepalive.Policy.
 func (c *clairvoyant) Index(subject keepalive.VersionProfile, idle time.Duration, now time.Time) float64 {
@@ -74,5 +74,5 @@
 	return keepalive.KeepIf(next < len(uses) && uses[next].Sub(now)+idle <= subject.BreakEven())
 }
 
-// Prewarm implements keepalive.Policy.
-func (c *clairvoyant) Prewarm(keepalive.VersionProfile, time.Time) float64 { return 0 }
+// PrewarmIndex implements keepalive.Policy.
+func (c *clairvoyant) PrewarmIndex(keepalive.VersionProfile, time.Time) float64 { return 0 }
