--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -26,12 +26,12 @@
 )
 
 // SendOutcome is the outcome of sending a claimed request.
-type SendEnd int
+type SendOutcome int
 
 // Outcomes of sending a request.
 const (
 	// SendAnswered means that the complete answer was received.
-	SendAnswered SendEnd = iota
+	SendAnswered SendOutcome = iota
 	// SendNotRun means that nothing was sent, or that the back end reported that the request did
 	// not run.
 	SendNotRun
@@ -77,7 +77,7 @@
 }
 
 // Sent handles the outcome of sending the request.
-func (a *Attempt) Sent(outcome SendEnd) Step {
+func (a *Attempt) Sent(outcome SendOutcome) Step {
 	switch outcome {
 	case SendAnswered:
 		return StepAnswer
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -26,7 +26,7 @@
 )
 
 // Client proposes claim operations in batches.
-type Keeper struct {
+type Client struct {
 	propose feed.ProposeFunc
 	queue   chan *call
 }
@@ -42,12 +42,12 @@
 }
 
 // NewClient returns a Client. Its operations block until Run is called.
-func NewKeeper(propose feed.ProposeFunc) *Keeper {
-	return &Keeper{propose: propose, queue: make(chan *call, maxBatchSize)}
+func NewClient(propose feed.ProposeFunc) *Client {
+	return &Client{propose: propose, queue: make(chan *call, maxBatchSize)}
 }
 
 // Run proposes batches concurrently until ctx ends.
-func (c *Keeper) Run(ctx context.Context) {
+func (c *Client) Run(ctx context.Context) {
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
 	for {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (c *Keeper) collect(first *call) []*call {
+func (c *Client) collect(first *call) []*call {
 	batch := []*call{first}
 	for len(batch) < maxBatchSize {
 		select {
@@ -74,7 +74,7 @@
 	return batch
 }
 
-func (c *Keeper) send(ctx context.Context, batch []*call) {
+func (c *Client) send(ctx context.Context, batch []*call) {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	claims := &wirepb.ClaimBatch{}
@@ -95,7 +95,7 @@
 }
 
 // apply proposes an operation until it succeeds or ctx ends.
-func (c *Keeper) apply(ctx context.Context, claim *wirepb.ClaimCommand) (*wirepb.ClaimResult, error) {
+func (c *Client) apply(ctx context.Context, claim *wirepb.ClaimCommand) (*wirepb.ClaimResult, error) {
 	for {
 		operation := &call{claim: claim, reply: make(chan callReply, 1)}
 		select {
@@ -121,7 +121,7 @@
 
 // Open claims the key for the owner. While another owner holds the claim, Open polls until the
 // claim is closed or ctx ends; in the latter case the returned state is still open.
-func (c *Keeper) Open(ctx context.Context, key string, fingerprint uint64, owner string, deadline time.Time) (*wirepb.ClaimResult, error) {
+func (c *Client) Open(ctx context.Context, key string, fingerprint uint64, owner string, deadline time.Time) (*wirepb.ClaimResult, error) {
 	claim := &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_OPEN, Key: key, Fingerprint: fingerprint,
 		Owner: owner, DeadlineUnixMs: deadline.UnixMilli(),
@@ -140,7 +140,7 @@
 }
 
 // Complete closes the claim with the recorded answer.
-func (c *Keeper) Complete(ctx context.Context, key, owner string, answer *wirepb.RecordedAnswer) error {
+func (c *Client) Complete(ctx context.Context, key, owner string, answer *wirepb.RecordedAnswer) error {
 	return c.closeClaim(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_COMPLETE, Key: key, Owner: owner, Answer: answer,
 	}, wirepb.ClaimState_CLAIM_STATE_COMPLETED)
@@ -148,20 +148,20 @@
 
 // CloseNotRun closes the claim as not run. The caller of the request may be told so only after it
 // has returned without an error.
-func (c *Keeper) CloseNotRun(ctx context.Context, key, owner string) error {
+func (c *Client) CloseNotRun(ctx context.Context, key, owner string) error {
 	return c.closeClaim(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_NOT_RUN, Key: key, Owner: owner,
 	}, wirepb.ClaimState_CLAIM_STATE_NOT_RUN)
 }
 
 // CloseUnknown closes the claim with an unknown outcome: the request may have run.
-func (c *Keeper) CloseUnknown(ctx context.Context, key, owner string) error {
+func (c *Client) CloseUnknown(ctx context.Context, key, owner string) error {
 	return c.closeClaim(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_UNKNOWN, Key: key, Owner: owner,
 	}, wirepb.ClaimState_CLAIM_STATE_UNKNOWN)
 }
 
-func (c *Keeper) closeClaim(ctx context.Context, claim *wirepb.ClaimCommand, expected wirepb.ClaimState) error {
+func (c *Client) closeClaim(ctx context.Context, claim *wirepb.ClaimCommand, expected wirepb.ClaimState) error {
 	result, err := c.apply(ctx, claim)
 	if err != nil {
 		return err
