--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -69,7 +69,7 @@
 		if connected, err := c.connect(ctx); err == nil {
 			c.last = connected.address
 			c.logger.Info("upstream_connected", "address", connected.address, "zone", connected.conn.Peer.GetZone(),
-				"nearness", c.position.To(connected.conn.Peer.GetZone()).String())
+				"nearness", c.position.ProximityOf(connected.conn.Peer.GetZone()).String())
 			since := time.Now()
 			c.follow(ctx, connected)
 			c.leave(connected, since)
--- a/internal/feed/preference.go
+++ b/internal/feed/preference.go
@@ -48,7 +48,7 @@
 	weight := func(server Upstream) uint64 { return xxhash.Sum64String(client + "\x00" + server.Address) }
 	slices.SortStableFunc(ordered, func(left, right Upstream) int {
 		return cmp.Or(
-			cmp.Compare(position.To(left.Zone), position.To(right.Zone)),
+			cmp.Compare(position.ProximityOf(left.Zone), position.ProximityOf(right.Zone)),
 			cmp.Compare(weight(right), weight(left)),
 		)
 	})
@@ -115,7 +115,7 @@
 	shared := 0
 	for _, left := range d {
 		if left.cutOff {
-			shared = max(shared, int(places.Further-regions.Between(zone, left.zone)))
+			shared = max(shared, int(places.OtherRegion-regions.Proximity(zone, left.zone)))
 		}
 	}
 	return shared
--- a/internal/feed/preference_test.go
+++ b/internal/feed/preference_test.go
@@ -62,7 +62,7 @@
 	for number := range 200 {
 		order := byPreference("node-"+strconv.Itoa(number), position, servers)
 		for step, server := range order {
-			if wanted := []places.Nearness{0, 0, 1, 1, 2, 2, 2, 2}[step]; position.To(server.Zone) != wanted {
+			if wanted := []places.Proximity{0, 0, 1, 1, 2, 2, 2, 2}[step]; position.ProximityOf(server.Zone) != wanted {
 				t.Fatalf("choice %d stands in %s", step, server.Zone)
 			}
 		}
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -32,32 +32,32 @@
 }
 
 // Proximity ranks how close two zones are. Smaller values are closer.
-type Nearness int
+type Proximity int
 
 // Proximity levels.
 const (
 	// SameZone means that the zones are equal.
-	SameZone Nearness = iota
+	SameZone Proximity = iota
 	// SameRegion means that two different zones are in the same region.
 	SameRegion
 	// OtherRegion means that the regions differ or one of them is unknown.
-	Further
+	OtherRegion
 )
 
 // String returns the name used in logs and metrics.
-func (n Nearness) String() string {
+func (n Proximity) String() string {
 	return [...]string{"same_zone", "same_region", "further"}[n]
 }
 
 // Proximity returns the proximity of two zones.
-func (m Map) Between(left, right string) Nearness {
+func (m Map) Proximity(left, right string) Proximity {
 	if left == right {
 		return SameZone
 	}
 	if region := m.Region(left); region != "" && region == m.Region(right) {
 		return SameRegion
 	}
-	return Further
+	return OtherRegion
 }
 
 // Location is the zone of a node with the zones around it.
@@ -67,6 +67,6 @@
 }
 
 // ProximityOf returns the proximity of a zone to the location.
-func (p Position) To(zone string) Nearness {
-	return p.Map.Between(p.Zone, zone)
+func (p Position) ProximityOf(zone string) Proximity {
+	return p.Map.Proximity(p.Zone, zone)
 }
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -11,19 +11,19 @@
 func TestProximity(t *testing.T) {
 	for _, check := range []struct {
 		left, right string
-		want        Nearness
+		want        Proximity
 	}{
 		{"a1", "a1", SameZone},
 		{"a1", "a2", SameRegion},
-		{"a1", "b1", Further},
+		{"a1", "b1", OtherRegion},
 		{"unknown", "unknown", SameZone},
-		{"unknown", "a1", Further},
-		{"nowhere", "other", Further},
+		{"unknown", "a1", OtherRegion},
+		{"nowhere", "other", OtherRegion},
 	} {
-		if got := zones.Between(check.left, check.right); got != check.want {
+		if got := zones.Proximity(check.left, check.right); got != check.want {
 			t.Errorf("from %s to %s: %s, want %s", check.left, check.right, got, check.want)
 		}
-		if got := zones.Between(check.right, check.left); got != check.want {
+		if got := zones.Proximity(check.right, check.left); got != check.want {
 			t.Errorf("from %s to %s: %s, want %s", check.right, check.left, got, check.want)
 		}
 	}
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -282,7 +282,7 @@
 type candidate struct {
 	name     string
 	usable   bool
-	nearness places.Nearness
+	nearness places.Proximity
 	weight   uint64
 }
 
@@ -297,7 +297,7 @@
 	for member, on := range of.members {
 		if !isChosen[member] {
 			candidates = append(candidates, candidate{
-				name: member, usable: s.index.isUsable(on), nearness: s.position.To(on.spec.Zone),
+				name: member, usable: s.index.isUsable(on), nearness: s.position.ProximityOf(on.spec.Zone),
 				weight: xxhash.Sum64String(s.position.Zone + "\x00" + member),
 			})
 		}
--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -130,8 +130,8 @@
 // count where they go.
 func TestTrafficIsCountedByNearness(t *testing.T) {
 	regions := places.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
-	for zone, wanted := range map[string]places.Nearness{
-		"a1": places.SameZone, "a2": places.SameRegion, "b1": places.Further, "unknown": places.Further,
+	for zone, wanted := range map[string]places.Proximity{
+		"a1": places.SameZone, "a2": places.SameRegion, "b1": places.OtherRegion, "unknown": places.OtherRegion,
 	} {
 		server, client := identity(t, "server", nil), identity(t, "client", nil)
 		server.Hello.Zone, client.Hello.Zone = "a1", zone
