--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,7 +57,7 @@
 	// Quota is by how much tenants may exceed their limits.
 	Quota quota.Bound
 	// Places tells in which regions machines and routers stand.
-	Places places.Map
+	Places places.ZoneMap
 	// Routers is how many the term before had, as far as that is known.
 	Routers int
 }
--- a/internal/controller/near_test.go
+++ b/internal/controller/near_test.go
@@ -12,7 +12,7 @@
 
 func viewOf(t *testing.T, reports *ReportTable) *clusterView {
 	t.Helper()
-	leader := New(0, Config{Places: places.NewMap(map[string]string{"z": "north", "y": "south"})}, reports)
+	leader := New(0, Config{Places: places.NewZoneMap(map[string]string{"z": "north", "y": "south"})}, reports)
 	leader.Observe(fleetState(t))
 	return leader.view(time.Second)
 }
--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -94,7 +94,7 @@
 
 // TestAdapterPlacesStandInRegions: by the table that the cache was given.
 func TestAdapterPlacesStandInRegions(t *testing.T) {
-	cache := RegisteredCache{Places: places.NewMap(map[string]string{"z": "a"})}
+	cache := RegisteredCache{Places: places.NewZoneMap(map[string]string{"z": "a"})}
 	known := orders.State{Models: map[string][]string{"red": {}}}
 	found := cache.Read(fleetState(t)).adapterPlaces(func(string) (orders.State, bool) { return known, true })
 	if len(found) != 1 || found[0].region != "a" {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -59,7 +59,7 @@
 // reports beside them.
 type clusterView struct {
 	*storedView
-	places   places.Map
+	places   places.ZoneMap
 	now      time.Duration
 	nodes    map[string]nodeEntry
 	reports  map[string]machineEntry
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -6,28 +6,28 @@
 )
 
 // ZoneMap maps zones to regions. The zero value has no zones.
-type Map struct {
+type ZoneMap struct {
 	regions map[string]string
 }
 
 // NewZoneMap returns a ZoneMap with a copy of the given table from zones to regions.
-func NewMap(regions map[string]string) Map {
-	return Map{regions: maps.Clone(regions)}
+func NewZoneMap(regions map[string]string) ZoneMap {
+	return ZoneMap{regions: maps.Clone(regions)}
 }
 
 // Region returns the region of a zone; empty if it is unknown.
-func (m Map) Region(zone string) string {
+func (m ZoneMap) Region(zone string) string {
 	return m.regions[zone]
 }
 
 // HasZone reports whether the table contains a zone.
-func (m Map) Knows(zone string) bool {
+func (m ZoneMap) HasZone(zone string) bool {
 	_, known := m.regions[zone]
 	return known
 }
 
 // Zones returns the zones of the table in sorted order.
-func (m Map) Zones() []string {
+func (m ZoneMap) Zones() []string {
 	return slices.Sorted(maps.Keys(m.regions))
 }
 
@@ -50,7 +50,7 @@
 }
 
 // Proximity returns the proximity of two zones.
-func (m Map) Proximity(left, right string) Proximity {
+func (m ZoneMap) Proximity(left, right string) Proximity {
 	if left == right {
 		return SameZone
 	}
@@ -61,12 +61,12 @@
 }
 
 // Location is the zone of a node with the zones around it.
-type Position struct {
-	Zone string
-	Map  Map
+type Location struct {
+	Zone  string
+	Zones ZoneMap
 }
 
 // ProximityOf returns the proximity of a zone to the location.
-func (p Position) ProximityOf(zone string) Proximity {
-	return p.Map.Proximity(p.Zone, zone)
+func (p Location) ProximityOf(zone string) Proximity {
+	return p.Zones.Proximity(p.Zone, zone)
 }
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-var zones = NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b", "nowhere": ""})
+var zones = NewZoneMap(map[string]string{"a1": "a", "a2": "a", "b1": "b", "nowhere": ""})
 
 func TestProximity(t *testing.T) {
 	for _, check := range []struct {
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -23,14 +23,14 @@
 // zones and regions are paid for. One may be shared by many connections; the zero value is a
 // process's that knows of no zones.
 type Counters struct {
-	position places.Position
+	position places.Location
 	near     [nearnesses]placeCounters
 	// compressors counts the compressed streams that go out at present.
 	compressors atomic.Int64
 }
 
 // NewCounters returns the counters of a process at a position, which are all zero.
-func NewCounters(position places.Position) *Counters {
+func NewCounters(position places.Location) *Counters {
 	return &Counters{position: position}
 }
 
