--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -35,13 +35,13 @@
 	found := map[string]int{}
 	for _, bound := range demand.Bound {
 		found[bound.Allowed.Key()] = bound.Waiting
-		if bound.Allowed.Key() == places.Only("a", "b").Key() {
+		if bound.Allowed.Key() == places.RestrictTo("a", "b").Key() {
 			if bound.Waiting != 4 || bound.Running != 2 || bound.OldestWait != 1500*time.Millisecond || bound.Priority != 9 {
 				t.Errorf("%+v", bound)
 			}
 		}
 	}
-	if len(found) != 2 || found[places.Only("c").Key()] != 2 {
+	if len(found) != 2 || found[places.RestrictTo("c").Key()] != 2 {
 		t.Errorf("%v", found)
 	}
 }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -318,7 +318,7 @@
 			if len(reported.GetRegions()) == 0 || reported.GetAdapter() != "" || demand == nil {
 				continue
 			}
-			bound := boundBy(demand, places.Only(reported.GetRegions()...))
+			bound := boundBy(demand, places.RestrictTo(reported.GetRegions()...))
 			bound.Waiting += int(reported.GetWaiting())
 			bound.Running += int(reported.GetRunning())
 			bound.Priority = max(bound.Priority, reported.GetPriority())
--- a/internal/nodeview/regions.go
+++ b/internal/nodeview/regions.go
@@ -41,7 +41,7 @@
 // MayServe reports whether a constraint allows what stands at a machine's endpoint, as far as is
 // known now. Addresses are used again: where another live machine has it too, both must be allowed.
 func (v *View) MayServe(name, endpoint string, allowed places.Constraint) bool {
-	if !allowed.IsBound() {
+	if !allowed.IsRestrictive() {
 		return true
 	}
 	v.mutex.RLock()
--- a/internal/nodeview/regions_test.go
+++ b/internal/nodeview/regions_test.go
@@ -51,7 +51,7 @@
 			object := &wirepb.Object{Kind: string(v1.KindMachine), Name: name, Revision: revision + 1, Spec: encodedSpec, Status: encodedStatus}
 			view.Apply(feed.Changes{Revision: revision + 1, Events: []*wirepb.WatchEvent{{Object: object, Deleted: deleted}}})
 			for _, pool := range []string{"p", "q"} {
-				for _, allowed := range []places.Constraint{{}, places.Only("a"), places.Only("b"), places.Only("a", "b")} {
+				for _, allowed := range []places.Constraint{{}, places.RestrictTo("a"), places.RestrictTo("b"), places.RestrictTo("a", "b")} {
 					wanted := false
 					for machine := range maps.Values(present) {
 						wanted = wanted || machine.Pool == pool && allowed.Allows(testPosition.Zones.Region(machine.Zone))
@@ -90,7 +90,7 @@
 			encodedStatus, _ := json.Marshal(status)
 			object := &wirepb.Object{Kind: string(v1.KindMachine), Name: name, Revision: revision + 1, Spec: encodedSpec, Status: encodedStatus}
 			view.Apply(feed.Changes{Revision: revision + 1, Events: []*wirepb.WatchEvent{{Object: object, Deleted: deleted}}})
-			allowed := places.Only("a")
+			allowed := places.RestrictTo("a")
 			for asked, own := range present {
 				for _, endpoint := range endpoints {
 					wanted := allowed.Allows(testPosition.Zones.Region(own.Zone))
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -25,7 +25,7 @@
 func setConstrainedWaiting(input *Input, version string, requests int, regions ...string) {
 	setWaiting(input, version, requests)
 	demand := input.Demand[version]
-	demand.Bound = append(demand.Bound, BoundDemand{Allowed: places.Only(regions...), Waiting: requests, OldestWait: time.Second})
+	demand.Bound = append(demand.Bound, BoundDemand{Allowed: places.RestrictTo(regions...), Waiting: requests, OldestWait: time.Second})
 }
 
 // clearMachine removes all replicas from a machine.
@@ -111,7 +111,7 @@
 			input.Machines["m1"].AcceleratorBytes = 50
 			planner := newPoolPlanner()
 			if test.requested {
-				input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.Only("b"), Running: 1}}}
+				input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.RestrictTo("b"), Running: 1}}}
 			}
 			planner.Decide(input)
 			if test.requested && !test.stillRequested {
@@ -152,7 +152,7 @@
 		input.Replicas = slices.DeleteFunc(input.Replicas, func(replica *Replica) bool { return replica.Name == "v0.m0" })
 		planner := newPoolPlanner()
 		if constrained {
-			input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.Only("b"), Running: 1}}}
+			input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.RestrictTo("b"), Running: 1}}}
 		}
 		planner.Decide(input)
 		evicted := false
@@ -194,7 +194,7 @@
 				}
 			}
 		}
-		allowed := places.Only(rapid.SliceOfNDistinct(rapid.SampledFrom(regions[:3]), 1, 2, rapid.ID[string]).Draw(t, "allowed")...)
+		allowed := places.RestrictTo(rapid.SliceOfNDistinct(rapid.SampledFrom(regions[:3]), 1, 2, rapid.ID[string]).Draw(t, "allowed")...)
 		setConstrainedWaiting(input, "v0", rapid.IntRange(1, 5).Draw(t, "waiting"), allowed.Regions()...)
 		served, hasMemory := false, false
 		for name, machine := range input.Machines {
--- a/internal/places/constraint.go
+++ b/internal/places/constraint.go
@@ -14,7 +14,7 @@
 
 // RestrictTo returns the constraint that allows only the named regions. Without names it allows all
 // regions, like a declaration that lists none.
-func Only(regions ...string) Constraint {
+func RestrictTo(regions ...string) Constraint {
 	if len(regions) == 0 {
 		return Constraint{}
 	}
@@ -24,7 +24,7 @@
 }
 
 // Intersect returns the constraint that allows the regions that both constraints allow.
-func (c Constraint) And(other Constraint) Constraint {
+func (c Constraint) Intersect(other Constraint) Constraint {
 	switch {
 	case !c.restricted:
 		return other
@@ -47,7 +47,7 @@
 }
 
 // IsRestrictive reports whether any region is excluded.
-func (c Constraint) IsBound() bool {
+func (c Constraint) IsRestrictive() bool {
 	return c.restricted
 }
 
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -30,10 +30,10 @@
 }
 
 func TestConstraintOfUnknownRegion(t *testing.T) {
-	if Only("a").Allows(zones.Region("unknown")) {
+	if RestrictTo("a").Allows(zones.Region("unknown")) {
 		t.Error("a constraint allows a zone of unknown region")
 	}
-	if !Only().Allows(zones.Region("unknown")) {
+	if !RestrictTo().Allows(zones.Region("unknown")) {
 		t.Error("an unrestricted constraint refuses a zone of unknown region")
 	}
 }
@@ -43,10 +43,10 @@
 	regions := []string{"a", "b", "c", ""}
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) Constraint {
-			return Only(rapid.SliceOfN(rapid.SampledFrom(regions[:3]), 0, 3).Draw(t, label)...)
+			return RestrictTo(rapid.SliceOfN(rapid.SampledFrom(regions[:3]), 0, 3).Draw(t, label)...)
 		}
 		left, right := draw("left"), draw("right")
-		intersection, reversed := left.And(right), right.And(left)
+		intersection, reversed := left.Intersect(right), right.Intersect(left)
 		if intersection.Key() != reversed.Key() {
 			t.Fatalf("Intersect is not commutative: %q and %q", intersection.Key(), reversed.Key())
 		}
