--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -189,15 +189,15 @@
 			Name: name, Zone: declared.Spec.Zone, Region: v.places.Region(declared.Spec.Zone),
 			Accelerators: declared.Spec.Accelerators, AcceleratorBytes: declared.Spec.AcceleratorBytes,
 			Incarnation: declared.Status.Incarnation, Fence: report.GetFence(),
-			Accepts: live && !drained,
-			Drained: live && drained,
-			Lost:    declared.Status.Phase == v1.MachineLost,
-			Pool:    declared.Spec.Pool,
-			Tiers:   map[string]placement.Tier{},
+			Schedulable: live && !drained,
+			Drained:     live && drained,
+			Lost:        declared.Status.Phase == v1.MachineLost,
+			Pool:        declared.Spec.Pool,
+			Tiers:       map[string]placement.Tier{},
 		}
 		if machine.Pool != "" && report == nil {
 			// What a registered machine holds is not known yet.
-			machine.Accepts = false
+			machine.Schedulable = false
 		}
 		for _, checkpoint := range report.GetCheckpoints() {
 			machine.Tiers[checkpoint.GetCheckpoint()] = placement.Tier(checkpoint.GetTier())
--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -32,7 +32,7 @@
 func (p *pass) canServeConstrained(version *Version, demand *Demand) bool {
 	for _, pending := range p.constrainedReplicas(version, demand) {
 		for _, candidate := range p.machines {
-			if candidate.machine.Accepts && pending.canRunOn(candidate) {
+			if candidate.machine.Schedulable && pending.canRunOn(candidate) {
 				return true
 			}
 		}
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -86,7 +86,7 @@
 		return false
 	}
 	target := p.machines[reservation.machine]
-	if target == nil || !target.machine.Accepts || !pending.canRunOn(target) {
+	if target == nil || !target.machine.Schedulable || !pending.canRunOn(target) {
 		return false
 	}
 	bytes := pending.version.Spec.BytesPerAccelerator()
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -174,7 +174,7 @@
 	}
 	names := []string{}
 	for name, machine := range p.input.Machines {
-		if machine.Accepts {
+		if machine.Schedulable {
 			names = append(names, name)
 		}
 	}
--- a/internal/placement/fleet_bench_test.go
+++ b/internal/placement/fleet_bench_test.go
@@ -41,7 +41,7 @@
 	for number := range machines {
 		machine := &Machine{
 			Name: fmt.Sprintf("machine-%04d", number), Zone: fmt.Sprintf("zone-%d", number%4), Accelerators: 1, AcceleratorBytes: machineMemory,
-			Incarnation: 1, Accepts: true, Tiers: map[string]Tier{}, Pool: "pool",
+			Incarnation: 1, Schedulable: true, Tiers: map[string]Tier{}, Pool: "pool",
 		}
 		for cached := range cachedOnDisk {
 			machine.Tiers[name(number*cachedOnDisk+cached)] = TierDisk
--- a/internal/placement/loadcrash_test.go
+++ b/internal/placement/loadcrash_test.go
@@ -23,7 +23,7 @@
 	input.Machines = map[string]*Machine{}
 	for number := range machines {
 		name := fmt.Sprintf("m-%02d", number)
-		input.Machines[name] = &Machine{Name: name, Accelerators: 1, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Accepts: true, Tiers: map[string]Tier{}}
+		input.Machines[name] = &Machine{Name: name, Accelerators: 1, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Schedulable: true, Tiers: map[string]Tier{}}
 	}
 	input.LoadCrashes = map[string]LoadCrashes{}
 	startedAt := map[string]time.Time{}
@@ -33,7 +33,7 @@
 		for name, at := range startedAt {
 			machine := input.Machines[name]
 			if machine != nil && input.Now.Sub(at) >= lostIn {
-				machine.Lost, machine.Accepts = true, false
+				machine.Lost, machine.Schedulable = true, false
 			}
 			if machine != nil && input.Now.Sub(at) >= goneIn {
 				delete(input.Machines, name)
--- a/internal/placement/near.go
+++ b/internal/placement/near.go
@@ -51,7 +51,7 @@
 func (p *pass) replicasByRegion(version *Version) map[string]int {
 	replicas := map[string]int{}
 	for _, replica := range p.byVersion[version.Name] {
-		if machine := p.input.Machines[replica.Spec.Machine]; machine.Accepts {
+		if machine := p.input.Machines[replica.Spec.Machine]; machine.Schedulable {
 			replicas[machine.Region]++
 		}
 	}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -139,7 +139,7 @@
 	for name, machine := range p.input.Machines {
 		p.machines[name] = newMachineState(machine)
 		p.largestAccelerator = max(p.largestAccelerator, machine.AcceleratorBytes)
-		if machine.Accepts || machine.Drained {
+		if machine.Schedulable || machine.Drained {
 			delete(p.planner.leavingSince, name)
 		} else if _, known := p.planner.leavingSince[name]; !known {
 			p.planner.leavingSince[name] = p.input.Now
--- a/internal/placement/planner_bench_test.go
+++ b/internal/placement/planner_bench_test.go
@@ -22,7 +22,7 @@
 		name := fmt.Sprintf("machine-%04d", number)
 		input.Machines[name] = &Machine{
 			Name: name, Zone: fmt.Sprintf("zone-%02d", number%24), Accelerators: 8, AcceleratorBytes: 80 * gibibyte,
-			Incarnation: 1, Accepts: true, Tiers: map[string]Tier{},
+			Incarnation: 1, Schedulable: true, Tiers: map[string]Tier{},
 		}
 	}
 	for number := range models {
--- a/internal/placement/regions.go
+++ b/internal/placement/regions.go
@@ -124,7 +124,7 @@
 func (p *pass) hasAllowedReplica(version *Version, allowed places.Constraint, excluded *Replica) bool {
 	for _, replica := range p.byVersion[version.Name] {
 		machine := p.input.Machines[replica.Spec.Machine]
-		if replica != excluded && machine.Accepts && allowed.Allows(machine.Region) {
+		if replica != excluded && machine.Schedulable && allowed.Allows(machine.Region) {
 			return true
 		}
 	}
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -182,7 +182,7 @@
 			name := "m" + strconv.Itoa(position)
 			input.Machines[name] = &Machine{
 				Name: name, Accelerators: 1, AcceleratorBytes: 100, Incarnation: 1, Pool: "pool", Tiers: map[string]Tier{},
-				Accepts: rapid.IntRange(0, 4).Draw(t, "accepts") > 0, Region: rapid.SampledFrom(regions).Draw(t, "region"),
+				Schedulable: rapid.IntRange(0, 4).Draw(t, "accepts") > 0, Region: rapid.SampledFrom(regions).Draw(t, "region"),
 			}
 		}
 		for number := range 3 {
@@ -205,7 +205,7 @@
 					holds = holds || replica.Spec.Version == "v0"
 				}
 			}
-			if machine.Accepts && allowed.Allows(machine.Region) {
+			if machine.Schedulable && allowed.Allows(machine.Region) {
 				served, hasMemory = served || holds, hasMemory || held < 2
 			}
 		}
--- a/internal/placement/retire_test.go
+++ b/internal/placement/retire_test.go
@@ -37,7 +37,7 @@
 			input := &Input{
 				Now: time.Unix(1000, 0), Versions: map[string]*Version{}, Demand: map[string]*Demand{},
 				Machines: map[string]*Machine{"m": {
-					Name: "m", Accelerators: 2, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Accepts: true,
+					Name: "m", Accelerators: 2, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Schedulable: true,
 				}},
 			}
 			for position, name := range []string{"a", "b", "c"} {
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -90,7 +90,7 @@
 		distribution.total[version.Spec.Pool] += p.planner.work.rates[name]
 	}
 	for _, machine := range p.input.Machines {
-		if machine.Accepts {
+		if machine.Schedulable {
 			distribution.machines[machine.Pool]++
 		}
 	}
--- a/internal/placement/swap.go
+++ b/internal/placement/swap.go
@@ -156,7 +156,7 @@
 	if p.cached == nil {
 		p.cached = map[poolCheckpoint][]Tier{}
 		for _, machine := range p.input.Machines {
-			if machine.Accepts {
+			if machine.Schedulable {
 				p.addCachedTiers(machine)
 			}
 		}
--- a/internal/placement/swap_test.go
+++ b/internal/placement/swap_test.go
@@ -151,7 +151,7 @@
 		addWork(input, 100*time.Millisecond, map[string]uint64{"v0": 400, "v2": 400, "v4": 400})
 		applyDecision(input, planner.Decide(input))
 	}
-	input.Machines["m0"].Accepts = false
+	input.Machines["m0"].Schedulable = false
 	decision := planner.Decide(input)
 	if len(unloadedVersions(decision)) != 1 {
 		t.Errorf("nothing is evicted for v0, whose only machine is leaving: %v", describe(decision))
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -60,7 +60,7 @@
 	AcceleratorBytes int64
 	Incarnation      uint64
 	// Schedulable is set for a live machine that accepts new replicas.
-	Accepts bool
+	Schedulable bool
 	// Drained is set for a live machine in a drained zone. It accepts no replicas, and keeps those
 	// that it has until the drain ends.
 	Drained bool
--- a/internal/placement/want.go
+++ b/internal/placement/want.go
@@ -128,7 +128,7 @@
 func (p *pass) usable(version *Version) int {
 	count := 0
 	for _, replica := range p.byVersion[version.Name] {
-		if p.input.Machines[replica.Spec.Machine].Accepts {
+		if p.input.Machines[replica.Spec.Machine].Schedulable {
 			count++
 		}
 	}
@@ -166,7 +166,7 @@
 // mustReplace reports whether a replica on a leaving or drained machine is in use.
 func (p *pass) mustReplace(name string) bool {
 	for _, replica := range p.byVersion[name] {
-		leaving := !p.input.Machines[replica.Spec.Machine].Accepts
+		leaving := !p.input.Machines[replica.Spec.Machine].Schedulable
 		if leaving && replica.Spec.Phase == v1.ReplicaReady && replica.Running > 0 {
 			return true
 		}
--- a/internal/placement/worth.go
+++ b/internal/placement/worth.go
@@ -43,7 +43,7 @@
 func (p *pass) ready(version *Version) int {
 	count := 0
 	for _, replica := range p.byVersion[version.Name] {
-		if replica.Spec.Phase == v1.ReplicaReady && p.input.Machines[replica.Spec.Machine].Accepts {
+		if replica.Spec.Phase == v1.ReplicaReady && p.input.Machines[replica.Spec.Machine].Schedulable {
 			count++
 		}
 	}
