--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("%+v", demand)
 	}
 	found := map[string]int{}
-	for _, bound := range demand.Bound {
+	for _, bound := range demand.Constrained {
 		found[bound.Allowed.Key()] = bound.Waiting
 		if bound.Allowed.Key() == places.RestrictTo("a", "b").Key() {
 			if bound.Waiting != 4 || bound.Running != 2 || bound.OldestWait != 1500*time.Millisecond || bound.Priority != 9 {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -328,14 +328,14 @@
 }
 
 // boundBy returns a version's demand under a constraint, which is added if there is none.
-func boundBy(demand *placement.Demand, allowed places.Constraint) *placement.BoundDemand {
-	for position := range demand.Bound {
-		if demand.Bound[position].Allowed.Key() == allowed.Key() {
-			return &demand.Bound[position]
+func boundBy(demand *placement.Demand, allowed places.Constraint) *placement.ConstrainedDemand {
+	for position := range demand.Constrained {
+		if demand.Constrained[position].Allowed.Key() == allowed.Key() {
+			return &demand.Constrained[position]
 		}
 	}
-	demand.Bound = append(demand.Bound, placement.BoundDemand{Allowed: allowed})
-	return &demand.Bound[len(demand.Bound)-1]
+	demand.Constrained = append(demand.Constrained, placement.ConstrainedDemand{Allowed: allowed})
+	return &demand.Constrained[len(demand.Constrained)-1]
 }
 
 // addRegion counts requests by where they come from, as far as that is known.
--- a/internal/placement/regions.go
+++ b/internal/placement/regions.go
@@ -18,7 +18,7 @@
 const constraintRetention = historyRetention
 
 // ConstrainedDemand is the part of the demand for a version that has the same region constraint.
-type BoundDemand struct {
+type ConstrainedDemand struct {
 	Allowed places.Constraint
 	Waiting int
 	Running int
@@ -37,7 +37,7 @@
 func (p *pass) observeConstraints() {
 	constraintsOf := p.planner.constraints
 	for version, demand := range p.input.Demand {
-		for _, entry := range demand.Bound {
+		for _, entry := range demand.Constrained {
 			if constraintsOf[version] == nil {
 				constraintsOf[version] = map[string]constraintUse{}
 			}
@@ -75,10 +75,10 @@
 // constrainedReplicas lists the replicas for waiting requests that no loading or ready replica may
 // serve, narrowest constraint first: one for a narrow constraint often serves wider ones too.
 func (p *pass) constrainedReplicas(version *Version, demand *Demand) []pendingReplica {
-	if demand == nil || len(demand.Bound) == 0 {
+	if demand == nil || len(demand.Constrained) == 0 {
 		return nil
 	}
-	waiting := slices.DeleteFunc(slices.Clone(demand.Bound), func(entry BoundDemand) bool {
+	waiting := slices.DeleteFunc(slices.Clone(demand.Constrained), func(entry ConstrainedDemand) bool {
 		return entry.Waiting == 0 || p.hasAllowedReplica(version, entry.Allowed, nil)
 	})
 	sort.Slice(waiting, func(i, j int) bool {
@@ -104,7 +104,7 @@
 
 // constrainedValue is the value of a replica for a constraint, on the scale of replicaValue, from
 // its waiting requests and their share of the work.
-func (p *pass) constrainedValue(version *Version, demand *Demand, entry BoundDemand) float64 {
+func (p *pass) constrainedValue(version *Version, demand *Demand, entry ConstrainedDemand) float64 {
 	share := float64(entry.Waiting) / float64(max(entry.Waiting, demand.Waiting+demand.Running))
 	return float64(entry.Waiting) + share*p.planner.work.rates[version.Name]/minSpreadRate
 }
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -25,7 +25,7 @@
 func setConstrainedWaiting(input *Input, version string, requests int, regions ...string) {
 	setWaiting(input, version, requests)
 	demand := input.Demand[version]
-	demand.Bound = append(demand.Bound, BoundDemand{Allowed: places.RestrictTo(regions...), Waiting: requests, OldestWait: time.Second})
+	demand.Constrained = append(demand.Constrained, ConstrainedDemand{Allowed: places.RestrictTo(regions...), Waiting: requests, OldestWait: time.Second})
 }
 
 // clearMachine removes all replicas from a machine.
@@ -111,11 +111,11 @@
 			input.Machines["m1"].AcceleratorBytes = 50
 			planner := newPoolPlanner()
 			if test.requested {
-				input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.RestrictTo("b"), Running: 1}}}
+				input.Demand["v0"] = &Demand{Constrained: []ConstrainedDemand{{Allowed: places.RestrictTo("b"), Running: 1}}}
 			}
 			planner.Decide(input)
 			if test.requested && !test.stillRequested {
-				input.Demand["v0"].Bound = nil
+				input.Demand["v0"].Constrained = nil
 			}
 			for range 20 {
 				addWork(input, test.span/20, map[string]uint64{"v1": 900})
@@ -152,7 +152,7 @@
 		input.Replicas = slices.DeleteFunc(input.Replicas, func(replica *Replica) bool { return replica.Name == "v0.m0" })
 		planner := newPoolPlanner()
 		if constrained {
-			input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.RestrictTo("b"), Running: 1}}}
+			input.Demand["v0"] = &Demand{Constrained: []ConstrainedDemand{{Allowed: places.RestrictTo("b"), Running: 1}}}
 		}
 		planner.Decide(input)
 		evicted := false
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -117,7 +117,7 @@
 	OldestWait time.Duration
 	Priority   int32
 	// Constrained is the part of the demand that has a region constraint, by constraint.
-	Bound []BoundDemand
+	Constrained []ConstrainedDemand
 	// Regions is the number of waiting and running requests by the region of their routers; nil if
 	// no region is known.
 	Regions map[string]float64
--- a/internal/placement/want.go
+++ b/internal/placement/want.go
@@ -22,7 +22,7 @@
 	// additional is set if the version has a replica and needs more for its load.
 	additional bool
 	// constrained is the constrained demand that the replica serves; nil if it is unconstrained.
-	constrained *BoundDemand
+	constrained *ConstrainedDemand
 	// value ranks replicas of pooled versions, on the scale of replicaValue.
 	value    float64
 	priority int32
