--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -167,7 +167,7 @@
 
 // Work returns the averaged rate of work of each version, in tokens per second.
 func (c *Controller) Work() map[string]float64 {
-	return c.planner.Work()
+	return c.planner.WorkRates()
 }
 
 // SweepDue reports whether abandoned claims should be looked for. It stands
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -270,7 +270,7 @@
 func (v *clusterView) demand() map[string]*placement.Demand {
 	total := make(map[string]*placement.Demand, len(v.arrivals))
 	for version, counts := range v.arrivals {
-		total[version] = &placement.Demand{Arrivals: counts.arrivals, Work: counts.work, Target: time.Duration(counts.targetMs) * time.Millisecond}
+		total[version] = &placement.Demand{Arrivals: counts.arrivals, Work: counts.work, FirstTokenTarget: time.Duration(counts.targetMs) * time.Millisecond}
 	}
 	for _, entry := range v.nodes {
 		age := v.now - entry.received
--- a/internal/placement/fleet_bench_test.go
+++ b/internal/placement/fleet_bench_test.go
@@ -32,7 +32,7 @@
 				Model: name(number), Checkpoint: name(number), Accelerators: 1, WeightBytes: weights, MaxConcurrent: 32, Pool: "pool",
 			},
 		}
-		demand := &Demand{Running: 4, Arrivals: 100, Work: uint64(busiestWork / float64(number+1)), Target: 3 * time.Second}
+		demand := &Demand{Running: 4, Arrivals: 100, Work: uint64(busiestWork / float64(number+1)), FirstTokenTarget: 3 * time.Second}
 		if number%waitingEvery == 0 {
 			demand.Waiting, demand.OldestWait = 2, 300*time.Millisecond
 		}
--- a/internal/placement/loadcrash.go
+++ b/internal/placement/loadcrash.go
@@ -55,6 +55,6 @@
 func (p *pass) removeLost(replica *Replica, reason string) Action {
 	return Action{
 		Kind: ActionRemove, Replica: replica, Reason: reason,
-		EndedUnderLoad: replica.Spec.Phase == v1.ReplicaLoading && p.planner.loadingReported[replica.Name],
+		CrashedDuringLoad: replica.Spec.Phase == v1.ReplicaLoading && p.planner.loadingReported[replica.Name],
 	}
 }
--- a/internal/placement/loadcrash_test.go
+++ b/internal/placement/loadcrash_test.go
@@ -46,7 +46,7 @@
 				input.Replicas = append(input.Replicas, &Replica{
 					Name: "r-" + action.Spec.Machine, Spec: action.Spec, Observed: true, EnginePhase: EngineLoading,
 				})
-			case action.EndedUnderLoad && recordsCrashes:
+			case action.CrashedDuringLoad && recordsCrashes:
 				crashes := input.LoadCrashes["wanted"]
 				input.LoadCrashes["wanted"] = LoadCrashes{Count: crashes.Count + 1, Last: input.Now}
 			}
@@ -115,7 +115,7 @@
 			counted, removed := false, false
 			for _, action := range planner.Decide(input).Actions {
 				if action.Kind == ActionRemove && action.Replica == replica {
-					counted, removed = action.EndedUnderLoad, true
+					counted, removed = action.CrashedDuringLoad, true
 				}
 			}
 			if !removed || counted != test.counts {
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -273,7 +273,7 @@
 }
 
 // WorkRates returns the averaged rate of work of each version, in tokens per second.
-func (p *Planner) Work() map[string]float64 {
+func (p *Planner) WorkRates() map[string]float64 {
 	return maps.Clone(p.work.rates)
 }
 
--- a/internal/placement/swap_reference_test.go
+++ b/internal/placement/swap_reference_test.go
@@ -153,7 +153,7 @@
 		if rapid.Bool().Draw(t, "asked") {
 			input.Demand[name(number)] = &Demand{
 				Waiting: rapid.IntRange(0, 4).Draw(t, "waiting"), Running: rapid.IntRange(0, 20).Draw(t, "running"), Arrivals: 5,
-				Work: uint64(rapid.IntRange(0, 50_000).Draw(t, "work")), Target: time.Second, OldestWait: time.Second / 4,
+				Work: uint64(rapid.IntRange(0, 50_000).Draw(t, "work")), FirstTokenTarget: time.Second, OldestWait: time.Second / 4,
 				Regions: drawRegions(t),
 			}
 		}
--- a/internal/placement/swap_test.go
+++ b/internal/placement/swap_test.go
@@ -277,7 +277,7 @@
 	s.requests++
 	s.queued[version] = append(s.queued[version], s.input.Now)
 	addWork(s.input, 0, map[string]uint64{version: 800})
-	s.input.Demand[version].Target = 2 * time.Second
+	s.input.Demand[version].FirstTokenTarget = 2 * time.Second
 }
 
 // finish ends loads and requests that are due, and starts waiting requests of ready versions.
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -113,9 +113,9 @@
 	Work uint64
 	// FirstTokenTarget is the shortest requested time until the start of an answer; 0 if no
 	// request states one.
-	Target     time.Duration
-	OldestWait time.Duration
-	Priority   int32
+	FirstTokenTarget time.Duration
+	OldestWait       time.Duration
+	Priority         int32
 	// Constrained is the part of the demand that has a region constraint, by constraint.
 	Constrained []ConstrainedDemand
 	// Regions is the number of waiting and running requests by the region of their routers; nil if
@@ -163,7 +163,7 @@
 	// Reason is logged and used as a metric label.
 	Reason string
 	// CrashedDuringLoad is set if the machine of the replica crashed while it loaded the version.
-	EndedUnderLoad bool
+	CrashedDuringLoad bool
 }
 
 // Estimate tells routers when a version that requests wait for may be ready.
--- a/internal/placement/worth.go
+++ b/internal/placement/worth.go
@@ -68,10 +68,10 @@
 // it.
 func (p *pass) urgency(version *Version) float64 {
 	demand := p.input.Demand[version.Name]
-	if demand == nil || demand.Target == 0 {
+	if demand == nil || demand.FirstTokenTarget == 0 {
 		return 1
 	}
-	missed := p.loadTime(version, TierDisk).Seconds() / demand.Target.Seconds()
+	missed := p.loadTime(version, TierDisk).Seconds() / demand.FirstTokenTarget.Seconds()
 	return min(1, missed*missed)
 }
 
