--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -17,8 +17,8 @@
 		return ""
 	}
 	demand := p.input.Demand[version.Name]
-	held := len(p.byVersion[version.Name]) + len(p.drained[version.Name])
-	if demand == nil || demand.Waiting == 0 || held < version.MaxReplicas {
+	count := len(p.byVersion[version.Name]) + len(p.drained[version.Name])
+	if demand == nil || demand.Waiting == 0 || count < version.MaxReplicas {
 		return ""
 	}
 	if p.usable(version) > 0 && !p.canServeConstrained(version, demand) {
@@ -80,8 +80,8 @@
 }
 
 // withoutReplica returns the replicas except one, without modifying the slice.
-func withoutReplica(replicas []*Replica, gone *Replica) []*Replica {
-	position := slices.Index(replicas, gone)
+func withoutReplica(replicas []*Replica, excluded *Replica) []*Replica {
+	position := slices.Index(replicas, excluded)
 	if position < 0 {
 		return replicas
 	}
--- a/internal/placement/reconcile.go
+++ b/internal/placement/reconcile.go
@@ -22,13 +22,13 @@
 // the machine is gone.
 func (p *pass) reconcile() {
 	for _, replica := range p.input.Replicas {
-		if action, due := p.follow(replica); due {
+		if action, due := p.reconcileReplica(replica); due {
 			p.addAction(action)
 		}
 	}
 }
 
-func (p *pass) follow(replica *Replica) (Action, bool) {
+func (p *pass) reconcileReplica(replica *Replica) (Action, bool) {
 	if p.input.Machines[replica.Spec.Machine] == nil {
 		return p.removeLost(replica, reasonMachineGone), true
 	}
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -183,15 +183,15 @@
 		addWork(input, 100*time.Millisecond, work)
 		planner.Decide(input)
 	}
-	wait := func(requests int) int {
+	evictionsFor := func(requests int) int {
 		input.Demand["cold"] = &Demand{Arrivals: uint64(requests), Work: 500, Waiting: requests, OldestWait: time.Second}
 		all, _ := countEvictions(planner.Decide(input), "")
 		return all
 	}
-	if evictions := wait(1); evictions != 0 {
+	if evictions := evictionsFor(1); evictions != 0 {
 		t.Errorf("one request evicted %d busy replicas", evictions)
 	}
-	if evictions := wait(100); evictions == 0 {
+	if evictions := evictionsFor(100); evictions == 0 {
 		t.Error("a hundred requests evicted nothing")
 	}
 }
--- a/internal/placement/swap.go
+++ b/internal/placement/swap.go
@@ -199,7 +199,7 @@
 
 // queuedLoadTime returns the remaining time of the loads on a registered machine.
 func (p *pass) queuedLoadTime(candidate *machineState) time.Duration {
-	ahead := time.Duration(0)
+	total := time.Duration(0)
 	for _, replica := range candidate.replicas {
 		version := p.input.Versions[replica.Spec.Version]
 		if replica.Spec.Phase != v1.ReplicaLoading || version == nil {
@@ -212,7 +212,7 @@
 		if load, known := p.planner.loading[replica.Name]; known {
 			duration -= min(duration, p.input.Now.Sub(load.firstSeen))
 		}
-		ahead += duration
+		total += duration
 	}
-	return ahead
+	return total
 }
