--- a/internal/controller/loadcrash.go
+++ b/internal/controller/loadcrash.go
@@ -36,7 +36,7 @@
 		}
 		spec := action.Replica.Spec
 		switch {
-		case action.CrashedDuringLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonSaidSo:
+		case action.CrashedDuringLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonAnnounced:
 			// A planned end.
 		case action.CrashedDuringLoad:
 			run := quarantine.Run{
