--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -61,7 +61,7 @@
 	planner   *placement.Planner
 	estimates []placement.Estimate
 	stored    *storedView
-	warming   *warming.Watch
+	warming   *warming.Tracker
 	// limitObservations are the rate limits reported for machines, including those that were lifted;
 	// activeLimits are the limits in force.
 	limitObservations []ratelimit.Observation
@@ -86,7 +86,7 @@
 func New(now time.Duration, config Config, reports *ReportTable) *Controller {
 	reports.BeginQuotas(quota.NewLedger(now, config.Quota, config.Routers))
 	return &Controller{
-		config: config, since: now, reports: reports, lastSweep: now, warming: warming.NewWatch(now),
+		config: config, since: now, reports: reports, lastSweep: now, warming: warming.NewTracker(now),
 		planner: placement.NewPlanner(config.Planner),
 	}
 }
@@ -202,7 +202,7 @@
 	digest.Roster, digest.RosterSequence = c.roster, c.rosterSequence
 	digest.MachineLoads = packByRoster(c.roster, loads)
 	digest.MachineWork = packByRoster(c.roster, outstandingWork(now, nodes))
-	digest.MachineWarming = packByRoster(c.roster, c.warming.Units(now))
+	digest.MachineWarming = packByRoster(c.roster, c.warming.DigestUnits(now))
 	digest.Limits = nodeview.LimitMessages(c.limitObservations)
 	digest.History = c.history(now)
 	digest.Tenants, digest.TenantsKnown = c.reports.allowances(now, limits)
--- a/internal/controller/warming.go
+++ b/internal/controller/warming.go
@@ -11,7 +11,7 @@
 
 // ObserveWarming updates the warm-up state from the machines' reports and the state observed last. It
 // calls entries only if the machines of some pool warm up.
-func (c *Controller) ObserveWarming(now time.Duration, entries func() map[string]instances.Entry) warming.News {
+func (c *Controller) ObserveWarming(now time.Duration, entries func() map[string]instances.Entry) warming.Transitions {
 	drains := make(map[string]warming.Drain, len(c.stored.drains))
 	for zone, drain := range c.stored.drains {
 		drains[zone] = warming.Drain{Revision: drain.revision, Drained: drain.spec.Drained}
@@ -33,7 +33,7 @@
 			continue // Machines polled by agents don't report their warm-up.
 		}
 		machine := warming.Machine{
-			Zone: declared.Spec.Zone, Lost: declared.Status.Phase == v1.MachineLost, Declared: c.stored.warmingSpec(declared.Spec.Pool) != nil,
+			Zone: declared.Spec.Zone, Lost: declared.Status.Phase == v1.MachineLost, DeclaredWarming: c.stored.warmingSpec(declared.Spec.Pool) != nil,
 		}
 		if entry, reported := entries[name]; reported {
 			machine.Report = &warming.Report{
--- a/internal/controller/warming_test.go
+++ b/internal/controller/warming_test.go
@@ -57,17 +57,17 @@
 		change func(now time.Duration)
 		units  []byte
 	}{
-		{"no report", time.Second, func(time.Duration) {}, []byte{warming.Unsaid}},
+		{"no report", time.Second, func(time.Duration) {}, []byte{warming.UnitsUnknown}},
 		{"warm, published soon", 1100 * time.Millisecond, func(now time.Duration) { report(now, 0) }, nil},
 		{"warming up, published soon", 1200 * time.Millisecond, func(now time.Duration) { report(now, 950) }, []byte{10}},
 		{"remaining time decreases", 1700 * time.Millisecond, func(time.Duration) {}, []byte{5}},
 		{"drained", 1800 * time.Millisecond, func(time.Duration) {
 			put(t, stored, v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{Drained: true})
-		}, []byte{warming.Unsaid}},
-		{"report while drained", 2300 * time.Millisecond, func(now time.Duration) { report(now, 0) }, []byte{warming.Unsaid}},
+		}, []byte{warming.UnitsUnknown}},
+		{"report while drained", 2300 * time.Millisecond, func(now time.Duration) { report(now, 0) }, []byte{warming.UnitsUnknown}},
 		{"drain ended", 2900 * time.Millisecond, func(time.Duration) {
 			put(t, stored, v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{})
-		}, []byte{warming.Unsaid}},
+		}, []byte{warming.UnitsUnknown}},
 		{"report after the drain", 3 * time.Second, func(now time.Duration) { report(now, 0) }, nil},
 	} {
 		step.change(step.at)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,4 +1,4 @@
-// Package dispatcher makes dispatch.Core safe for concurrent use.
+// Package dispatcher makes dispatch.Scheduler safe for concurrent use.
 //
 // A mutex guards the core. Each queued request waits on its own channel until it is
 // granted a target or refused.
@@ -22,7 +22,7 @@
 // Dispatcher queues requests and grants them targets. It is safe for concurrent use.
 type Dispatcher struct {
 	mutex    sync.Mutex
-	core     *dispatch.Core
+	core     *dispatch.Scheduler
 	waiting  map[uint64]chan result
 	nextID   uint64
 	onQueued func()
@@ -124,7 +124,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.waiting[request.ID] != nil {
-		d.deliver(d.core.Rebind(time.Now(), request, allowed))
+		d.deliver(d.core.SetConstraint(time.Now(), request, allowed))
 	}
 }
 
@@ -157,21 +157,21 @@
 func (d *Dispatcher) HoldPermitMachines(duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.HoldPaced(time.Now().Add(duration))
+	d.core.HoldPermitMachines(time.Now().Add(duration))
 }
 
 // BackOff grants no requests to a machine for a time that it asked for.
 func (d *Dispatcher) BackOff(machine string, duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.Rest(time.Now(), machine, duration))
+	d.deliver(d.core.BackOff(time.Now(), machine, duration))
 }
 
 // MarkLeaving grants no further requests to a machine that announced its shutdown. It reports whether that was news.
 func (d *Dispatcher) MarkLeaving(machine string) (changed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	outcome, changed := d.core.Leave(time.Now(), machine)
+	outcome, changed := d.core.MarkLeaving(time.Now(), machine)
 	d.deliver(outcome)
 	return changed
 }
@@ -180,14 +180,14 @@
 func (d *Dispatcher) Leaving() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Leaving()
+	return d.core.LeavingMachines()
 }
 
 // BackedOffMachines returns the number of machines that asked to back off and still get no requests.
 func (d *Dispatcher) BackedOffMachines() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.RestingMachines(time.Now())
+	return d.core.BackoffCount(time.Now())
 }
 
 // RetryAfterBackOff returns the time until a machine may be tried again, if all that could take the request asked to
@@ -195,7 +195,7 @@
 func (d *Dispatcher) RetryAfterBackOff(request *dispatch.Request) (retryAfter time.Duration, allBackedOff bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.RetryAfterRest(time.Now(), request)
+	return d.core.RetryAfterBackoff(time.Now(), request)
 }
 
 // MayWrite reports whether a granted request may still be written to its machine.
@@ -210,7 +210,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.core.RetainRests(now, isListed)
+	d.core.RetainBackoffs(now, isListed)
 	d.core.RetainLeaving(now, isListed)
 }
 
@@ -232,14 +232,14 @@
 func (d *Dispatcher) Started(grant *dispatch.Grant) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.Started(*grant)
+	d.core.MarkStarted(*grant)
 }
 
 // Unreachable returns the machines whose recent connections failed.
 func (d *Dispatcher) Unreachable(now time.Time) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Unreachable(now)
+	return d.core.UnreachableMachines(now)
 }
 
 // Work returns the outstanding work by machine.
@@ -250,10 +250,10 @@
 }
 
 // Answers returns the counts of responses by machine.
-func (d *Dispatcher) Answers() map[string]dispatch.Answers {
+func (d *Dispatcher) Answers() map[string]dispatch.ResponseCounts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Answers()
+	return d.core.ResponseCounts()
 }
 
 // SetTargets replaces the targets.
@@ -275,7 +275,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.SetWork(now, nodeview.WorkOf(digest))
-	d.core.SetAnswers(now, nodeview.AnswersOf(digest))
+	d.core.SetResponseCounts(now, nodeview.AnswersOf(digest))
 	d.deliver(d.core.SetLoads(now, nodeview.LoadsOf(digest), int(digest.GetRouters())))
 	d.deliver(d.core.SetEstimates(now, nodeview.EstimatesOf(digest, now)))
 }
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -2,5 +2,5 @@
 
 // CrashesSettled reports whether all observed crashes have been recorded.
 func (g *Gateway) CrashesSettled() bool {
-	return g.crashes.Settled()
+	return g.crashes.IsIdle()
 }
--- a/internal/gateway/inference.go
+++ b/internal/gateway/inference.go
@@ -77,7 +77,7 @@
 	}
 	dispatchRequest := &dispatch.Request{
 		Version: j.target.Version, Adapter: j.target.Adapter, Priority: j.spec.Priority,
-		Arrived: j.arrived, Deadline: j.deadline, Prefix: j.prefix,
+		Arrived: j.arrived, Deadline: j.deadline, PrefixHash: j.prefix,
 	}
 	failures := 0
 	for attempt := 1; ; attempt++ {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -27,8 +27,8 @@
 
 // reportBroken reports a request whose connection broke after it was sent.
 func (g *Gateway) reportBroken(j *job, grant *dispatch.Grant) {
-	g.crashes.Broken(quarantine.Run{
-		Machine: grant.Target.Machine, Life: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
+	g.crashes.ReportBroken(quarantine.BrokenRequest{
+		Machine: grant.Target.Machine, Instance: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
 		Identity: j.identity(), Route: j.service, Tenant: j.caller,
 	})
 }
@@ -36,7 +36,7 @@
 // reportCompleted reports a request that an engine completed.
 func (g *Gateway) reportCompleted(j *job, outcome attemptOutcome) {
 	if outcome == outcomeAnswered {
-		g.crashes.Completed(j.identity)
+		g.crashes.ReportCompleted(j.identity)
 	}
 }
 
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -60,7 +60,7 @@
 	case outcomeRetriableError, outcomeErrorAnswered:
 		return dispatch.ResultError
 	case outcomeTimedOut:
-		return dispatch.ResultSilent
+		return dispatch.ResultTimedOut
 	case outcomeNotRun:
 		return dispatch.ResultRejected
 	case outcomeNotConnected:
@@ -79,11 +79,11 @@
 	defer cancel()
 	outgoing := j.upstreamRequest(grant)
 	response, failure, err := j.ingress.upstream.Do(attemptCtx, outgoing)
-	if failure == upstream.FailedConnect {
+	if failure == upstream.FailureConnect {
 		return j.unwrittenOutcome(grant, err)
 	}
 	j.sent++
-	if failure != upstream.FailedNone {
+	if failure != upstream.FailureNone {
 		j.mayHaveRun = true
 		j.log("no_answer", "machine", grant.Target.Machine, "failure", failure.String(), "error", err.Error())
 		if attemptCtx.Err() != nil {
@@ -125,7 +125,7 @@
 }
 
 func (j *job) upstreamRequest(grant *dispatch.Grant) *upstream.Request {
-	header := upstream.EndToEnd(j.request.Header)
+	header := upstream.EndToEndHeaders(j.request.Header)
 	return &upstream.Request{
 		Machine: grant.Target.Machine, Address: addressOf(grant),
 		Method: j.request.Method, Target: j.request.RequestURI, Host: j.request.Host, Header: header, Body: j.body,
--- a/internal/ingress/export_test.go
+++ b/internal/ingress/export_test.go
@@ -2,7 +2,7 @@
 
 // CrashesSettled reports whether all observed crashes have been recorded.
 func (i *Ingress) CrashesSettled() bool {
-	return i.crashes.Settled()
+	return i.crashes.IsIdle()
 }
 
 // WarmingMachines returns the machines that count as warming up.
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -84,9 +84,9 @@
 func limitOf(response http.Header) ratelimit.Limit {
 	perSecond, err := strconv.ParseFloat(response.Get(headerLimit), 64)
 	if err != nil {
-		return ratelimit.None
+		return ratelimit.Unlimited
 	}
-	return ratelimit.Of(perSecond)
+	return ratelimit.NewLimit(perSecond)
 }
 
 func backOffOf(response http.Header) time.Duration {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -93,7 +93,7 @@
 
 // New returns an Ingress. It serves requests only while Run is running.
 func New(options Options) *Ingress {
-	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, ByWork: true, Seed: rand.Uint64()}
+	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, LeastWork: true, Seed: rand.Uint64()}
 	requestsCtx, cancelRequests := context.WithCancel(context.Background())
 	if options.Suspended == nil {
 		options.Suspended = clock.Slept
@@ -115,8 +115,8 @@
 
 func newCrashWatcher(options Options, pool *upstream.Pool) *crashwatch.Watcher {
 	return crashwatch.New(crashwatch.Options{
-		View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeBy(pool.Dial),
-		Examined: options.Metrics.observeExamined,
+		View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeWithDial(pool.Dial),
+		OnVerdict: options.Metrics.observeExamined,
 	})
 }
 
@@ -256,7 +256,7 @@
 }
 
 // Answers returns the counts of responses by machine, for reports.
-func (i *Ingress) Answers() map[string]dispatch.Answers {
+func (i *Ingress) Answers() map[string]dispatch.ResponseCounts {
 	return i.dispatcher.Answers()
 }
 
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -190,11 +190,11 @@
 // attempt is allowed. It returns the outcome of the last attempt.
 func (j *job) run(ctx context.Context) attemptOutcome {
 	j.dispatchRequest = &dispatch.Request{
-		Version: j.version, Adapter: j.attributes.Adapter, Priority: j.priority(), Prefix: j.attributes.Prefix,
-		Arrived: j.arrived, Deadline: j.deadline, Work: j.work(), Shared: j.attributes.SharedTokens,
-		Detour:   j.remoteCost(),
-		Target:   time.Duration(j.route.Spec.TargetLatency),
-		Patience: j.arrived.Add(j.maxQueueTime()), Allowed: j.allowedRegions(),
+		Version: j.version, Adapter: j.attributes.Adapter, Priority: j.priority(), PrefixHash: j.attributes.Prefix,
+		Arrived: j.arrived, Deadline: j.deadline, Work: j.work(), PrefixWork: j.attributes.SharedTokens,
+		CrossRegionPenalty: j.remoteCost(),
+		TTFTTarget:         time.Duration(j.route.Spec.TargetLatency),
+		QueueDeadline:      j.arrived.Add(j.maxQueueTime()), Allowed: j.allowedRegions(),
 	}
 	for failures := 0; ; {
 		grant, refusal := j.acquire(ctx)
@@ -219,7 +219,7 @@
 			return outcome
 		}
 		j.recordRun(ctx, grant, outcome)
-		j.dispatchRequest.Tried = append(j.dispatchRequest.Tried, grant.Target.Machine)
+		j.dispatchRequest.TriedMachines = append(j.dispatchRequest.TriedMachines, grant.Target.Machine)
 		if outcome == outcomeAnswered || outcome == outcomeErrorAnswered || outcome == outcomeBroken {
 			return outcome
 		}
@@ -307,7 +307,7 @@
 	case j.request.Context().Err() != nil:
 		return dispatch.ResultNotRun
 	case outcome == outcomeBroken && ctx.Err() != nil:
-		return dispatch.ResultSilent
+		return dispatch.ResultTimedOut
 	}
 	return outcome.result()
 }
--- a/internal/ingress/quarantine.go
+++ b/internal/ingress/quarantine.go
@@ -31,11 +31,11 @@
 	switch outcome {
 	case outcomeAnswered:
 		// Error responses don't count: a machine also sends them for requests that it did not run.
-		watch.Completed(j.identity)
+		watch.ReportCompleted(j.identity)
 	case outcomeBroken, outcomeFailed:
 		if ctx.Err() == nil {
-			watch.Broken(quarantine.Run{
-				Machine: grant.Target.Machine, Life: grant.Target.Machine, Address: addressOf(grant), Identity: j.identity(), Route: j.route.Name, Tenant: j.tenant.name,
+			watch.ReportBroken(quarantine.BrokenRequest{
+				Machine: grant.Target.Machine, Instance: grant.Target.Machine, Address: addressOf(grant), Identity: j.identity(), Route: j.route.Name, Tenant: j.tenant.name,
 			})
 		}
 	}
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -21,7 +21,7 @@
 
 // handleResponse relays a machine's response to the client, unless the response allows a
 // retry.
-func (j *job) handleResponse(ctx context.Context, response *upstream.Answer, grant *dispatch.Grant) attemptOutcome {
+func (j *job) handleResponse(ctx context.Context, response *upstream.Response, grant *dispatch.Grant) attemptOutcome {
 	verdict := j.ingress.options.Translator.Interpret(response.Status, response.Header, j.attributes.ID)
 	j.recordStatement(grant, verdict)
 	if verdict.NotRun {
@@ -63,13 +63,13 @@
 
 // saveError saves a machine's error response for the case that the retry fails. A
 // response that is too long or breaks off is not saved, as it would be truncated.
-func (j *job) saveError(response *upstream.Answer) {
+func (j *job) saveError(response *upstream.Response) {
 	body, err := io.ReadAll(io.LimitReader(response, maxDiscardBytes+1))
 	if err != nil || len(body) > maxDiscardBytes {
 		j.log("error_not_kept", "status", response.Status, "bytes", len(body), "broke_off", err != nil)
 		return
 	}
-	j.savedError = &errorResponse{status: response.Status, header: upstream.EndToEnd(response.Header), body: body}
+	j.savedError = &errorResponse{status: response.Status, header: upstream.EndToEndHeaders(response.Header), body: body}
 }
 
 func (j *job) sendSavedError() {
@@ -79,18 +79,18 @@
 	j.ingress.options.Metrics.observe(j.route, "answered", time.Since(j.arrived))
 }
 
-func discard(response *upstream.Answer) {
+func discard(response *upstream.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response, maxDiscardBytes))
 }
 
 // relay copies the header and the body of a response to the client. It is
 // complete only if the machine's response is.
-func (j *job) relay(ctx context.Context, response *upstream.Answer) attemptOutcome {
+func (j *job) relay(ctx context.Context, response *upstream.Response) attemptOutcome {
 	length := int64(-1)
 	if response.Header.Get("Content-Length") != "" {
-		length = response.Length
+		length = response.ContentLength
 	}
-	j.writeHeader(response.Status, upstream.EndToEnd(response.Header), length)
+	j.writeHeader(response.Status, upstream.EndToEndHeaders(response.Header), length)
 	controller := http.NewResponseController(j.writer)
 	if j.route.Spec.Kind == v1.RouteStream {
 		_ = controller.Flush()
@@ -125,7 +125,7 @@
 
 // copyBody streams a body to the client. It returns the number of bytes copied
 // and the longest pause between two reads.
-func (j *job) copyBody(controller *http.ResponseController, response *upstream.Answer) (copied int64, pause time.Duration, err error) {
+func (j *job) copyBody(controller *http.ResponseController, response *upstream.Response) (copied int64, pause time.Duration, err error) {
 	buffer := make([]byte, copyBufferBytes)
 	last := time.Now()
 	for {
--- a/internal/ingress/warming.go
+++ b/internal/ingress/warming.go
@@ -24,13 +24,13 @@
 func (t *warmingTracker) applyDigest(digest *wirepb.ClusterDigest) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.state.TakeDigest(t.options.Now(), nodeview.WarmingOf(digest))
+	t.state.ApplyDigest(t.options.Now(), nodeview.WarmingOf(digest))
 }
 
 func (t *warmingTracker) recordFailure(machine string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.state.NoteFailure(t.options.Now(), machine)
+	t.state.RecordFailure(t.options.Now(), machine)
 }
 
 // machines returns the machines that are warming up.
@@ -40,7 +40,7 @@
 	defer t.mutex.Unlock()
 	now := t.options.Now()
 	t.options.View.EachWarmUpCandidate(func(machine string, changed uint64) {
-		if t.state.Warms(now, machine, changed) {
+		if t.state.IsWarming(now, machine, changed) {
 			found[machine] = true
 		}
 	})
@@ -55,7 +55,7 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.state.Warms(t.options.Now(), machine, changed)
+	return t.state.IsWarming(t.options.Now(), machine, changed)
 }
 
 // reset discards the state of earlier digests.
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -86,7 +86,7 @@
 	}{
 		{"new", func(*deployment) {}},
 		{"said to warm up", func(d *deployment) { d.digest(1, 200) }},
-		{"nobody vouches for it", func(d *deployment) { d.digest(1, warming.Unsaid) }},
+		{"nobody vouches for it", func(d *deployment) { d.digest(1, warming.UnitsUnknown) }},
 		{"its drain has ended", func(d *deployment) {
 			d.digest(1, 0)
 			d.apply(d.object(v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{}, nil))
@@ -318,7 +318,7 @@
 		addresses = append(addresses, newAnsweringMachine(t, "fine").address)
 	}
 	deployment.serveWarming(1, addresses...)
-	const forLong = warming.Unsaid - 1
+	const forLong = warming.UnitsUnknown - 1
 	deployment.digest(1, 0, 0, 0)
 	deployment.digest(2, forLong, 0, 0)
 	// Digests are applied in turn: once this one is, the one before is in effect.
--- a/internal/ingress/withheld.go
+++ b/internal/ingress/withheld.go
@@ -78,7 +78,7 @@
 // answers the request if no machine may serve it any more.
 func (j *job) reselect(ctx context.Context, grant *dispatch.Grant) sendCheck {
 	j.ingress.dispatcher.Release(grant, dispatch.ResultNotSent)
-	j.dispatchRequest.Tried = append(j.dispatchRequest.Tried, grant.Target.Machine)
+	j.dispatchRequest.TriedMachines = append(j.dispatchRequest.TriedMachines, grant.Target.Machine)
 	j.dispatchRequest.Allowed = j.allowedRegions()
 	document := j.unservableProblem(j.dispatchRequest.Allowed)
 	switch {
--- a/internal/nodeview/suspects.go
+++ b/internal/nodeview/suspects.go
@@ -40,7 +40,7 @@
 	if !found {
 		return machine
 	}
-	return quarantine.LifeOf(machine, record.Spec.Incarnation)
+	return quarantine.InstanceName(machine, record.Spec.Incarnation)
 }
 
 // IsReplaced reports whether another live machine has the endpoint of a machine.
