--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -6,92 +6,90 @@
 	"time"
 )
 
-// A machine that fails part of its requests, quickly, looks idle and draws more of them;
-// its connections and its health check are good. So a machine is judged by the share of
-// its answers that are errors, beside those of the other machines that run the same: a
-// version that fails one request in seven everywhere is not the fault of a machine.
+// Error-rate outlier detection. A machine that fails some of its requests quickly looks idle and
+// attracts more of them, while its connections and health checks stay good. Machines are therefore
+// compared by error rate with the peers that serve the same version: errors that occur everywhere
+// are not the fault of one machine.
 
 const (
-	// answersLifetime is how long a digest's counts are used; later ones say nothing of
-	// the present.
-	answersLifetime = 3 * time.Second
-	// leastErrorShare is the share of errors that is taken to be usual at least: with
-	// none at all seen, the first error anywhere would be beyond chance.
-	leastErrorShare = 0.02
-	// doubtfulOdds and certainOdds are the logarithms of the odds against chance from
-	// which on a machine gets fewer requests, and as few as its errors call for: about
-	// 7 and 50 to one.
-	doubtfulOdds = 2.0
-	certainOdds  = 4.0
-	// avoidance is how steeply a machine's share of requests falls with its share of
-	// answers that are no errors: at 4, one that fails 40 in 100 gets an eighth.
-	avoidance = 4
-	// probeShare is the share of its requests that a machine keeps in any case, so that
-	// its recovery is seen.
-	probeShare = 0.05
+	// responseCountsMaxAge bounds how long the counts of a digest are used.
+	responseCountsMaxAge = 3 * time.Second
+	// minBaselineErrorRate is the lowest error rate taken as normal; with a baseline of zero, a
+	// single error would already be significant.
+	minBaselineErrorRate = 0.02
+	// Log-likelihood ratios at which a machine starts to lose traffic, and at which it loses all
+	// that its error rate calls for.
+	avoidanceStart = 2.0
+	avoidanceFull  = 4.0
+	// A machine's share of traffic follows its relative success rate to this power.
+	avoidanceExponent = 4
+	// minTrafficShare is the share of its traffic that a failing machine keeps, so that its
+	// recovery is noticed.
+	minTrafficShare = 0.05
 )
 
-// Answers counts how a machine answered.
+// ResponseCounts counts the responses of a machine.
 type Answers struct {
-	// Answered counts the requests that ended there, Errors those of them that ended
-	// with the machine's own failure, or without a whole answer.
+	// Errors counts the responses, out of Total, that were failures of the machine or were
+	// incomplete.
 	Answered, Errors float64
 }
 
-// countAnswer notes how a request ended at a machine. A refusal, or a connection that
-// did not come about, says nothing of how it answers; neither does silence, which may be
-// overload: to move its requests to its peers would overload them next.
-func (c *Core) countAnswer(machine string, result Result) {
-	counted := c.answered[machine]
+// countResponse records how a request ended on a machine. Refusals, failed connections and
+// timeouts are not counted: they say nothing about the error rate, and moving the traffic of an
+// overloaded machine would overload its peers.
+func (s *Core) countResponse(machine string, result Result) {
+	counts := s.ownResponses[machine]
 	switch result {
 	case ResultOK:
-		counted.Answered++
+		counts.Answered++
 	case ResultError, ResultFailed:
-		counted.Answered++
-		counted.Errors++
+		counts.Answered++
+		counts.Errors++
 	default:
 		return
 	}
-	c.answered[machine] = counted
+	s.ownResponses[machine] = counts
 }
 
-// Answers counts how machines have answered this router since it started.
-func (c *Core) Answers() map[string]Answers {
-	return maps.Clone(c.answered)
+// ResponseCounts returns the responses of each machine to this router since it started.
+func (s *Core) Answers() map[string]Answers {
+	return maps.Clone(s.ownResponses)
 }
 
-// forgetAnswers drops the counts of machines that have no targets any more.
-func (c *Core) forgetAnswers() {
-	present := map[string]bool{}
-	for _, held := range c.targets {
-		present[held.Machine] = true
+// pruneResponseCounts drops the counts of machines without targets.
+func (s *Core) pruneResponseCounts() {
+	listed := map[string]bool{}
+	for _, candidate := range s.targets {
+		listed[candidate.Machine] = true
 	}
-	maps.DeleteFunc(c.answered, func(machine string, _ Answers) bool { return !present[machine] })
+	maps.DeleteFunc(s.ownResponses, func(machine string, _ Answers) bool { return !listed[machine] })
 }
 
-// SetAnswers replaces how machines answered all routers lately.
-func (c *Core) SetAnswers(now time.Time, answers map[string]Answers) {
-	c.answers, c.answersAt = answers, now
+// SetResponseCounts replaces the recent responses of machines to all routers.
+func (s *Core) SetAnswers(now time.Time, answers map[string]Answers) {
+	s.fleetResponses, s.responsesAt = answers, now
 }
 
-// withoutFailing leaves out targets whose machine fails more than its peers, each for so
-// many of the requests as its errors call for. Where none is left, all are as they were.
-func (c *Core) withoutFailing(now time.Time, request *Request, targets []*target) []*target {
-	if len(c.answers) == 0 || len(targets) < 2 || now.Sub(c.answersAt) > answersLifetime {
+// excludeFailing drops the targets of machines with a significantly higher error rate than their
+// peers, each for a fraction of requests that follows from its error rate. If no target would be
+// left, it returns all of them.
+func (s *Core) excludeFailing(now time.Time, request *Request, targets []*target) []*target {
+	if len(s.fleetResponses) == 0 || len(targets) < 2 || now.Sub(s.responsesAt) > responseCountsMaxAge {
 		return targets
 	}
 	total := Answers{}
 	for _, candidate := range targets {
-		total = total.plus(c.answers[candidate.Machine])
+		total = total.plus(s.fleetResponses[candidate.Machine])
 	}
 	if total.Errors == 0 {
 		return targets
 	}
 	kept := make([]*target, 0, len(targets))
 	for _, candidate := range targets {
-		own := c.answers[candidate.Machine]
-		trust := own.trust(total.minus(own))
-		if trust >= 1 || uniform(c.config.Seed+request.ID, candidate.Machine) < trust {
+		own := s.fleetResponses[candidate.Machine]
+		share := own.trafficShare(total.minus(own))
+		if share >= 1 || uniform(s.config.Seed+request.ID, candidate.Machine) < share {
 			kept = append(kept, candidate)
 		}
 	}
@@ -101,44 +99,43 @@
 	return kept
 }
 
-func (a Answers) plus(other Answers) Answers {
-	return Answers{Answered: a.Answered + other.Answered, Errors: a.Errors + other.Errors}
+func (r Answers) plus(other Answers) Answers {
+	return Answers{Answered: r.Answered + other.Answered, Errors: r.Errors + other.Errors}
 }
 
-func (a Answers) minus(other Answers) Answers {
-	return Answers{Answered: a.Answered - other.Answered, Errors: a.Errors - other.Errors}
+func (r Answers) minus(other Answers) Answers {
+	return Answers{Answered: r.Answered - other.Answered, Errors: r.Errors - other.Errors}
 }
 
-// trust is the share of its requests that a machine keeps, by its answers and by those
-// of its peers.
-func (a Answers) trust(peers Answers) float64 {
-	usual := leastErrorShare
+// trafficShare is the share of its traffic that a machine keeps, given the responses of its peers.
+func (r Answers) trafficShare(peers Answers) float64 {
+	baseline := minBaselineErrorRate
 	if peers.Answered > 0 {
-		usual = max(usual, peers.Errors/peers.Answered)
+		baseline = max(baseline, peers.Errors/peers.Answered)
 	}
-	odds := a.oddsAgainst(usual)
-	if odds <= doubtfulOdds {
+	ratio := r.logLikelihoodRatio(baseline)
+	if ratio <= avoidanceStart {
 		return 1
 	}
-	share := a.Errors / a.Answered
-	deserved := max(probeShare, math.Pow((1-share)/(1-usual), avoidance))
-	certainty := min(1, (odds-doubtfulOdds)/(certainOdds-doubtfulOdds))
-	return 1 - certainty*(1-deserved)
+	errorRate := r.Errors / r.Answered
+	deservedShare := max(minTrafficShare, math.Pow((1-errorRate)/(1-baseline), avoidanceExponent))
+	confidence := min(1, (ratio-avoidanceStart)/(avoidanceFull-avoidanceStart))
+	return 1 - confidence*(1-deservedShare)
 }
 
-// oddsAgainst is the logarithm of how much likelier the errors are at the machine's own
-// share of them than at the usual one; 0 where it has no more than usual.
-func (a Answers) oddsAgainst(usual float64) float64 {
-	if a.Answered <= 0 || usual >= 1 {
+// logLikelihoodRatio compares the likelihood of the errors at the machine's own error rate with
+// that at the baseline rate. It is 0 if the machine's rate is not above the baseline.
+func (r Answers) logLikelihoodRatio(baseline float64) float64 {
+	if r.Answered <= 0 || baseline >= 1 {
 		return 0
 	}
-	share := min(1, a.Errors/a.Answered)
-	if share <= usual {
+	errorRate := min(1, r.Errors/r.Answered)
+	if errorRate <= baseline {
 		return 0
 	}
-	odds := a.Errors * math.Log(share/usual)
-	if share < 1 {
-		odds += (a.Answered - a.Errors) * math.Log((1-share)/(1-usual))
+	ratio := r.Errors * math.Log(errorRate/baseline)
+	if errorRate < 1 {
+		ratio += (r.Answered - r.Errors) * math.Log((1-errorRate)/(1-baseline))
 	}
-	return odds
+	return ratio
 }
--- a/internal/dispatch/answers_test.go
+++ b/internal/dispatch/answers_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-func TestTrust(t *testing.T) {
+func TestTrafficShare(t *testing.T) {
 	tests := []struct {
-		name        string
-		own, peers  Answers
-		least, most float64
+		name       string
+		own, peers Answers
+		min, max   float64
 	}{
 		{"nothing is known", Answers{}, Answers{}, 1, 1},
 		{"no errors", Answers{20, 0}, Answers{100, 5}, 1, 1},
@@ -27,54 +27,54 @@
 		{"all are bad", Answers{20, 20}, Answers{100, 100}, 1, 1},
 	}
 	for _, test := range tests {
-		if trust := test.own.trust(test.peers); trust < test.least || trust > test.most {
-			t.Errorf("%s: %.3f, wanted %.2f to %.2f", test.name, trust, test.least, test.most)
+		if share := test.own.trafficShare(test.peers); share < test.min || share > test.max {
+			t.Errorf("%s: got a traffic share of %.3f, want %.2f to %.2f", test.name, share, test.min, test.max)
 		}
 	}
 }
 
-// failingFleet is some routers before machines that fail shares of their requests. All
-// requests end at once; counts are spread every half second, as digests are.
+// failingFleet simulates routers and machines with given error rates. Requests end immediately;
+// response counts are distributed every digestInterval.
 type failingFleet struct {
-	now     time.Time
-	random  *rand.Rand
-	routers []*Core
-	errors  []float64
-	counts  map[string]Answers
-	nextID  uint64
+	now        time.Time
+	random     *rand.Rand
+	routers    []*Core
+	errorRates []float64
+	counts     map[string]Answers
+	nextID     uint64
 }
 
-const digestEvery = 500 * time.Millisecond
+const digestInterval = 500 * time.Millisecond
 
-func newFailingFleet(routers int, errors ...float64) *failingFleet {
-	fleet := &failingFleet{now: time.Unix(0, 0), random: rand.New(rand.NewPCG(7, uint64(routers))), errors: errors, counts: map[string]Answers{}}
+func newFailingFleet(routers int, errorRates ...float64) *failingFleet {
+	fleet := &failingFleet{now: time.Unix(0, 0), random: rand.New(rand.NewPCG(7, uint64(routers))), errorRates: errorRates, counts: map[string]Answers{}}
 	var targets []Target
-	for position := range errors {
+	for position := range errorRates {
 		name := strconv.Itoa(position)
 		targets = append(targets, Target{Replica: name, Version: "v", Machine: name, Max: 100})
 	}
 	for position := range routers {
-		core := New(Config{MaxWaiting: 10, SharedSlots: true, ByWork: true, Seed: uint64(position) << 32})
-		core.SetTargets(fleet.now, targets)
-		fleet.routers = append(fleet.routers, core)
+		scheduler := New(Config{MaxWaiting: 10, SharedSlots: true, ByWork: true, Seed: uint64(position) << 32})
+		scheduler.SetTargets(fleet.now, targets)
+		fleet.routers = append(fleet.routers, scheduler)
 	}
 	return fleet
 }
 
-// run lets requests come for a while and returns each machine's share of them.
-func (f *failingFleet) run(t *testing.T, span time.Duration) []float64 {
+// run submits requests for a while and returns the share that each machine gets.
+func (f *failingFleet) run(t *testing.T, duration time.Duration) []float64 {
 	t.Helper()
 	const perSecond = 60
-	const memory = 5.0
-	shares := make([]float64, len(f.errors))
-	requests := int(span.Seconds() * perSecond)
+	const decaySeconds = 5.0
+	shares := make([]float64, len(f.errorRates))
+	requests := int(duration.Seconds() * perSecond)
 	for number := range requests {
 		f.now = f.now.Add(time.Second / perSecond)
 		f.nextID++
 		router := f.routers[f.random.IntN(len(f.routers))]
 		outcome := router.Submit(f.now, &Request{ID: f.nextID, Version: "v", Work: 1000, Arrived: f.now, Deadline: f.now.Add(time.Second)})
 		if len(outcome.Grants) != 1 {
-			t.Fatalf("request %d got no machine: %+v", number, outcome)
+			t.Fatalf("request %d was not granted: %+v", number, outcome)
 		}
 		grant := outcome.Grants[0]
 		position, _ := strconv.Atoi(grant.Target.Machine)
@@ -82,92 +82,93 @@
 		result := ResultOK
 		entry := f.counts[grant.Target.Machine]
 		entry.Answered++
-		if f.random.Float64() < f.errors[position] {
+		if f.random.Float64() < f.errorRates[position] {
 			result = ResultError
 			entry.Errors++
 		}
 		f.counts[grant.Target.Machine] = entry
 		router.Release(f.now, grant, result)
 		if number%(perSecond/2) == 0 {
-			f.spread(math.Exp(-digestEvery.Seconds() / memory))
+			f.sendDigest(math.Exp(-digestInterval.Seconds() / decaySeconds))
 		}
 	}
 	return shares
 }
 
-func (f *failingFleet) spread(keep float64) {
+func (f *failingFleet) sendDigest(decay float64) {
 	digest := map[string]Answers{}
 	for machine, entry := range f.counts {
 		digest[machine] = Answers{Answered: math.Round(entry.Answered), Errors: math.Round(entry.Errors)}
-		f.counts[machine] = Answers{Answered: entry.Answered * keep, Errors: entry.Errors * keep}
+		f.counts[machine] = Answers{Answered: entry.Answered * decay, Errors: entry.Errors * decay}
 	}
 	for _, router := range f.routers {
 		router.SetAnswers(f.now, digest)
 	}
 }
 
-// TestFailingMachineIsAvoided: a machine that fails part of its requests is left within
-// seconds by few and by many routers alike, keeps some probes, and comes back; one that
-// is as the others keeps its share, however bad all are.
+// TestFailingMachineIsAvoided guards against routing to a machine with an elevated error rate,
+// against never probing it again, and against avoiding machines that are no worse than their
+// peers.
 func TestFailingMachineIsAvoided(t *testing.T) {
-	const even = 1.0 / 6
+	const equalShare = 1.0 / 6
 	tests := []struct {
-		name        string
-		errors      []float64
-		least, most float64
+		name       string
+		errorRates []float64
+		min, max   float64
 	}{
-		{"sound", []float64{0, 0, 0, 0, 0, 0}, even / 2, 2 * even},
-		{"5 in 100", []float64{0.05, 0, 0, 0, 0, 0}, even / 5, 2 * even},
-		{"40 in 100", []float64{0.4, 0.01, 0.01, 0.01, 0.01, 0.01}, 0.002, even / 3},
-		{"100 in 100", []float64{1, 0, 0, 0, 0, 0}, 0.002, even / 5},
-		{"14 in 100 everywhere", []float64{0.14, 0.14, 0.14, 0.14, 0.14, 0.14}, even / 3, 2 * even},
-		{"all fail", []float64{1, 1, 1, 1, 1, 1}, even / 2, 2 * even},
+		{"sound", []float64{0, 0, 0, 0, 0, 0}, equalShare / 2, 2 * equalShare},
+		{"5 in 100", []float64{0.05, 0, 0, 0, 0, 0}, equalShare / 5, 2 * equalShare},
+		{"40 in 100", []float64{0.4, 0.01, 0.01, 0.01, 0.01, 0.01}, 0.002, equalShare / 3},
+		{"100 in 100", []float64{1, 0, 0, 0, 0, 0}, 0.002, equalShare / 5},
+		{"14 in 100 everywhere", []float64{0.14, 0.14, 0.14, 0.14, 0.14, 0.14}, equalShare / 3, 2 * equalShare},
+		{"all fail", []float64{1, 1, 1, 1, 1, 1}, equalShare / 2, 2 * equalShare},
 	}
 	for _, routers := range []int{1, 3, 94} {
 		for _, test := range tests {
-			fleet := newFailingFleet(routers, test.errors...)
+			fleet := newFailingFleet(routers, test.errorRates...)
 			fleet.run(t, 5*time.Second)
 			share := fleet.run(t, 20*time.Second)[0]
-			if share < test.least || share > test.most {
-				t.Errorf("%d routers, %s: a share of %.3f, wanted %.3f to %.3f", routers, test.name, share, test.least, test.most)
+			if share < test.min || share > test.max {
+				t.Errorf("%d routers, %s: got a traffic share of %.3f, want %.3f to %.3f", routers, test.name, share, test.min, test.max)
 			}
-			fleet.errors = make([]float64, len(test.errors))
+			fleet.errorRates = make([]float64, len(test.errorRates))
 			fleet.run(t, 15*time.Second)
-			if share := fleet.run(t, 20*time.Second)[0]; share < even/2 {
-				t.Errorf("%d routers, %s: after it has recovered, a share of %.3f", routers, test.name, share)
+			if share := fleet.run(t, 20*time.Second)[0]; share < equalShare/2 {
+				t.Errorf("%d routers, %s: got a traffic share of %.3f after recovery", routers, test.name, share)
 			}
 		}
 	}
 }
 
-// TestOldCountsAreNotUsed: without digests a machine is not judged by the past for ever.
-func TestOldCountsAreNotUsed(t *testing.T) {
+// TestStaleResponseCountsAreIgnored guards against judging machines by old counts when no digests
+// arrive.
+func TestStaleResponseCountsAreIgnored(t *testing.T) {
 	fleet := newFailingFleet(1, 0, 0)
-	core := fleet.routers[0]
-	core.SetAnswers(fleet.now, map[string]Answers{"0": {20, 20}, "1": {20, 0}})
-	targets := core.version("v").targets
-	if kept := core.withoutFailing(fleet.now.Add(answersLifetime), &Request{ID: 1}, targets); len(kept) == len(targets) {
-		t.Error("fresh counts are not used")
+	scheduler := fleet.routers[0]
+	scheduler.SetAnswers(fleet.now, map[string]Answers{"0": {20, 20}, "1": {20, 0}})
+	targets := scheduler.version("v").targets
+	if kept := scheduler.excludeFailing(fleet.now.Add(responseCountsMaxAge), &Request{ID: 1}, targets); len(kept) == len(targets) {
+		t.Error("current counts are ignored")
 	}
-	if kept := core.withoutFailing(fleet.now.Add(answersLifetime+1), &Request{ID: 1}, targets); len(kept) != len(targets) {
-		t.Error("old counts are used")
+	if kept := scheduler.excludeFailing(fleet.now.Add(responseCountsMaxAge+1), &Request{ID: 1}, targets); len(kept) != len(targets) {
+		t.Error("stale counts are used")
 	}
 }
 
-// TestSilenceIsNoError: an engine that does not answer in time is left alone for a
-// while, but its requests are not moved for good: it may only have too much to do.
-func TestSilenceIsNoError(t *testing.T) {
-	core := newFailingFleet(1, 0, 0).routers[0]
+// TestTimeoutIsNotAnError: repeated timeouts eject a machine but don't count towards its error
+// rate.
+func TestTimeoutIsNotAnError(t *testing.T) {
+	scheduler := newFailingFleet(1, 0, 0).routers[0]
 	now := time.Unix(0, 0)
-	for id := uint64(1); id <= ejectAfter; id++ {
-		target := core.targets["0"]
+	for id := uint64(1); id <= ejectionThreshold; id++ {
+		target := scheduler.targets["0"]
 		target.inFlight++
-		core.Release(now, Grant{Request: &Request{ID: id, Version: "v"}, Target: target.Target}, ResultSilent)
+		scheduler.Release(now, Grant{Request: &Request{ID: id, Version: "v"}, Target: target.Target}, ResultSilent)
 	}
-	if !core.targets["0"].health.ejected(now) {
-		t.Error("a silent machine gets requests")
+	if !scheduler.targets["0"].health.ejected(now) {
+		t.Error("a machine that timed out is not ejected")
 	}
-	if counted := core.Answers(); len(counted) != 0 {
-		t.Errorf("silence was counted: %v", counted)
+	if counted := scheduler.Answers(); len(counted) != 0 {
+		t.Errorf("timeouts were counted: %v", counted)
 	}
 }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -8,167 +8,159 @@
 	"github.com/weldline/weldline/internal/ratelimit"
 )
 
-// Config bounds a Core.
+// Config configures a Scheduler.
 type Config struct {
 	// MaxWaiting bounds the waiting requests of the whole router.
 	MaxWaiting int
-	// RoundRobin takes the targets of a version in turn, without regard to
-	// load and affinity: a baseline for comparisons.
+	// RoundRobin ignores load and affinity. It is a baseline for comparisons.
 	RoundRobin bool
-	// SharedSlots is set where the replicas on a machine share its slots.
+	// SharedSlots is set if the replicas on a machine share its slots.
 	SharedSlots bool
-	// ByWork takes targets by the work that their machines have before them,
-	// instead of by their requests.
+	// LeastWork selects targets by the outstanding work of their machines, instead of by requests
+	// in flight.
 	ByWork bool
 	// Seed makes routers choose differently among equal targets.
 	Seed uint64
-	// PlacedAdapters is set where a request for an adapter can only run where
-	// the adapter is.
+	// PlacedAdapters is set if a request for an adapter can run only where the adapter is loaded.
 	PlacedAdapters bool
 }
 
-// Core is the dispatch state of one router. It is not safe for concurrent
-// use.
+// Scheduler is the dispatch state of one router. It is not safe for concurrent use.
 type Core struct {
 	config   Config
 	targets  map[string]*target
 	versions map[string]*versionState
 	waiters  map[uint64]*waiter
-	// drained would be targets if their zones were not drained, by replica.
-	drained map[string]Target
-	// others is the load on each machine that other routers cause, by the
-	// lagged reports.
-	others map[string]int
-	// onMachine is the router's own requests in flight, by machine.
-	onMachine map[string]int
-	// work is this router's outstanding work by machine, and othersWork that of
-	// the others, by lagged reports.
-	work, othersWork map[string]float64
-	// routers is how many share the replicas.
+	// drainedTargets are the targets in drained zones, by replica.
+	drainedTargets map[string]Target
+	// othersLoad is the load that other routers cause on each machine, from lagged reports.
+	othersLoad map[string]int
+	// ownLoad is the number of this router's requests in flight, by machine.
+	ownLoad map[string]int
+	// ownWork is this router's outstanding work by machine, othersWork that of the other routers,
+	// from lagged reports.
+	ownWork, othersWork map[string]float64
+	// routers is the number of routers that share the replicas.
 	routers int
-	// digestAt is when the lagged work was last replaced, staleness how old it
-	// usually is.
+	// staleness is the averaged age of othersWork, which was last replaced at digestAt.
 	digestAt  time.Time
 	staleness time.Duration
-	// answered counts how machines answered this router, and answers how they
-	// answered all routers lately, by the newest digest, which came at answersAt.
-	answered  map[string]Answers
-	answers   map[string]Answers
-	answersAt time.Time
-	// warming names the machines that warm up, and limited those that name a limit. held says until
-	// when a machine gets nothing; pacedHeld says so of all that take permits.
-	warming   map[string]bool
-	limited   map[string]ratelimit.Limit
-	held      map[string]time.Time
-	pacedHeld time.Time
-	// rests holds the rests that machines asked for, by machine.
-	rests map[string]*rest
-	// leaving holds the machines that stated that they are about to shut down, with the time when they last did, or
+	// ownResponses are the responses to this router; fleetResponses those to all routers, from the
+	// digest received at responsesAt.
+	ownResponses   map[string]Answers
+	fleetResponses map[string]Answers
+	responsesAt    time.Time
+	// warming and limited are the machines that need permits. holds withholds requests from single
+	// machines until a time, permitHoldUntil from all that need permits.
+	warming         map[string]bool
+	limited         map[string]ratelimit.Limit
+	holds           map[string]time.Time
+	permitHoldUntil time.Time
+	// backoffs are the backoffs that machines requested, by machine.
+	backoffs map[string]*backoff
+	// leaving maps the machines that announced their shutdown to when they last announced it or
 	// were last listed.
 	leaving map[string]time.Time
 }
 
-// versionState is what a router knows of one version.
+// versionState is the state of one model version.
 type versionState struct {
-	targets  []*target
-	queue    queue
-	arrivals uint64
-	work     float64
-	rate     workRate
-	target   time.Duration
-	// adapterArrivals counts the requests for each adapter.
+	targets         []*target
+	queue           queue
+	arrivals        uint64
+	work            float64
+	rate            workRate
+	ttftTarget      time.Duration
 	adapterArrivals map[string]uint64
-	// adapterRunning counts the requests in flight for each adapter.
-	adapterRunning map[string]int
-	running        int
-	// drained counts the targets in drained zones; fixed is set where such can't be replaced.
+	adapterRunning  map[string]int
+	running         int
+	// drained counts the targets in drained zones; fixed is set if they can't be replaced.
 	drained int
 	fixed   bool
-	// bound is what is asked of the version under each constraint, by the constraint's key.
-	bound    map[string]*boundDemand
-	estimate *Estimate
-	// turn counts the grants, for round robin.
+	// constrained is the demand under each region constraint, by the constraint's key.
+	constrained map[string]*constrainedDemand
+	estimate    *Estimate
+	// turn counts the grants for round robin.
 	turn int
 }
 
-// New returns an empty core.
 func New(config Config) *Core {
 	return &Core{
 		config: config, targets: map[string]*target{}, versions: map[string]*versionState{},
-		waiters: map[uint64]*waiter{}, others: map[string]int{}, onMachine: map[string]int{},
-		work: map[string]float64{}, othersWork: map[string]float64{}, routers: 1,
-		staleness: usualStaleness, answered: map[string]Answers{}, drained: map[string]Target{},
-		held: map[string]time.Time{}, rests: map[string]*rest{}, leaving: map[string]time.Time{},
+		waiters: map[uint64]*waiter{}, othersLoad: map[string]int{}, ownLoad: map[string]int{},
+		ownWork: map[string]float64{}, othersWork: map[string]float64{}, routers: 1,
+		staleness: initialStaleness, ownResponses: map[string]Answers{}, drainedTargets: map[string]Target{},
+		holds: map[string]time.Time{}, backoffs: map[string]*backoff{}, leaving: map[string]time.Time{},
 	}
 }
 
-func (c *Core) version(name string) *versionState {
-	held := c.versions[name]
-	if held == nil {
-		held = &versionState{}
-		c.versions[name] = held
+func (s *Core) version(name string) *versionState {
+	version := s.versions[name]
+	if version == nil {
+		version = &versionState{}
+		s.versions[name] = version
 	}
-	return held
+	return version
 }
 
 // Loads returns the requests in flight by machine.
-func (c *Core) Loads() map[string]int {
-	return maps.Clone(c.onMachine)
+func (s *Core) Loads() map[string]int {
+	return maps.Clone(s.ownLoad)
 }
 
-// Tick refuses requests whose deadline has passed and gives room that has
-// opened by itself, such as a target whose ejection ended.
-func (c *Core) Tick(now time.Time) Outcome {
+// Tick refuses requests whose time is up, and grants capacity that became available through the
+// passage of time, for example when an ejection ends.
+func (s *Core) Tick(now time.Time) Outcome {
 	var outcome Outcome
-	for _, entry := range c.waiters {
-		if !now.Before(entry.request.Deadline) || entry.request.impatient(now) {
-			outcome.Refusals = append(outcome.Refusals, c.refusalOfImpatient(now, entry.request))
+	for _, entry := range s.waiters {
+		if !now.Before(entry.request.Deadline) || entry.request.isQueueExpired(now) {
+			outcome.Refusals = append(outcome.Refusals, s.expiryRefusal(now, entry.request))
 		}
 	}
 	sort.Slice(outcome.Refusals, func(i, j int) bool {
 		return outcome.Refusals[i].Request.ID < outcome.Refusals[j].Request.ID
 	})
 	for _, refusal := range outcome.Refusals {
-		c.drop(refusal.Request)
+		s.dequeue(refusal.Request)
 	}
-	c.dispatchAll(now, &outcome)
+	s.dispatchAll(now, &outcome)
 	return outcome
 }
 
-// refusalOfImpatient refuses a request that got no place in time.
-func (c *Core) refusalOfImpatient(now time.Time, request *Request) Refusal {
+// expiryRefusal refuses a request that was not granted in time.
+func (s *Core) expiryRefusal(now time.Time, request *Request) Refusal {
 	refusal := Refusal{
 		Request: request, Reason: RefusedDeadline, Detail: "no replica was ready before the deadline", RetryAfter: shedRetryAfter,
 	}
-	if reason, isPaced := c.waitsFor(now, request); isPaced {
-		refusal.Reason, refusal.Detail = reason, detailsOfPaced[reason]
+	if reason, isThrottled := s.throttledBy(now, request); isThrottled {
+		refusal.Reason, refusal.Detail = reason, throttlingDetails[reason]
 	}
-	version := c.version(request.Version)
-	if retryAfter, allRest := c.RetryAfterRest(now, request); allRest {
-		refusal.Reason, refusal.Detail, refusal.RetryAfter = RefusedResting, detailsOfPaced[RefusedResting], retryAfter
+	version := s.version(request.Version)
+	if retryAfter, allBackedOff := s.RetryAfterRest(now, request); allBackedOff {
+		refusal.Reason, refusal.Detail, refusal.RetryAfter = RefusedResting, throttlingDetails[RefusedResting], retryAfter
 	}
-	if perSecond, isLimited := c.limitOf(version, request); isLimited {
-		refusal.RetryAfter = max(refusal.RetryAfter, retryAfterLimit(version.queue.before(request)+1, perSecond))
+	if perSecond, isLimited := s.rateLimitOf(version, request); isLimited {
+		refusal.RetryAfter = max(refusal.RetryAfter, retryAfterLimit(version.queue.countAhead(request)+1, perSecond))
 	}
 	return refusal
 }
 
-// dispatchAll goes through the versions in order of name, so that the same
-// events always have the same outcome.
-func (c *Core) dispatchAll(now time.Time, outcome *Outcome) {
+// dispatchAll dispatches all versions with waiting requests, in order of name so that the outcome
+// is deterministic.
+func (s *Core) dispatchAll(now time.Time, outcome *Outcome) {
 	var waiting []string
-	for name, version := range c.versions {
+	for name, version := range s.versions {
 		if len(version.queue.waiting) > 0 {
 			waiting = append(waiting, name)
 		}
 	}
 	sort.Strings(waiting)
 	for _, name := range waiting {
-		c.dispatch(now, c.versions[name], outcome, nil)
+		s.dispatch(now, s.versions[name], outcome, nil)
 	}
 }
 
-// Waiting returns how many requests wait.
-func (c *Core) Waiting() int {
-	return len(c.waiters)
+// Waiting returns the number of waiting requests.
+func (s *Core) Waiting() int {
+	return len(s.waiters)
 }
--- a/internal/dispatch/core_bench_test.go
+++ b/internal/dispatch/core_bench_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// benchmarkRequest submits and releases a request while the router knows a
-// number of models: the cost must not grow with it.
+// benchmarkRequest submits and releases a request while the router knows a number of models. The
+// cost must not depend on that number.
 func benchmarkRequest(b *testing.B, models int) {
-	core := New(Config{MaxWaiting: 4096})
+	scheduler := New(Config{MaxWaiting: 4096})
 	now := time.Unix(1000, 0)
 	var targets []Target
 	for number := range models {
@@ -17,13 +17,13 @@
 			Replica: fmt.Sprintf("replica-%d", number), Version: fmt.Sprintf("model-%d", number), Machine: "machine", Max: 16,
 		})
 	}
-	core.SetTargets(now, targets)
+	scheduler.SetTargets(now, targets)
 	id := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		outcome := core.Submit(now, &Request{ID: id, Version: "model-7", Arrived: now, Deadline: now.Add(time.Minute)})
-		core.Release(now, outcome.Grants[0], ResultOK)
+		outcome := scheduler.Submit(now, &Request{ID: id, Version: "model-7", Arrived: now, Deadline: now.Add(time.Minute)})
+		scheduler.Release(now, outcome.Grants[0], ResultOK)
 	}
 }
 
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -13,26 +13,26 @@
 	"github.com/weldline/weldline/internal/ratelimit"
 )
 
-// dispatchTable drives a Core by hand. Requests are numbered; their properties
-// are key=value; times are seconds since the beginning.
-type dispatchTable struct {
-	t        *testing.T
-	core     *Core
-	now      time.Time
-	requests map[uint64]*Request
-	grants   map[uint64]Grant
+// schedulerTest runs the data-driven tests in testdata. Requests are numbered, their properties
+// are key=value pairs, and times are seconds since the epoch.
+type schedulerTest struct {
+	t         *testing.T
+	scheduler *Core
+	now       time.Time
+	requests  map[uint64]*Request
+	grants    map[uint64]Grant
 }
 
-var beginning = time.Unix(0, 0)
+var epoch = time.Unix(0, 0)
 
-func TestCore(t *testing.T) {
+func TestScheduler(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		table := &dispatchTable{t: t}
-		datadriven.RunTest(t, path, table.run)
+		test := &schedulerTest{t: t}
+		datadriven.RunTest(t, path, test.run)
 	})
 }
 
-func (d *dispatchTable) run(t *testing.T, data *datadriven.TestData) string {
+func (s *schedulerTest) run(t *testing.T, data *datadriven.TestData) string {
 	var out strings.Builder
 	switch data.Cmd {
 	case "new":
@@ -40,24 +40,24 @@
 		data.MaybeScanArgs(t, "max", &config.MaxWaiting)
 		data.MaybeScanArgs(t, "round-robin", &config.RoundRobin)
 		config.ByWork = data.HasArg("by-work")
-		d.core, d.now = New(config), beginning
-		d.requests, d.grants = map[uint64]*Request{}, map[uint64]Grant{}
+		s.scheduler, s.now = New(config), epoch
+		s.requests, s.grants = map[uint64]*Request{}, map[uint64]Grant{}
 	case "at":
 		var seconds float64
 		data.ScanArgs(t, "s", &seconds)
-		d.now = beginning.Add(time.Duration(seconds * float64(time.Second)))
-		d.report(&out, d.core.Tick(d.now))
+		s.now = epoch.Add(time.Duration(seconds * float64(time.Second)))
+		s.report(&out, s.scheduler.Tick(s.now))
 	case "demand":
-		for _, demand := range d.core.Demand(d.now) {
+		for _, demand := range s.scheduler.Demand(s.now) {
 			fmt.Fprintf(&out, "%s waiting=%d running=%d arrivals=%d oldest=%s priority=%d\n",
 				demand.Version, demand.Waiting, demand.Running, demand.Arrivals, demand.OldestWait, demand.Priority)
 		}
 	default:
 		for _, line := range strings.Split(strings.TrimSpace(data.Input), "\n") {
-			d.step(&out, data.Cmd, line)
+			s.step(&out, data.Cmd, line)
 		}
 		if data.Cmd == "targets" {
-			d.setTargets(&out, data.Input)
+			s.setTargets(&out, data.Input)
 		}
 	}
 	if out.Len() == 0 {
@@ -66,7 +66,7 @@
 	return out.String()
 }
 
-func (d *dispatchTable) step(out *strings.Builder, command, line string) {
+func (s *schedulerTest) step(out *strings.Builder, command, line string) {
 	name, properties, _ := strings.Cut(line, " ")
 	id, _ := strconv.ParseUint(name, 10, 64)
 	values := map[string]string{}
@@ -79,80 +79,80 @@
 		return value
 	}
 	seconds := func(key string) time.Time {
-		return beginning.Add(time.Duration(number(key) * float64(time.Second)))
+		return epoch.Add(time.Duration(number(key) * float64(time.Second)))
 	}
 	switch command {
 	case "submit":
 		request := &Request{
 			ID: id, Version: values["version"], Adapter: values["adapter"], Priority: int32(number("priority")),
-			Prefix: uint64(number("prefix")), Arrived: d.now, Deadline: seconds("deadline"),
+			Prefix: uint64(number("prefix")), Arrived: s.now, Deadline: seconds("deadline"),
 		}
 		if values["patience"] != "" {
 			request.Patience = seconds("patience")
 		}
-		d.requests[id] = request
-		d.report(out, d.core.Submit(d.now, request))
+		s.requests[id] = request
+		s.report(out, s.scheduler.Submit(s.now, request))
 	case "resubmit":
-		d.requests[id].Avoid = values["avoid"]
-		d.report(out, d.core.Resubmit(d.now, d.requests[id]))
+		s.requests[id].Avoid = values["avoid"]
+		s.report(out, s.scheduler.Resubmit(s.now, s.requests[id]))
 	case "release":
 		result := map[string]Result{"": ResultOK, "not-run": ResultNotRun, "rejected": ResultRejected, "not-sent": ResultNotSent, "failed": ResultFailed}[values["result"]]
-		d.report(out, d.core.Release(d.now, d.grants[id], result))
+		s.report(out, s.scheduler.Release(s.now, s.grants[id], result))
 	case "cancel":
-		d.core.Cancel(d.requests[id])
+		s.scheduler.Cancel(s.requests[id])
 	case "loads":
-		d.report(out, d.core.SetLoads(d.now, map[string]int{name: int(number("running"))}, max(1, int(number("routers")))))
+		s.report(out, s.scheduler.SetLoads(s.now, map[string]int{name: int(number("running"))}, max(1, int(number("routers")))))
 	case "estimate":
 		estimate := &Estimate{ReadyAt: seconds("ready"), EarliestAt: seconds("ready"), Refused: values["refused"] != "", Reason: values["refused"]}
 		if values["earliest"] != "" {
 			estimate.EarliestAt = seconds("earliest")
 		}
-		d.report(out, d.core.SetEstimates(d.now, map[string]*Estimate{name: estimate}))
+		s.report(out, s.scheduler.SetEstimates(s.now, map[string]*Estimate{name: estimate}))
 	case "warming":
-		d.core.SetWarming(map[string]bool{name: true})
+		s.scheduler.SetWarming(map[string]bool{name: true})
 	case "limited":
 		limited := map[string]ratelimit.Limit{}
 		if values["limit"] != "" {
 			limited[name] = ratelimit.Of(number("limit"))
 		}
-		d.core.SetLimited(limited)
+		s.scheduler.SetLimited(limited)
 	case "hold-warming":
-		d.core.HoldPaced(seconds("until"))
+		s.scheduler.HoldPaced(seconds("until"))
 	case "rest":
-		d.report(out, d.core.Rest(d.now, name, time.Duration(number("s")*float64(time.Second))))
+		s.report(out, s.scheduler.Rest(s.now, name, time.Duration(number("s")*float64(time.Second))))
 	case "leave":
-		outcome, changed := d.core.Leave(d.now, name)
+		outcome, changed := s.scheduler.Leave(s.now, name)
 		fmt.Fprintf(out, "changed=%t\n", changed)
-		d.report(out, outcome)
+		s.report(out, outcome)
 	case "retain":
 		isListed := func(machine string) bool { return machine == name }
-		d.core.RetainRests(d.now, isListed)
-		d.core.RetainLeaving(d.now, isListed)
-		fmt.Fprintf(out, "leaving: %s\n", strings.Join(d.core.Leaving(), " "))
+		s.scheduler.RetainRests(s.now, isListed)
+		s.scheduler.RetainLeaving(s.now, isListed)
+		fmt.Fprintf(out, "leaving: %s\n", strings.Join(s.scheduler.Leaving(), " "))
 	case "started":
-		d.core.Started(d.grants[id])
+		s.scheduler.Started(s.grants[id])
 	case "may-write":
-		fmt.Fprintf(out, "%t\n", d.core.MayWrite(d.now, d.grants[id]))
+		fmt.Fprintf(out, "%t\n", s.scheduler.MayWrite(s.now, s.grants[id]))
 	case "hold":
-		d.core.Hold(d.now, name, seconds("until"))
+		s.scheduler.Hold(s.now, name, seconds("until"))
 	case "targets":
 	default:
-		d.t.Fatalf("unknown command %s", command)
+		s.t.Fatalf("unknown command %s", command)
 	}
 }
 
-// setTargets reads one target a line: replica, version, machine, most at once, and words for one
-// in a drained zone, for one that can't be loaded elsewhere and for one that is suspect.
-func (d *dispatchTable) setTargets(out *strings.Builder, input string) {
+// setTargets parses one target per line: replica, version, machine, maximum concurrency, and any
+// of the flags drained, fixed and suspect.
+func (s *schedulerTest) setTargets(out *strings.Builder, input string) {
 	changes := TargetChanges{Full: true}
 	for _, line := range strings.Split(strings.TrimSpace(input), "\n") {
 		fields := strings.Fields(line)
 		if len(fields) < 4 {
 			continue
 		}
-		most, _ := strconv.Atoi(fields[3])
+		limit, _ := strconv.Atoi(fields[3])
 		target := Target{
-			Replica: fields[0], Version: fields[1], Machine: fields[2], Max: most, Fixed: slices.Contains(fields, "fixed"),
+			Replica: fields[0], Version: fields[1], Machine: fields[2], Max: limit, Fixed: slices.Contains(fields, "fixed"),
 			Suspect: slices.Contains(fields, "suspect"),
 		}
 		if slices.Contains(fields, "drained") {
@@ -161,12 +161,12 @@
 			changes.Targets = append(changes.Targets, target)
 		}
 	}
-	d.report(out, d.core.ChangeTargets(d.now, changes))
+	s.report(out, s.scheduler.ChangeTargets(s.now, changes))
 }
 
-func (d *dispatchTable) report(out *strings.Builder, outcome Outcome) {
+func (s *schedulerTest) report(out *strings.Builder, outcome Outcome) {
 	for _, grant := range outcome.Grants {
-		d.grants[grant.Request.ID] = grant
+		s.grants[grant.Request.ID] = grant
 		fmt.Fprintf(out, "%d goes to %s cold=%t\n", grant.Request.ID, grant.Target.Replica, grant.Waited)
 	}
 	for _, refusal := range outcome.Refusals {
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -7,39 +7,39 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// boundDemand is what is asked of a version under one constraint.
-type boundDemand struct {
+// constrainedDemand is the demand for a version under one region constraint.
+type constrainedDemand struct {
 	allowed  places.Constraint
 	arrivals uint64
 	running  int
 }
 
-// boundBy returns what is asked under a request's constraint; nil for a request that may go
-// anywhere, which costs nothing more.
-func (v *versionState) boundBy(request *Request) *boundDemand {
+// constrainedDemandOf returns the entry for a request's constraint, or nil for an unconstrained
+// request.
+func (v *versionState) constrainedDemandOf(request *Request) *constrainedDemand {
 	if !request.Allowed.IsBound() {
 		return nil
 	}
-	if v.bound == nil {
-		v.bound = map[string]*boundDemand{}
+	if v.constrained == nil {
+		v.constrained = map[string]*constrainedDemand{}
 	}
 	key := request.Allowed.Key()
-	if v.bound[key] == nil {
-		v.bound[key] = &boundDemand{allowed: request.Allowed}
+	if v.constrained[key] == nil {
+		v.constrained[key] = &constrainedDemand{allowed: request.Allowed}
 	}
-	return v.bound[key]
+	return v.constrained[key]
 }
 
-func (v *versionState) countBound(request *Request) {
-	if bound := v.boundBy(request); bound != nil {
-		bound.arrivals++
+func (v *versionState) countConstrained(request *Request) {
+	if constrained := v.constrainedDemandOf(request); constrained != nil {
+		constrained.arrivals++
 	}
 }
 
-// runBound counts a request in flight under its constraint.
-func (v *versionState) runBound(request *Request, change int) {
-	if bound := v.boundBy(request); bound != nil {
-		bound.running += change
+// adjustConstrainedRunning changes the number of requests in flight under a request's constraint.
+func (v *versionState) adjustConstrainedRunning(request *Request, change int) {
+	if constrained := v.constrainedDemandOf(request); constrained != nil {
+		constrained.running += change
 	}
 }
 
@@ -50,8 +50,9 @@
 	v.adapterArrivals[adapter]++
 }
 
-// runAdapter counts a request in flight for an adapter, if it is for one.
-func (v *versionState) runAdapter(adapter string, change int) {
+// adjustAdapterRunning changes the number of requests in flight for an adapter. An empty adapter
+// is ignored.
+func (v *versionState) adjustAdapterRunning(adapter string, change int) {
 	if adapter == "" {
 		return
 	}
@@ -64,36 +65,35 @@
 	}
 }
 
-// Demand returns what the router asks of each version, by name.
-func (c *Core) Demand(now time.Time) []Demand {
+// Demand returns the demand for each version, sorted by name.
+func (s *Core) Demand(now time.Time) []Demand {
 	var demands []Demand
-	for name, version := range c.versions {
+	for name, version := range s.versions {
 		if version.arrivals == 0 && version.running == 0 {
 			continue
 		}
 		demand := Demand{
 			Version: name, Running: version.running, Arrivals: version.arrivals,
-			Work: uint64(version.work), Target: version.target,
+			Work: uint64(version.work), Target: version.ttftTarget,
 		}
 		for _, entry := range version.queue.waiting {
 			demand.addWaiting(now, entry.request)
 		}
 		demands = append(demands, demand)
 		demands = append(demands, version.adapterDemand(now, name)...)
-		demands = append(demands, version.boundDemand(now, name)...)
+		demands = append(demands, version.constrainedDemand(now, name)...)
 	}
-	sort.Slice(demands, func(i, j int) bool { return demands[i].before(demands[j]) })
+	sort.Slice(demands, func(i, j int) bool { return demands[i].less(demands[j]) })
 	return demands
 }
 
-// addWaiting counts a request that waits.
 func (d *Demand) addWaiting(now time.Time, request *Request) {
 	d.Waiting++
 	d.OldestWait = max(d.OldestWait, now.Sub(request.Arrived))
 	d.Priority = max(d.Priority, request.Priority)
 }
 
-func (d Demand) before(other Demand) bool {
+func (d Demand) less(other Demand) bool {
 	switch {
 	case d.Version != other.Version:
 		return d.Version < other.Version
@@ -103,8 +103,8 @@
 	return d.Allowed.Key() < other.Allowed.Key()
 }
 
-// adapterDemand returns what is asked of a version's adapters, and what waits for each under each
-// constraint.
+// adapterDemand returns the demand for a version's adapters, and the waiting requests for each
+// adapter under each constraint.
 func (v *versionState) adapterDemand(now time.Time, name string) []Demand {
 	byAdapter := map[string]*Demand{}
 	for adapter, arrivals := range v.adapterArrivals {
@@ -112,8 +112,8 @@
 			Version: name, Adapter: adapter, Arrivals: arrivals, Running: v.adapterRunning[adapter],
 		}
 	}
-	type boundAdapter struct{ adapter, constraint string }
-	byBoth := map[boundAdapter]*Demand{}
+	type adapterConstraint struct{ adapter, constraint string }
+	byConstraint := map[adapterConstraint]*Demand{}
 	for _, entry := range v.queue.waiting {
 		demand := byAdapter[entry.request.Adapter]
 		if demand == nil {
@@ -123,40 +123,40 @@
 		if !entry.request.Allowed.IsBound() {
 			continue
 		}
-		both := boundAdapter{entry.request.Adapter, entry.request.Allowed.Key()}
-		if byBoth[both] == nil {
-			byBoth[both] = &Demand{Version: name, Adapter: both.adapter, Allowed: entry.request.Allowed}
+		key := adapterConstraint{entry.request.Adapter, entry.request.Allowed.Key()}
+		if byConstraint[key] == nil {
+			byConstraint[key] = &Demand{Version: name, Adapter: key.adapter, Allowed: entry.request.Allowed}
 		}
-		byBoth[both].addWaiting(now, entry.request)
+		byConstraint[key].addWaiting(now, entry.request)
 	}
-	demands := make([]Demand, 0, len(byAdapter)+len(byBoth))
+	demands := make([]Demand, 0, len(byAdapter)+len(byConstraint))
 	for _, demand := range byAdapter {
 		demands = append(demands, *demand)
 	}
-	for _, demand := range byBoth {
+	for _, demand := range byConstraint {
 		demands = append(demands, *demand)
 	}
 	return demands
 }
 
-// boundDemand returns what is asked of a version under each constraint. A request that waits under
-// another one than it came with counts there.
-func (v *versionState) boundDemand(now time.Time, name string) []Demand {
-	waiting := map[*boundDemand]Demand{}
+// constrainedDemand returns the demand for a version under each constraint. A waiting request
+// whose constraint has changed counts under its current one.
+func (v *versionState) constrainedDemand(now time.Time, name string) []Demand {
+	waiting := map[*constrainedDemand]Demand{}
 	for _, entry := range v.queue.waiting {
-		bound := v.boundBy(entry.request)
-		if bound == nil {
+		constrained := v.constrainedDemandOf(entry.request)
+		if constrained == nil {
 			continue
 		}
-		demand := waiting[bound]
+		demand := waiting[constrained]
 		demand.addWaiting(now, entry.request)
-		waiting[bound] = demand
+		waiting[constrained] = demand
 	}
-	demands := make([]Demand, 0, len(v.bound))
-	for _, bound := range v.bound {
-		demand := waiting[bound]
-		demand.Version, demand.Allowed = name, bound.allowed
-		demand.Arrivals, demand.Running = bound.arrivals, bound.running
+	demands := make([]Demand, 0, len(v.constrained))
+	for _, constrained := range v.constrained {
+		demand := waiting[constrained]
+		demand.Version, demand.Allowed = name, constrained.allowed
+		demand.Arrivals, demand.Running = constrained.arrivals, constrained.running
 		demands = append(demands, demand)
 	}
 	return demands
--- a/internal/dispatch/drained.go
+++ b/internal/dispatch/drained.go
@@ -7,59 +7,58 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// A request whose only targets stand in drained zones waits for a replica elsewhere, as for a
-// model that is not loaded. Where none can be expected in time it is refused at once: the end
-// of a drain is an operator's decision, which no deadline of a caller waits for.
+// A request whose only targets are in drained zones waits for a replica elsewhere, as for a model
+// that is not loaded. If none is expected in time, the request is refused at once: only an
+// operator ends a drain.
 
-// drainRetryAfter is the Retry-After of requests refused for a drain. Operators end drains, and a load elsewhere
-// takes seconds, so an earlier try would mostly fail.
+// drainRetryAfter is the Retry-After of requests refused because of a drain. Ending a drain, or
+// loading a model elsewhere, takes seconds.
 const drainRetryAfter = 2 * time.Second
 
-// setDrained notes a target whose zone is drained; it gets nothing.
-func (c *Core) setDrained(next Target) {
-	c.removeTarget(next.Replica)
-	c.unsetDrained(next.Replica)
-	c.drained[next.Replica] = next
-	version := c.version(next.Version)
+// setDrained moves a target to the drained ones, which get no requests.
+func (s *Core) setDrained(target Target) {
+	s.removeTarget(target.Replica)
+	s.unsetDrained(target.Replica)
+	s.drainedTargets[target.Replica] = target
+	version := s.version(target.Version)
 	version.drained++
-	version.fixed = next.Fixed
+	version.fixed = target.Fixed
 }
 
-func (c *Core) unsetDrained(replica string) {
-	held, known := c.drained[replica]
+func (s *Core) unsetDrained(replica string) {
+	existing, known := s.drainedTargets[replica]
 	if !known {
 		return
 	}
-	delete(c.drained, replica)
-	c.version(held.Version).drained--
+	delete(s.drainedTargets, replica)
+	s.version(existing.Version).drained--
 }
 
-// replaceDrained takes over all targets whose zones are drained.
-func (c *Core) replaceDrained(targets []Target) {
-	for replica := range c.drained {
-		c.unsetDrained(replica)
+func (s *Core) replaceDrained(targets []Target) {
+	for replica := range s.drainedTargets {
+		s.unsetDrained(replica)
 	}
-	for _, next := range targets {
-		c.setDrained(next)
+	for _, target := range targets {
+		s.setDrained(target)
 	}
 }
 
-// isDrainedOnly reports whether a version has targets in drained zones, and none besides that may
+// isDrainedOnly reports whether a version has targets in drained zones and no others that may
 // serve a request.
 func (v *versionState) isDrainedOnly(request *Request) bool {
 	return v.drained > 0 && !v.hasReady(request)
 }
 
-// refuseDrained refuses a request of a version that has targets in drained zones only, if nothing
-// else can be expected to take it in time.
-func (c *Core) refuseDrained(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+// refuseDrained refuses a request whose version has targets in drained zones only, unless another
+// replica is expected in time.
+func (s *Core) refuseDrained(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	refusal := Refusal{Request: request, Reason: RefusedZoneDrained, RetryAfter: drainRetryAfter}
 	estimate := version.estimate
 	switch {
 	case version.fixed:
 		refusal.Detail = "all machines that serve this are in drained zones"
 	case estimate == nil:
-		return Refusal{}, false // The leader has not been heard on this yet.
+		return Refusal{}, false // There is no estimate of the leader yet.
 	case estimate.Refused:
 		return refusalByLeader(request, estimate), true
 	case !request.Allowed.IsBound() && estimate.EarliestAt.After(request.Deadline):
@@ -71,31 +70,32 @@
 	return refusal, true
 }
 
-// refuseWaitingForDrained refuses those that wait for what has been drained, versions by name.
-func (c *Core) refuseWaitingForDrained(now time.Time, outcome *Outcome) {
+// refuseWaitingForDrained applies refuseDrained to the waiting requests, with versions sorted by
+// name.
+func (s *Core) refuseWaitingForDrained(now time.Time, outcome *Outcome) {
 	var names []string
-	for name, version := range c.versions {
+	for name, version := range s.versions {
 		if len(version.queue.waiting) > 0 && version.drained > 0 {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		version := c.versions[name]
+		version := s.versions[name]
 		for _, request := range version.queue.sorted() {
 			if !version.isDrainedOnly(request) {
 				continue
 			}
-			if refusal, refused := c.refuseDrained(now, version, request); refused {
-				c.drop(request)
+			if refusal, refused := s.refuseDrained(now, version, request); refused {
+				s.dequeue(request)
 				outcome.Refusals = append(outcome.Refusals, refusal)
 			}
 		}
 	}
 }
 
-// refusalByLeader is what becomes of a request for a version that the leader can't have loaded:
-// not at present where all zones that could hold it are drained.
+// refusalByLeader refuses a request for a version that the leader can't place. If that is only
+// because of drained zones, the request may be retried.
 func refusalByLeader(request *Request, estimate *Estimate) Refusal {
 	if estimate.Reason == v1.ReasonZoneDrained {
 		return Refusal{
--- a/internal/dispatch/drained_bench_test.go
+++ b/internal/dispatch/drained_bench_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// BenchmarkDrainZone is a quarter of a fleet that is drained at once: a router has a fifth of a
-// core, and grants nothing meanwhile.
+// BenchmarkDrainZone measures draining a quarter of the fleet at once, which blocks dispatching.
 func BenchmarkDrainZone(b *testing.B) {
 	for _, machines := range []int{300, 3000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -15,7 +14,7 @@
 			now := time.Unix(0, 0)
 			for b.Loop() {
 				b.StopTimer()
-				core := New(Config{ByWork: true, SharedSlots: true})
+				scheduler := New(Config{ByWork: true, SharedSlots: true})
 				var targets []Target
 				for machine := range machines {
 					for replica := range replicasOnEach {
@@ -25,9 +24,9 @@
 						})
 					}
 				}
-				core.SetTargets(now, targets)
+				scheduler.SetTargets(now, targets)
 				b.StartTimer()
-				core.ChangeTargets(now, TargetChanges{Drained: targets[:len(targets)/4]})
+				scheduler.ChangeTargets(now, TargetChanges{Drained: targets[:len(targets)/4]})
 			}
 		})
 	}
--- a/internal/dispatch/leaving.go
+++ b/internal/dispatch/leaving.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// leavingMemory is how long an unlisted machine is remembered as leaving. A view of the fleet may omit a machine for a
-// while and then list it as ready again before its end has been recorded.
-const leavingMemory = 10 * time.Minute
+// leavingRetention is how long an unlisted machine is remembered as leaving. A stale fleet view
+// may omit a machine and later list it as ready again.
+const leavingRetention = 10 * time.Minute
 
-// Leave excludes a machine that stated that it is about to shut down, whatever later views of the fleet list. Waiting
-// requests that can't be served in time because of it are refused. changed is false if the machine was excluded
-// already.
-func (c *Core) Leave(now time.Time, machine string) (outcome Outcome, changed bool) {
-	_, known := c.leaving[machine]
-	c.leaving[machine] = now
-	if known {
+// MarkLeaving excludes a machine that announced its shutdown, regardless of the targets set later.
+// Waiting requests that can't be served in time because of it are refused. changed is false if the
+// machine was excluded already.
+func (s *Core) Leave(now time.Time, machine string) (outcome Outcome, changed bool) {
+	_, alreadyLeaving := s.leaving[machine]
+	s.leaving[machine] = now
+	if alreadyLeaving {
 		return outcome, false
 	}
-	for _, held := range c.targets {
-		if held.Machine == machine {
-			held.leaving = true
+	for _, candidate := range s.targets {
+		if candidate.Machine == machine {
+			candidate.leaving = true
 		}
 	}
-	c.refuseWaitingFor(now, machine, &outcome)
+	s.refuseWaitingOn(now, machine, &outcome)
 	return outcome, true
 }
 
-// Leaving returns the machines that stated that they are leaving, sorted by name.
-func (c *Core) Leaving() []string {
-	return slices.Sorted(maps.Keys(c.leaving))
+// LeavingMachines returns the machines that announced their shutdown, sorted by name.
+func (s *Core) Leaving() []string {
+	return slices.Sorted(maps.Keys(s.leaving))
 }
 
-// RetainLeaving forgets machines that have not been listed for a while.
-func (c *Core) RetainLeaving(now time.Time, isListed func(machine string) bool) {
-	maps.DeleteFunc(c.leaving, func(machine string, seen time.Time) bool {
+// RetainLeaving forgets machines that have not been listed for leavingRetention.
+func (s *Core) RetainLeaving(now time.Time, isListed func(machine string) bool) {
+	maps.DeleteFunc(s.leaving, func(machine string, lastSeen time.Time) bool {
 		if isListed(machine) {
-			c.leaving[machine] = now
+			s.leaving[machine] = now
 			return false
 		}
-		return now.Sub(seen) > leavingMemory
+		return now.Sub(lastSeen) > leavingRetention
 	})
 }
--- a/internal/dispatch/limited.go
+++ b/internal/dispatch/limited.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// maxRetryAfter caps the Retry-After of requests that machines leave no room for: a limit or rest may have
-// ended by then, or another machine may serve.
+// maxRetryAfter caps the Retry-After of requests refused because of limits or backoffs, which may
+// end early.
 const maxRetryAfter = 10 * time.Second
 
-// refuseBeyondLimits refuses a request that can't be served while it waits because all its machines are limited,
-// even if this router got all their capacity. It does not refuse one for which another replica may be ready in time.
-func (c *Core) refuseBeyondLimits(now time.Time, version *versionState, request *Request) (Refusal, bool) {
-	perSecond, isLimited := c.limitOf(version, request)
-	until := request.waitsUntil()
+// refuseBeyondLimits refuses a request that can't be served in time because all its machines are
+// rate-limited, even if this router got all their capacity. It does not refuse a request for which
+// another replica may be ready in time.
+func (s *Core) refuseBeyondLimits(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+	perSecond, isLimited := s.rateLimitOf(version, request)
+	until := request.queuedUntil()
 	if !isLimited || version.mayBeReadyElsewhere(until) {
 		return Refusal{}, false
 	}
-	ahead := version.queue.before(request)
-	if most := max(1, perSecond) + perSecond*until.Sub(now).Seconds(); float64(ahead) < most {
+	ahead := version.queue.countAhead(request)
+	if capacity := max(1, perSecond) + perSecond*until.Sub(now).Seconds(); float64(ahead) < capacity {
 		return Refusal{}, false
 	}
-	refusal := Refusal{Request: request, Reason: RefusedLimited, Detail: detailsOfPaced[RefusedLimited]}
+	refusal := Refusal{Request: request, Reason: RefusedLimited, Detail: throttlingDetails[RefusedLimited]}
 	refusal.RetryAfter = retryAfterLimit(ahead, perSecond)
 	return refusal, true
 }
@@ -31,17 +32,17 @@
 	return time.Duration(float64(ahead) / perSecond * float64(time.Second))
 }
 
-// limitOf returns the sum of the limits of the machines that could take a request. isLimited is false if one of
-// them is not limited, or there is none.
-func (c *Core) limitOf(version *versionState, request *Request) (perSecond float64, isLimited bool) {
-	if len(c.limited) == 0 {
-		return 0, false // As nearly always: a request that waits costs no look at its targets.
+// rateLimitOf returns the sum of the rate limits of the machines that could serve a request.
+// isLimited is false if one of them is unlimited, or there are none.
+func (s *Core) rateLimitOf(version *versionState, request *Request) (perSecond float64, isLimited bool) {
+	if len(s.limited) == 0 {
+		return 0, false // Fast path: avoids visiting the targets.
 	}
 	for _, candidate := range version.targets {
-		if c.isExcluded(candidate, request) {
+		if s.isExcluded(candidate, request) {
 			continue
 		}
-		limit := c.limited[candidate.Machine]
+		limit := s.limited[candidate.Machine]
 		if !limit.IsSet {
 			return 0, false
 		}
@@ -50,21 +51,21 @@
 	return perSecond, isLimited
 }
 
-// waitsUntil is until when a request waits for a place.
-func (r *Request) waitsUntil() time.Time {
+// queuedUntil is the end of the request's time in the queue.
+func (r *Request) queuedUntil() time.Time {
 	if r.Patience.IsZero() || r.Deadline.Before(r.Patience) {
 		return r.Deadline
 	}
 	return r.Patience
 }
 
-// mayBeReadyElsewhere reports whether a further replica may be ready by a time.
+// mayBeReadyElsewhere reports whether another replica may be ready by a time.
 func (v *versionState) mayBeReadyElsewhere(by time.Time) bool {
 	return v.estimate != nil && !v.estimate.Refused && !v.estimate.EarliestAt.After(by)
 }
 
-// before counts the requests that are served before another.
-func (q *queue) before(request *Request) int {
+// countAhead counts the waiting requests that are served before another.
+func (q *queue) countAhead(request *Request) int {
 	count := 0
 	for _, entry := range q.waiting {
 		if servedBefore(entry.request, request) {
--- a/internal/dispatch/near_test.go
+++ b/internal/dispatch/near_test.go
@@ -8,27 +8,27 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// placedCore is a router's core with one target in each of the given places.
-func placedCore(config Config, near ...places.Nearness) (*Core, time.Time) {
+// localityScheduler has one target at each of the given distances.
+func localityScheduler(config Config, distances ...places.Nearness) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	config.MaxWaiting, config.SharedSlots, config.ByWork = 100, true, true
-	core := New(config)
+	scheduler := New(config)
 	var targets []Target
-	for position, nearness := range near {
+	for position, nearness := range distances {
 		name := "m" + strconv.Itoa(position)
 		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 64, Nearness: nearness})
 	}
-	core.SetTargets(now, targets)
-	return core, now
+	scheduler.SetTargets(now, targets)
+	return scheduler, now
 }
 
-// TestNearestThatIsNotBusyFirst tables which machine a request goes to, by the work before it: if
-// every machine counted the same, most requests would cross regions.
-func TestNearestThatIsNotBusyFirst(t *testing.T) {
-	const detour = 1000
+// TestNearestTargetIsPreferredUnlessBusier guards against cross-region traffic while local
+// machines have capacity.
+func TestNearestTargetIsPreferredUnlessBusier(t *testing.T) {
+	const penalty = 1000
 	tests := []struct {
 		name string
-		// zone, region and further are the work before the machine there.
+		// zone, region and further are the outstanding work of the machine there.
 		zone, region, further float64
 		machine               string
 	}{
@@ -39,44 +39,44 @@
 		{"all busy", 5000, 5000, 4500, "m2"},
 	}
 	for _, test := range tests {
-		core, now := placedCore(Config{}, places.Further, places.SameRegion, places.SameZone)
-		core.SetWork(now, map[string]float64{"m0": test.further, "m1": test.region, "m2": test.zone})
-		asked := request(now, 1000, 0, 0)
-		asked.Detour = detour
-		if granted := grantOf(t, core.Submit(now, asked)); granted.Target.Machine != test.machine {
-			t.Errorf("%s: sent to %s, not to %s", test.name, granted.Target.Machine, test.machine)
+		scheduler, now := localityScheduler(Config{}, places.Further, places.SameRegion, places.SameZone)
+		scheduler.SetWork(now, map[string]float64{"m0": test.further, "m1": test.region, "m2": test.zone})
+		submitted := request(now, 1000, 0, 0)
+		submitted.Detour = penalty
+		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Machine != test.machine {
+			t.Errorf("%s: got %s, want %s", test.name, granted.Target.Machine, test.machine)
 		}
 	}
 }
 
-// TestHomesAreInTheRegion: with two homes in all for a prompt's beginning, most routers would send
-// its requests to another region.
-func TestHomesAreInTheRegion(t *testing.T) {
+// TestPreferredTargetsAreInTheRegion guards against prefix affinity moving requests to another
+// region.
+func TestPreferredTargetsAreInTheRegion(t *testing.T) {
 	for prefix := uint64(1); prefix <= 20; prefix++ {
-		core, now := placedCore(Config{}, places.Further, places.Further, places.Further, places.SameRegion, places.SameRegion)
-		asked := request(now, 1000, 900, prefix)
-		asked.Detour = 1
-		if granted := grantOf(t, core.Submit(now, asked)); granted.Target.Nearness == places.Further {
-			t.Errorf("the beginning %d has its home in another region", prefix)
+		scheduler, now := localityScheduler(Config{}, places.Further, places.Further, places.Further, places.SameRegion, places.SameRegion)
+		submitted := request(now, 1000, 900, prefix)
+		submitted.Detour = 1
+		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Nearness == places.Further {
+			t.Errorf("prefix %d is sent to another region", prefix)
 		}
 	}
 }
 
-// TestUnknownPlacesAreAlike: a router that does not know its region takes all other zones to be
-// far, and would send everything to the machines of its own.
-func TestUnknownPlacesAreAlike(t *testing.T) {
-	core, now := placedCore(Config{}, places.Further, places.SameZone)
-	core.SetWork(now, map[string]float64{"m1": 100})
-	homes := map[places.Nearness]bool{}
+// TestDistanceIsIgnoredWithoutPenalty: without a cross-region penalty, as in a router that does
+// not know its region, all targets count as equally near.
+func TestDistanceIsIgnoredWithoutPenalty(t *testing.T) {
+	scheduler, now := localityScheduler(Config{}, places.Further, places.SameZone)
+	scheduler.SetWork(now, map[string]float64{"m1": 100})
+	distances := map[places.Nearness]bool{}
 	for prefix := uint64(1); prefix <= 20; prefix++ {
-		granted := grantOf(t, core.Submit(now, request(now, 1000, 900, prefix)))
-		homes[granted.Target.Nearness] = true
-		core.Release(now, granted, ResultOK)
+		granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 900, prefix)))
+		distances[granted.Target.Nearness] = true
+		scheduler.Release(now, granted, ResultOK)
 	}
-	if !homes[places.Further] || !homes[places.SameZone] {
-		t.Errorf("all beginnings have their homes on one side: %v", homes)
+	if !distances[places.Further] || !distances[places.SameZone] {
+		t.Errorf("all prefixes are sent to one distance: %v", distances)
 	}
-	if granted := grantOf(t, core.Submit(now, request(now, 1000, 0, 0))); granted.Target.Nearness != places.Further {
-		t.Error("the busier machine is preferred for its place")
+	if granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); granted.Target.Nearness != places.Further {
+		t.Error("the busier machine is preferred for its distance")
 	}
 }
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -6,81 +6,78 @@
 )
 
 const (
-	// affinityBonus is how many requests in flight an affinity outweighs.
+	// affinityBonus is the number of requests in flight that an affinity match outweighs.
 	affinityBonus = 2.0
-	// affinityBound is the most by which a target with affinity may be
-	// busier than the least busy one.
-	affinityBound = 4.0
-	// maxOvercommit bounds the requests sent to a replica, in multiples of its
-	// slots.
-	maxOvercommit = 2
-	// prefixesRemembered bounds what is remembered of a replica's cache.
-	prefixesRemembered = 256
-	// prefixLifetime is how long a prefix is taken to stay cached.
-	prefixLifetime = 2 * time.Minute
+	// maxAffinityImbalance is how much busier than the least busy target a target may be for
+	// affinity to count.
+	maxAffinityImbalance = 4.0
+	// maxOvercommit bounds the requests sent to a replica, in multiples of its slots.
+	maxOvercommit     = 2
+	maxCachedPrefixes = 256
+	prefixTTL         = 2 * time.Minute
 )
 
-// pick returns the best target with room, or nil.
-func (c *Core) pick(now time.Time, version *versionState, request *Request) *target {
-	if c.config.RoundRobin {
-		return c.pickInTurn(now, version, request)
+// pick returns the best target with capacity, or nil.
+func (s *Core) pick(now time.Time, version *versionState, request *Request) *target {
+	if s.config.RoundRobin {
+		return s.pickRoundRobin(now, version, request)
 	}
-	for _, wanted := range []standing{standsWarm, standsWarming, standsSuspect} {
-		if chosen := c.pickFrom(now, version, request, wanted); chosen != nil {
+	for _, wanted := range []tier{tierWarm, tierWarming, tierSuspect} {
+		if chosen := s.pickFromTier(now, version, request, wanted); chosen != nil {
 			return chosen
 		}
 	}
-	noneInTouch := c.hasNoneInTouch(version, request)
-	if noneInTouch {
-		if chosen := c.pickFrom(now, version, request, standsInDoubt); chosen != nil {
+	onlySuspectWarming := s.allSuspectWarming(version, request)
+	if onlySuspectWarming {
+		if chosen := s.pickFromTier(now, version, request, tierSuspectWarming); chosen != nil {
 			return chosen
 		}
 	}
-	if !c.config.ByWork {
+	if !s.config.ByWork {
 		return nil
 	}
-	return c.pickEjected(now, version, request, noneInTouch)
+	return s.pickEjected(now, version, request, onlySuspectWarming)
 }
 
-// pickEjected returns the target whose ejection ends first, where all that could
-// take the request are ejected: trying it is better than waiting.
-func (c *Core) pickEjected(now time.Time, version *versionState, request *Request, noneInTouch bool) *target {
+// pickEjected returns the target whose ejection ends first, if all that could serve the request
+// are ejected: trying one is better than waiting.
+func (s *Core) pickEjected(now time.Time, version *versionState, request *Request, onlySuspectWarming bool) *target {
 	var best *target
 	for _, candidate := range version.targets {
-		if !c.fits(now, candidate, request) || !noneInTouch && c.standingOf(candidate) == standsInDoubt {
+		if !s.hasCapacity(now, candidate, request) || !onlySuspectWarming && s.tierOf(candidate) == tierSuspectWarming {
 			continue
 		}
-		if best == nil || candidate.health.until.Before(best.health.until) {
+		if best == nil || candidate.health.ejectedUntil.Before(best.health.ejectedUntil) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-// pickFrom picks among the targets that stand as wanted.
-func (c *Core) pickFrom(now time.Time, version *versionState, request *Request, wanted standing) *target {
-	if c.config.ByWork {
-		return c.pickByWork(now, version, request, wanted)
+// pickFromTier returns the best target of one tier.
+func (s *Core) pickFromTier(now time.Time, version *versionState, request *Request, wanted tier) *target {
+	if s.config.ByWork {
+		return s.pickLeastWork(now, version, request, wanted)
 	}
-	hasChoice := version.hasChoice(request)
-	least := -1.0
+	hasAlternatives := version.hasAlternatives(request)
+	minLoad := -1.0
 	for _, candidate := range version.targets {
-		if c.standingOf(candidate) != wanted || !c.usable(now, candidate, request, hasChoice) {
+		if s.tierOf(candidate) != wanted || !s.usable(now, candidate, request, hasAlternatives) {
 			continue
 		}
-		if load := c.load(candidate); least < 0 || load < least {
-			least = load
+		if load := s.load(candidate); minLoad < 0 || load < minLoad {
+			minLoad = load
 		}
 	}
 	var best *target
 	bestScore := 0.0
 	for _, candidate := range version.targets {
-		if c.standingOf(candidate) != wanted || !c.usable(now, candidate, request, hasChoice) {
+		if s.tierOf(candidate) != wanted || !s.usable(now, candidate, request, hasAlternatives) {
 			continue
 		}
-		load := c.load(candidate)
+		load := s.load(candidate)
 		score := load
-		if load <= least+affinityBound {
+		if load <= minLoad+maxAffinityImbalance {
 			score -= candidate.affinity(now, request)
 		}
 		if best == nil || score < bestScore || score == bestScore && candidate.Replica < best.Replica {
@@ -90,44 +87,44 @@
 	return best
 }
 
-func (c *Core) pickInTurn(now time.Time, version *versionState, request *Request) *target {
-	hasChoice := version.hasChoice(request)
+func (s *Core) pickRoundRobin(now time.Time, version *versionState, request *Request) *target {
+	hasAlternatives := version.hasAlternatives(request)
 	for range version.targets {
 		version.turn++
 		candidate := version.targets[version.turn%len(version.targets)]
-		if c.usable(now, candidate, request, hasChoice) {
+		if s.usable(now, candidate, request, hasAlternatives) {
 			return candidate
 		}
 	}
 	return nil
 }
 
-func (c *Core) load(candidate *target) float64 {
-	return float64(c.ownLoad(candidate) + c.others[candidate.Machine])
+func (s *Core) load(candidate *target) float64 {
+	return float64(s.inFlightOn(candidate) + s.othersLoad[candidate.Machine])
 }
 
-// ownLoad is this router's requests that share slots with a candidate's.
-func (c *Core) ownLoad(candidate *target) int {
-	if c.config.SharedSlots {
-		return c.onMachine[candidate.Machine]
+// inFlightOn counts this router's requests that share slots with a candidate's.
+func (s *Core) inFlightOn(candidate *target) int {
+	if s.config.SharedSlots {
+		return s.ownLoad[candidate.Machine]
 	}
 	return candidate.inFlight
 }
 
-func (c *Core) usable(now time.Time, candidate *target, request *Request, hasChoice bool) bool {
-	if !c.fits(now, candidate, request) {
+func (s *Core) usable(now time.Time, candidate *target, request *Request, hasAlternatives bool) bool {
+	if !s.hasCapacity(now, candidate, request) {
 		return false
 	}
-	if hasChoice && candidate.Replica == request.Avoid {
+	if hasAlternatives && candidate.Replica == request.Avoid {
 		return false
 	}
-	// With nothing else to turn to, an ejected target is tried all the same.
-	return !hasChoice || !candidate.health.ejected(now)
+	// The only target is tried even while it is ejected.
+	return !hasAlternatives || !candidate.health.ejected(now)
 }
 
-// hasChoice reports whether a version has more than one target in the regions that a request
-// may be served in.
-func (v *versionState) hasChoice(request *Request) bool {
+// hasAlternatives reports whether a version has more than one target in the regions allowed for a
+// request.
+func (v *versionState) hasAlternatives(request *Request) bool {
 	if !request.Allowed.IsBound() {
 		return len(v.targets) > 1
 	}
@@ -140,47 +137,45 @@
 	return allowed > 1
 }
 
-// fits reports whether a target could take a request, its health apart.
-func (c *Core) fits(now time.Time, candidate *target, request *Request) bool {
-	return c.hasSlot(candidate) && !c.isHeld(now, candidate.Machine) && c.allowsGrant(now, candidate.Machine) && !c.isExcluded(candidate, request)
+// hasCapacity reports whether a target could take a request, regardless of its health.
+func (s *Core) hasCapacity(now time.Time, candidate *target, request *Request) bool {
+	return s.hasSlot(candidate) && !s.isHeld(now, candidate.Machine) && s.allowsGrant(now, candidate.Machine) && !s.isExcluded(candidate, request)
 }
 
-// isExcluded reports whether a target can't take a request, free or not. Every way to choose a
-// target asks here, so that none leads out of the regions that the request may be served in.
-func (c *Core) isExcluded(candidate *target, request *Request) bool {
+// isExcluded reports whether a target must not serve a request, regardless of its load. Every
+// selection path checks it, so that none leaves the allowed regions.
+func (s *Core) isExcluded(candidate *target, request *Request) bool {
 	if !request.Allowed.Allows(candidate.Region) {
 		return true
 	}
 	if candidate.retired || candidate.leaving || slices.Contains(request.Tried, candidate.Machine) {
 		return true
 	}
-	return c.config.PlacedAdapters && request.Adapter != "" && !slices.Contains(candidate.Adapters, request.Adapter)
+	return s.config.PlacedAdapters && request.Adapter != "" && !slices.Contains(candidate.Adapters, request.Adapter)
 }
 
-// HasAlternative reports whether a machine that the request was not sent to, other than
-// the given one, could take it once it has a place. Where there is none, trying again
-// would only keep the caller waiting.
-func (c *Core) HasAlternative(now time.Time, request *Request, machine string) bool {
-	for _, candidate := range c.version(request.Version).targets {
-		if candidate.Machine != machine && c.allowsGrant(now, candidate.Machine) && !c.isExcluded(candidate, request) {
+// HasAlternative reports whether another machine than the given one, which the request has not
+// been sent to yet, could serve it. Otherwise a retry would only delay the response.
+func (s *Core) HasAlternative(now time.Time, request *Request, machine string) bool {
+	for _, candidate := range s.version(request.Version).targets {
+		if candidate.Machine != machine && s.allowsGrant(now, candidate.Machine) && !s.isExcluded(candidate, request) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasSlot reports whether a request would probably run at once. Where others
-// fill the replica by the lagged reports, a router still gets its equal share
-// of the slots, up to twice as many requests as there are slots in all:
-// requests that wait are better off at the router, which serves them by
-// priority and can say truthfully that they did not run.
-func (c *Core) hasSlot(candidate *target) bool {
-	own := c.ownLoad(candidate)
+// hasSlot reports whether a request would probably run at once. If other routers fill the replica
+// according to the lagged reports, this router still gets its equal share of the slots, up to
+// maxOvercommit times the slots in total. Beyond that, requests wait in the router, which orders
+// them by priority and can refuse them as not run.
+func (s *Core) hasSlot(candidate *target) bool {
+	own := s.inFlightOn(candidate)
 	if own >= candidate.Max {
 		return false
 	}
-	total := own + c.others[candidate.Machine]
-	share := (candidate.Max + c.routers - 1) / c.routers
+	total := own + s.othersLoad[candidate.Machine]
+	share := (candidate.Max + s.routers - 1) / s.routers
 	return total < candidate.Max || own < share && total < maxOvercommit*candidate.Max
 }
 
@@ -189,14 +184,14 @@
 	if request.Adapter != "" && !t.adapters[request.Adapter].IsZero() {
 		bonus += affinityBonus
 	}
-	if request.Prefix != 0 && t.prefixes.holds(now, request.Prefix) {
+	if request.Prefix != 0 && t.prefixes.contains(now, request.Prefix) {
 		bonus += affinityBonus
 	}
 	return bonus
 }
 
-// remember notes what the target will hold once it has run the request.
-func (t *target) remember(now time.Time, request *Request) {
+// recordCached records the adapter and prefix that the target holds after serving the request.
+func (t *target) recordCached(now time.Time, request *Request) {
 	if request.Adapter != "" {
 		t.adapters[request.Adapter] = now
 	}
@@ -205,29 +200,28 @@
 	}
 }
 
-// prefixCache remembers the prompt prefixes that were sent to a replica.
-// Cache events come late and with gaps, so what was sent is the better guide;
-// entries age out.
+// prefixCache tracks the prompt prefixes sent to a replica. Cache events of the engine are late
+// and incomplete, so the sent prefixes are the better estimate.
 type prefixCache struct {
-	seen  map[uint64]time.Time
-	order []uint64
+	sentAt map[uint64]time.Time
+	order  []uint64
 }
 
-func (p *prefixCache) holds(now time.Time, prefix uint64) bool {
-	seen, found := p.seen[prefix]
-	return found && now.Sub(seen) < prefixLifetime
+func (p *prefixCache) contains(now time.Time, prefix uint64) bool {
+	sentAt, found := p.sentAt[prefix]
+	return found && now.Sub(sentAt) < prefixTTL
 }
 
 func (p *prefixCache) add(now time.Time, prefix uint64) {
-	if p.seen == nil {
-		p.seen = map[uint64]time.Time{}
+	if p.sentAt == nil {
+		p.sentAt = map[uint64]time.Time{}
 	}
-	if _, found := p.seen[prefix]; !found {
+	if _, found := p.sentAt[prefix]; !found {
 		p.order = append(p.order, prefix)
 	}
-	p.seen[prefix] = now
-	if len(p.order) > prefixesRemembered {
-		delete(p.seen, p.order[0])
+	p.sentAt[prefix] = now
+	if len(p.order) > maxCachedPrefixes {
+		delete(p.sentAt, p.order[0])
 		p.order = p.order[1:]
 	}
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// waiter is a request in a queue.
+// waiter is a queued request.
 type waiter struct {
 	request *Request
-	// position is its place in the heap, -1 once it has left.
+	// position is the index in the heap, -1 after removal.
 	position int
 }
 
-// waitHeap orders waiters: the first to serve is on top.
+// waitHeap is a heap with the next request to serve on top.
 type waitHeap []*waiter
 
 func (h waitHeap) Len() int { return len(h) }
@@ -41,7 +41,7 @@
 	return entry
 }
 
-// servedBefore orders by priority, then deadline, then arrival.
+// servedBefore orders by priority, then deadline, then ID.
 func servedBefore(left, right *Request) bool {
 	switch {
 	case left.Priority != right.Priority:
@@ -52,7 +52,7 @@
 	return left.ID < right.ID
 }
 
-// queue holds the waiters of one version.
+// queue holds the waiting requests of one version.
 type queue struct {
 	waiting waitHeap
 }
@@ -70,7 +70,7 @@
 	return q.waiting[0].request
 }
 
-// sorted returns the requests in the order in which they are to be served.
+// sorted returns the requests in serving order.
 func (q *queue) sorted() []*Request {
 	requests := make([]*Request, 0, len(q.waiting))
 	for _, entry := range q.waiting {
@@ -80,8 +80,8 @@
 	return requests
 }
 
-// impatient reports whether a request has waited as long as it would.
-func (r *Request) impatient(now time.Time) bool {
+// isQueueExpired reports whether the request's time in the queue is over.
+func (r *Request) isQueueExpired(now time.Time) bool {
 	return !r.Patience.IsZero() && !now.Before(r.Patience)
 }
 
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refuse.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// refuseEarly refuses a request that is known to be out of reach by its deadline, even if
-// all goes well, so that its caller learns it now and not at the deadline.
-func (c *Core) refuseEarly(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+// refuseEarly refuses a request that can't be served before its deadline, so that the caller
+// learns it at once.
+func (s *Core) refuseEarly(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	if !now.Before(request.Deadline) {
 		return Refusal{Request: request, Reason: RefusedDeadline, Detail: "the deadline has passed"}, true
 	}
 	if version.isDrainedOnly(request) {
-		return c.refuseDrained(now, version, request)
+		return s.refuseDrained(now, version, request)
 	}
-	if refusal, refused := c.refuseBeyondLimits(now, version, request); refused {
+	if refusal, refused := s.refuseBeyondLimits(now, version, request); refused {
 		return refusal, true
 	}
-	if refusal, refused := c.refuseResting(now, version, request); refused {
+	if refusal, refused := s.refuseBackedOff(now, version, request); refused {
 		return refusal, true
 	}
 	estimate := version.estimate
@@ -24,8 +24,8 @@
 	if estimate.Refused {
 		return refusalByLeader(request, estimate), true
 	}
-	// When a replica is ready is said of the version as a whole: one in the request's regions may
-	// be ready sooner, so nobody who is bound to some is refused for it.
+	// Estimates apply to the version as a whole. A replica in the allowed regions may be ready
+	// earlier, so constrained requests are not refused by them.
 	if !request.Allowed.IsBound() && estimate.EarliestAt.After(request.Deadline) {
 		return Refusal{
 			Request: request, Reason: RefusedDeadline, Detail: "the model will not be loaded before the deadline",
@@ -37,27 +37,26 @@
 
 // hasReady reports whether a replica that may serve a request is ready.
 func (v *versionState) hasReady(request *Request) bool {
-	for _, held := range v.targets {
-		if !held.retired && !held.leaving && request.Allowed.Allows(held.Region) {
+	for _, candidate := range v.targets {
+		if !candidate.retired && !candidate.leaving && request.Allowed.Allows(candidate.Region) {
 			return true
 		}
 	}
 	return false
 }
 
-// shedRetryAfter is the Retry-After of requests that were shed.
 const shedRetryAfter = time.Second
 
-// shed refuses the last to be served while more wait than may.
-func (c *Core) shed(outcome *Outcome) {
-	for len(c.waiters) > c.config.MaxWaiting {
+// shed refuses the requests that would be served last while there are more than MaxWaiting.
+func (s *Core) shed(outcome *Outcome) {
+	for len(s.waiters) > s.config.MaxWaiting {
 		var last *Request
-		for _, entry := range c.waiters {
+		for _, entry := range s.waiters {
 			if last == nil || servedBefore(last, entry.request) {
 				last = entry.request
 			}
 		}
-		c.drop(last)
+		s.dequeue(last)
 		outcome.Refusals = append(outcome.Refusals, Refusal{
 			Request: last, Reason: RefusedOverload, Detail: "too many requests wait", RetryAfter: shedRetryAfter,
 		})
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -16,7 +16,7 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// TestMain fixes the seed, so that the verdict is the same on every run.
+// TestMain fixes the seed, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -25,33 +25,31 @@
 	os.Exit(m.Run())
 }
 
-// regionNames are the regions of the tests; the empty one stands for a place that is not known.
+// regionNames are the regions used by the tests; the empty one is an unknown region.
 var regionNames = []string{"a", "b", "c", ""}
 
-// regionTrial drives a core with requests under constraints through whatever may happen, and
-// checks each grant.
-type regionTrial struct {
-	t       *rapid.T
-	core    *Core
-	now     time.Time
-	nextID  uint64
-	running []Grant
-	waiting map[uint64]*Request
+// regionModel drives a scheduler with random events and checks the region of each grant.
+type regionModel struct {
+	t         *rapid.T
+	scheduler *Core
+	now       time.Time
+	nextID    uint64
+	running   []Grant
+	waiting   map[uint64]*Request
 }
 
-func newRegionTrial(t *rapid.T) *regionTrial {
+func newRegionModel(t *rapid.T) *regionModel {
 	config := Config{
 		MaxWaiting: 6, RoundRobin: rapid.Bool().Draw(t, "round robin"), SharedSlots: rapid.Bool().Draw(t, "shared slots"),
 		ByWork: rapid.Bool().Draw(t, "by work"), PlacedAdapters: rapid.Bool().Draw(t, "placed adapters"),
 	}
-	return &regionTrial{t: t, core: New(config), now: beginning.Add(time.Hour), waiting: map[uint64]*Request{}}
+	return &regionModel{t: t, scheduler: New(config), now: epoch.Add(time.Hour), waiting: map[uint64]*Request{}}
 }
 
-// take checks what follows from an event.
-func (r *regionTrial) take(outcome Outcome) {
+func (r *regionModel) apply(outcome Outcome) {
 	for _, grant := range outcome.Grants {
 		if !grant.Request.Allowed.Allows(grant.Target.Region) {
-			r.t.Fatalf("a request that is bound to %v goes to region %q", grant.Request.Allowed.Regions(), grant.Target.Region)
+			r.t.Fatalf("a request constrained to %v was granted in region %q", grant.Request.Allowed.Regions(), grant.Target.Region)
 		}
 		delete(r.waiting, grant.Request.ID)
 		r.running = append(r.running, grant)
@@ -61,11 +59,11 @@
 	}
 }
 
-func (r *regionTrial) constraint(label string) places.Constraint {
+func (r *regionModel) constraint(label string) places.Constraint {
 	return places.Only(rapid.SliceOfN(rapid.SampledFrom(regionNames[:3]), 0, 2).Draw(r.t, label)...)
 }
 
-func (r *regionTrial) targets() {
+func (r *regionModel) targets() {
 	var targets []Target
 	for number := range rapid.IntRange(0, 6).Draw(r.t, "targets") {
 		targets = append(targets, Target{
@@ -73,29 +71,29 @@
 			Region: rapid.SampledFrom(regionNames).Draw(r.t, "region"), Suspect: rapid.Bool().Draw(r.t, "suspect"),
 		})
 	}
-	r.take(r.core.SetTargets(r.now, targets))
+	r.apply(r.scheduler.SetTargets(r.now, targets))
 }
 
-func (r *regionTrial) submit() {
+func (r *regionModel) submit() {
 	r.nextID++
 	request := &Request{
 		ID: r.nextID, Version: "v", Priority: int32(r.nextID % 2), Arrived: r.now, Deadline: r.now.Add(time.Minute), Work: 100,
 		Prefix: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").And(r.constraint("tenant")),
 	}
 	r.waiting[request.ID] = request
-	r.take(r.core.Submit(r.now, request))
+	r.apply(r.scheduler.Submit(r.now, request))
 }
 
-// end ends a request in flight, which may come again, under whatever constraint is then in force.
-func (r *regionTrial) end() {
+// end ends a request in flight, which may be resubmitted under a narrower constraint.
+func (r *regionModel) end() {
 	if len(r.running) == 0 {
 		return
 	}
-	position := rapid.IntRange(0, len(r.running)-1).Draw(r.t, "ends")
+	position := rapid.IntRange(0, len(r.running)-1).Draw(r.t, "ended")
 	ended := r.running[position]
 	r.running = slices.Delete(r.running, position, position+1)
-	r.take(r.core.Release(r.now, ended, Result(rapid.IntRange(0, int(ResultUnreachable)).Draw(r.t, "result"))))
-	if !rapid.Bool().Draw(r.t, "comes again") {
+	r.apply(r.scheduler.Release(r.now, ended, Result(rapid.IntRange(0, int(ResultUnreachable)).Draw(r.t, "result"))))
+	if !rapid.Bool().Draw(r.t, "resubmit") {
 		return
 	}
 	request := ended.Request
@@ -105,162 +103,163 @@
 	}
 	request.Allowed = request.Allowed.And(r.constraint("narrower"))
 	r.waiting[request.ID] = request
-	r.take(r.core.Resubmit(r.now, request))
+	r.apply(r.scheduler.Resubmit(r.now, request))
 }
 
-// rebind changes what binds a request that waits.
-func (r *regionTrial) rebind() {
+func (r *regionModel) setConstraint() {
 	ids := slices.Sorted(maps.Keys(r.waiting))
 	if len(ids) == 0 {
 		return
 	}
-	request := r.waiting[rapid.SampledFrom(ids).Draw(r.t, "rebound")]
-	r.take(r.core.Rebind(r.now, request, r.constraint("now")))
+	request := r.waiting[rapid.SampledFrom(ids).Draw(r.t, "constrained request")]
+	r.apply(r.scheduler.Rebind(r.now, request, r.constraint("constraint")))
 }
 
-func (r *regionTrial) pass() {
+func (r *regionModel) advance() {
 	r.now = r.now.Add(time.Duration(rapid.IntRange(1, 20_000).Draw(r.t, "ms")) * time.Millisecond)
-	r.take(r.core.Tick(r.now))
+	r.apply(r.scheduler.Tick(r.now))
 }
 
-func (r *regionTrial) loads() {
+func (r *regionModel) loads() {
 	loads := map[string]int{}
 	for number := range 4 {
 		loads["m"+strconv.Itoa(number)] = rapid.IntRange(0, 3).Draw(r.t, "load")
 	}
-	r.take(r.core.SetLoads(r.now, loads, 2))
+	r.apply(r.scheduler.SetLoads(r.now, loads, 2))
 }
 
-// checkNobodyWaits: no request waits beside a free and healthy target that it may use. Without
-// placed adapters the first that waits may hold up the others, but not if it waits for its region.
-func (r *regionTrial) checkNobodyWaits() {
-	first := r.core.version("v").queue.first()
-	if first == nil || !r.core.config.PlacedAdapters && !first.Allowed.IsBound() {
+// checkNoneWaits checks that no request waits while a healthy target with capacity may serve it.
+// Without placed adapters, an unconstrained request at the head of the queue may block the others.
+func (r *regionModel) checkNoneWaits() {
+	first := r.scheduler.version("v").queue.first()
+	if first == nil || !r.scheduler.config.PlacedAdapters && !first.Allowed.IsBound() {
 		return
 	}
 	for _, request := range r.waiting {
-		for _, held := range r.core.version("v").targets {
-			if r.core.usable(r.now, held, request, true) {
-				r.t.Fatalf("request %d, bound to %v, waits beside %s in region %q", request.ID, request.Allowed.Regions(), held.Replica, held.Region)
+		for _, candidate := range r.scheduler.version("v").targets {
+			if r.scheduler.usable(r.now, candidate, request, true) {
+				r.t.Fatalf("request %d, constrained to %v, waits while %s in region %q has capacity", request.ID, request.Allowed.Regions(), candidate.Replica, candidate.Region)
 			}
 		}
 	}
 }
 
-// TestGrantsStayInAllowedRegions: whatever fails, is ejected, suspect, full or tried again, no
-// request is granted a place outside its regions, and one that waits for its region does not
-// hold up those behind it.
+// TestGrantsStayInAllowedRegions checks, over random failures, retries and constraint changes,
+// that no request is granted outside its regions, and that one waiting for its region does not
+// block the queue.
 func TestGrantsStayInAllowedRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		trial := newRegionTrial(t)
-		trial.targets()
+		model := newRegionModel(t)
+		model.targets()
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			switch rapid.SampledFrom([]string{"submit", "submit", "submit", "end", "end", "targets", "pass", "loads", "rebind"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"submit", "submit", "submit", "end", "end", "targets", "advance", "loads", "set constraint"}).Draw(t, "event") {
 			case "submit":
-				trial.submit()
+				model.submit()
 			case "end":
-				trial.end()
+				model.end()
 			case "targets":
-				trial.targets()
-			case "pass":
-				trial.pass()
-			case "rebind":
-				trial.rebind()
+				model.targets()
+			case "advance":
+				model.advance()
+			case "set constraint":
+				model.setConstraint()
 			case "loads":
-				trial.loads()
+				model.loads()
 			}
-			trial.checkNobodyWaits()
+			model.checkNoneWaits()
 		}
 	})
 }
 
-func bound(id uint64, regions ...string) *Request {
-	return &Request{ID: id, Version: "v", Arrived: beginning, Deadline: beginning.Add(time.Minute), Allowed: places.Only(regions...)}
+func constrained(id uint64, regions ...string) *Request {
+	return &Request{ID: id, Version: "v", Arrived: epoch, Deadline: epoch.Add(time.Minute), Allowed: places.Only(regions...)}
 }
 
-// TestOnlyAllowedTargetIsTriedThoughEjected, as the only target at all is.
+// TestOnlyAllowedTargetIsTriedThoughEjected: being the only target in the allowed regions counts
+// as being the only target.
 func TestOnlyAllowedTargetIsTriedThoughEjected(t *testing.T) {
-	core := New(Config{MaxWaiting: 10})
-	now := beginning.Add(time.Hour)
-	core.SetTargets(now, []Target{
+	scheduler := New(Config{MaxWaiting: 10})
+	now := epoch.Add(time.Hour)
+	scheduler.SetTargets(now, []Target{
 		{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"},
 		{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"},
 	})
-	first := bound(1, "a")
+	first := constrained(1, "a")
 	first.Deadline = now.Add(time.Minute)
-	granted := core.Submit(now, first)
+	granted := scheduler.Submit(now, first)
 	if len(granted.Grants) != 1 {
 		t.Fatalf("%+v", granted)
 	}
-	core.Release(now, granted.Grants[0], ResultUnreachable)
-	second := bound(2, "a")
+	scheduler.Release(now, granted.Grants[0], ResultUnreachable)
+	second := constrained(2, "a")
 	second.Deadline = now.Add(time.Minute)
-	if again := core.Submit(now, second); len(again.Grants) != 1 || again.Grants[0].Target.Region != "a" {
+	if again := scheduler.Submit(now, second); len(again.Grants) != 1 || again.Grants[0].Target.Region != "a" {
 		t.Errorf("%+v", again)
 	}
 }
 
-// TestNoAlternativeOutsideAllowedRegions: a machine elsewhere is none for a request that is bound.
+// TestNoAlternativeOutsideAllowedRegions guards against retries that wait for a machine that must
+// not serve the request.
 func TestNoAlternativeOutsideAllowedRegions(t *testing.T) {
-	core := New(Config{MaxWaiting: 10})
-	core.SetTargets(beginning, []Target{
+	scheduler := New(Config{MaxWaiting: 10})
+	scheduler.SetTargets(epoch, []Target{
 		{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"},
 		{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"},
 	})
-	if core.HasAlternative(beginning, bound(1, "a"), "m-a") {
+	if scheduler.HasAlternative(epoch, constrained(1, "a"), "m-a") {
 		t.Error("a machine outside the allowed regions counts as an alternative")
 	}
-	if !core.HasAlternative(beginning, bound(2, "a", "b"), "m-a") {
+	if !scheduler.HasAlternative(epoch, constrained(2, "a", "b"), "m-a") {
 		t.Error("a machine in an allowed region does not count as an alternative")
 	}
 }
 
-// TestEstimateOfElsewhereIsNoneForABoundRequest: a request that is bound is neither refused by
-// when a replica elsewhere will be ready, nor taken to have one that is.
-func TestEstimateOfElsewhereIsNoneForABoundRequest(t *testing.T) {
-	core := New(Config{MaxWaiting: 10})
-	core.SetEstimates(beginning, map[string]*Estimate{})
-	core.Submit(beginning, bound(1, "a"))
-	late := beginning.Add(time.Hour)
-	outcome := core.SetEstimates(beginning, map[string]*Estimate{"v": {ReadyAt: late, EarliestAt: late}})
+// TestEstimateElsewhereDoesNotAffectConstrainedRequest: a constrained request is not refused
+// because of an estimate for the whole version, nor kept because of a replica outside its regions.
+func TestEstimateElsewhereDoesNotAffectConstrainedRequest(t *testing.T) {
+	scheduler := New(Config{MaxWaiting: 10})
+	scheduler.SetEstimates(epoch, map[string]*Estimate{})
+	scheduler.Submit(epoch, constrained(1, "a"))
+	late := epoch.Add(time.Hour)
+	outcome := scheduler.SetEstimates(epoch, map[string]*Estimate{"v": {ReadyAt: late, EarliestAt: late}})
 	if len(outcome.Refusals) != 0 {
-		t.Errorf("refused by an estimate that is not for its regions: %+v", outcome.Refusals)
+		t.Errorf("refused by an estimate for other regions: %+v", outcome.Refusals)
 	}
-	core.SetTargets(beginning, []Target{{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"}})
-	outcome = core.SetEstimates(beginning, map[string]*Estimate{"v": {Refused: true, Reason: "too large"}})
+	scheduler.SetTargets(epoch, []Target{{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"}})
+	outcome = scheduler.SetEstimates(epoch, map[string]*Estimate{"v": {Refused: true, Reason: "too large"}})
 	if len(outcome.Refusals) != 1 || outcome.Refusals[0].Reason != RefusedNotLoadable {
-		t.Errorf("kept by a replica elsewhere though nothing can hold the model: %+v", outcome)
+		t.Errorf("kept for a replica outside its regions: %+v", outcome)
 	}
 }
 
-// TestDemandIsToldApartByConstraint: what is bound is part of its version's demand, and told
-// again by constraint; a request that comes again under a narrower one waits under that.
-func TestDemandIsToldApartByConstraint(t *testing.T) {
-	core := New(Config{MaxWaiting: 10})
-	core.SetTargets(beginning, []Target{{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"}})
-	running := core.Submit(beginning, bound(1, "a", "b")).Grants[0]
-	core.Submit(beginning, bound(2, "c"))
-	core.Submit(beginning, &Request{ID: 3, Version: "v", Arrived: beginning, Deadline: beginning.Add(time.Minute)})
-	tell := func() string {
-		var told []string
-		for _, demand := range core.Demand(beginning.Add(time.Second)) {
-			told = append(told, fmt.Sprintf("%s%v: %d waiting, %d running, %d so far, oldest %s",
+// TestDemandByConstraint: constrained demand is included in the version's demand and reported
+// again by constraint; a resubmitted request waits under its new constraint.
+func TestDemandByConstraint(t *testing.T) {
+	scheduler := New(Config{MaxWaiting: 10})
+	scheduler.SetTargets(epoch, []Target{{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"}})
+	running := scheduler.Submit(epoch, constrained(1, "a", "b")).Grants[0]
+	scheduler.Submit(epoch, constrained(2, "c"))
+	scheduler.Submit(epoch, &Request{ID: 3, Version: "v", Arrived: epoch, Deadline: epoch.Add(time.Minute)})
+	describe := func() string {
+		var lines []string
+		for _, demand := range scheduler.Demand(epoch.Add(time.Second)) {
+			lines = append(lines, fmt.Sprintf("%s%v: %d waiting, %d running, %d so far, oldest %s",
 				demand.Version, demand.Allowed.Regions(), demand.Waiting, demand.Running, demand.Arrivals, demand.OldestWait))
 		}
-		return strings.Join(told, "\n")
+		return strings.Join(lines, "\n")
 	}
 	const before = "v[]: 2 waiting, 1 running, 3 so far, oldest 1s\n" +
 		"v[a b]: 0 waiting, 1 running, 1 so far, oldest 0s\nv[c]: 1 waiting, 0 running, 1 so far, oldest 1s"
-	if told := tell(); told != before {
-		t.Errorf("%s", told)
+	if got := describe(); got != before {
+		t.Errorf("got demand:\n%s", got)
 	}
-	core.Cancel(&Request{ID: 3, Version: "v"})
-	core.Release(beginning, running, ResultNotRun)
+	scheduler.Cancel(&Request{ID: 3, Version: "v"})
+	scheduler.Release(epoch, running, ResultNotRun)
 	running.Request.Allowed = places.Only("b")
-	core.Resubmit(beginning, running.Request)
+	scheduler.Resubmit(epoch, running.Request)
 	const after = "v[]: 2 waiting, 0 running, 3 so far, oldest 1s\nv[a b]: 0 waiting, 0 running, 1 so far, oldest 0s\n" +
 		"v[b]: 1 waiting, 0 running, 0 so far, oldest 1s\nv[c]: 1 waiting, 0 running, 1 so far, oldest 1s"
-	if told := tell(); told != after {
-		t.Errorf("%s", told)
+	if got := describe(); got != after {
+		t.Errorf("got demand:\n%s", got)
 	}
 }
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -6,69 +6,66 @@
 	"time"
 )
 
-// Result is how a granted request ended, as far as the target is concerned.
+// Result is how a granted request ended on its target.
 type Result int
 
-// The results of a granted request.
 const (
 	ResultOK Result = iota
-	// ResultError: the engine answered with a failure of its own.
+	// ResultError: the engine returned an error response.
 	ResultError
-	// ResultNotRun: the engine said that the replica does not take requests.
+	// ResultNotRun: the engine does not accept requests for the replica.
 	ResultNotRun
 	// ResultRejected: the machine is overloaded and did not run the request.
 	ResultRejected
-	// ResultFailed: the engine failed or could not be reached.
+	// ResultFailed: the engine failed or the connection broke.
 	ResultFailed
-	// ResultSilent: there was no whole answer in time. An engine with too much to do
-	// is as silent as one that fails.
+	// ResultTimedOut: there was no complete response in time. The engine may be overloaded.
 	ResultSilent
-	// ResultUnreachable: no connection came about.
+	// ResultUnreachable: connecting failed.
 	ResultUnreachable
-	// ResultNotSent: the router held the request back. It says nothing of the target.
+	// ResultNotSent: the router did not send the request. It says nothing about the target.
 	ResultNotSent
 )
 
-// notAccepted are the results of requests that their machine did not take.
-var notAccepted = []Result{ResultNotRun, ResultRejected, ResultNotSent}
+// unacceptedResults are the results of requests that were not accepted by their machine.
+var unacceptedResults = []Result{ResultNotRun, ResultRejected, ResultNotSent}
 
-// Release ends a grant and grants its place to waiting requests.
-func (c *Core) Release(now time.Time, grant Grant, result Result) Outcome {
+// Release ends a grant and dispatches waiting requests to the freed slot.
+func (s *Core) Release(now time.Time, grant Grant, result Result) Outcome {
 	var outcome Outcome
-	version := c.version(grant.Target.Version)
+	version := s.version(grant.Target.Version)
 	version.running--
-	version.runAdapter(grant.Request.Adapter, -1)
-	version.runBound(grant.Request, -1)
-	c.leaveMachine(grant.Target.Machine)
-	c.finishWork(grant.Target.Machine, grant.Request, 0)
-	c.countAnswer(grant.Target.Machine, result)
-	c.noteTrial(grant, !slices.Contains(notAccepted, result))
-	held := c.targets[grant.Target.Replica]
-	if held != nil {
-		held.inFlight--
-		held.health.observe(now, result)
-		if held.retired && held.inFlight == 0 {
-			c.forget(held)
+	version.adjustAdapterRunning(grant.Request.Adapter, -1)
+	version.adjustConstrainedRunning(grant.Request, -1)
+	s.decrementLoad(grant.Target.Machine)
+	s.finishWork(grant.Target.Machine, grant.Request, 0)
+	s.countResponse(grant.Target.Machine, result)
+	s.recordProbe(grant, !slices.Contains(unacceptedResults, result))
+	existing := s.targets[grant.Target.Replica]
+	if existing != nil {
+		existing.inFlight--
+		existing.health.observe(now, result)
+		if existing.retired && existing.inFlight == 0 {
+			s.remove(existing)
 		}
 	}
-	c.dispatch(now, version, &outcome, nil)
+	s.dispatch(now, version, &outcome, nil)
 	return outcome
 }
 
-func (c *Core) leaveMachine(machine string) {
-	c.onMachine[machine]--
-	if c.onMachine[machine] <= 0 {
-		delete(c.onMachine, machine)
+func (s *Core) decrementLoad(machine string) {
+	s.ownLoad[machine]--
+	if s.ownLoad[machine] <= 0 {
+		delete(s.ownLoad, machine)
 	}
 }
 
-// Unreachable returns the machines that no connection came about to lately, by
-// name.
-func (c *Core) Unreachable(now time.Time) []string {
+// UnreachableMachines returns the machines with a recent failed connection, sorted by name.
+func (s *Core) Unreachable(now time.Time) []string {
 	var names []string
-	for _, held := range c.targets {
-		if now.Before(held.health.unreachableUntil) && !slices.Contains(names, held.Machine) {
-			names = append(names, held.Machine)
+	for _, candidate := range s.targets {
+		if now.Before(candidate.health.unreachableUntil) && !slices.Contains(names, candidate.Machine) {
+			names = append(names, candidate.Machine)
 		}
 	}
 	sort.Strings(names)
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -6,177 +6,180 @@
 	"time"
 )
 
-// An overloaded machine can ask this router for a rest: no requests for a span. Routers that were asked at the same
-// moment would also return at the same moment, each with a queue, and overload the machine again. So a rest is
-// extended by a random part, and a single trial request follows it before the others.
+// An overloaded machine can ask a router to back off: to send no requests for a while. Routers
+// that were asked at the same moment would also resume at the same moment and overload the machine
+// again, so each backoff is extended by random jitter, and followed by a single probe request
+// before others are sent.
 
 const (
-	// restSpread is the largest extension of a rest, as a share of it.
-	restSpread = 0.5
-	// maxRestSpread caps the extension.
-	maxRestSpread = time.Second
-	// trialTime is how long other requests wait for the trial. Machines reject within a round trip, so one that
-	// has not rejected the trial by then accepts requests again.
-	trialTime = 100 * time.Millisecond
+	// backoffJitter is the largest extension of a backoff, as a fraction of it.
+	backoffJitter    = 0.5
+	maxBackoffJitter = time.Second
+	// probeTimeout is how long other requests wait for the probe. Machines reject within a round
+	// trip, so one that has not rejected the probe by then accepts requests again.
+	probeTimeout = 100 * time.Millisecond
 )
 
-// rest is the rest of one machine. It is held until a request has been accepted after it.
-type rest struct {
+// backoff is the backoff of one machine. It is kept until a request has been accepted after it.
+type backoff struct {
 	until time.Time
-	// trial is the ID of the first request granted after the rest, at trialAt; 0 if there is none yet.
-	trial   uint64
-	trialAt time.Time
+	// probe is the ID of the first request granted after the backoff; 0 if there is none yet.
+	probe   uint64
+	probeAt time.Time
 }
 
-// allowsGrant reports whether the machine may be granted a request.
-func (r *rest) allowsGrant(now time.Time) bool {
-	return !now.Before(r.until) && (r.trial == 0 || !now.Before(r.trialAt.Add(trialTime)))
+func (b *backoff) allowsGrant(now time.Time) bool {
+	return !now.Before(b.until) && (b.probe == 0 || !now.Before(b.probeAt.Add(probeTimeout)))
 }
 
-// Rest withholds requests from a machine for a span and its random extension. It never shortens a rest in force.
-// Waiting requests that can't be served in time because of it are refused.
-func (c *Core) Rest(now time.Time, machine string, span time.Duration) Outcome {
+// BackOff withholds requests from a machine for a duration plus jitter. It never shortens a
+// backoff in force. Waiting requests that can't be served in time because of it are refused.
+func (s *Core) Rest(now time.Time, machine string, duration time.Duration) Outcome {
 	var outcome Outcome
-	until := now.Add(span + c.restExtension(now, machine, span))
-	if held := c.rests[machine]; held != nil && until.Before(held.until) {
+	until := now.Add(duration + s.jitter(now, machine, duration))
+	if existing := s.backoffs[machine]; existing != nil && until.Before(existing.until) {
 		return outcome
 	}
-	c.rests[machine] = &rest{until: until}
-	c.refuseWaitingFor(now, machine, &outcome)
+	s.backoffs[machine] = &backoff{until: until}
+	s.refuseWaitingOn(now, machine, &outcome)
 	return outcome
 }
 
-// restExtension is the random extension of a rest. It shrinks with the number of routers to be spread.
-func (c *Core) restExtension(now time.Time, machine string, span time.Duration) time.Duration {
-	others := 1 - 1/float64(max(1, c.routers))
-	longest := min(maxRestSpread.Seconds(), span.Seconds()*restSpread) * others
-	return time.Duration(uniform(c.config.Seed+uint64(now.UnixNano()), machine) * longest * float64(time.Second))
+// jitter is the random extension of a backoff. It shrinks with the number of routers.
+func (s *Core) jitter(now time.Time, machine string, duration time.Duration) time.Duration {
+	spread := 1 - 1/float64(max(1, s.routers))
+	maxJitter := min(maxBackoffJitter.Seconds(), duration.Seconds()*backoffJitter) * spread
+	return time.Duration(uniform(s.config.Seed+uint64(now.UnixNano()), machine) * maxJitter * float64(time.Second))
 }
 
-// MayWrite reports whether a granted request may still be written to its machine, which may have asked for a rest or
-// started to leave since the grant.
-func (c *Core) MayWrite(now time.Time, grant Grant) bool {
-	held := c.rests[grant.Target.Machine]
-	isResting := held != nil && now.Before(held.until)
-	_, isLeaving := c.leaving[grant.Target.Machine]
-	return !isResting && !isLeaving
+// MayWrite reports whether a granted request may still be written to its machine, which may have
+// requested a backoff or announced its shutdown since the grant.
+func (s *Core) MayWrite(now time.Time, grant Grant) bool {
+	existing := s.backoffs[grant.Target.Machine]
+	isBackedOff := existing != nil && now.Before(existing.until)
+	_, isLeaving := s.leaving[grant.Target.Machine]
+	return !isBackedOff && !isLeaving
 }
 
-// RestingMachines returns how many machines rest.
-func (c *Core) RestingMachines(now time.Time) int {
+// BackoffCount returns how many machines have a backoff in force.
+func (s *Core) RestingMachines(now time.Time) int {
 	count := 0
-	for _, held := range c.rests {
-		if now.Before(held.until) {
+	for _, existing := range s.backoffs {
+		if now.Before(existing.until) {
 			count++
 		}
 	}
 	return count
 }
 
-func (c *Core) allowsGrant(now time.Time, machine string) bool {
-	held := c.rests[machine]
-	return held == nil || held.allowsGrant(now)
+func (s *Core) allowsGrant(now time.Time, machine string) bool {
+	existing := s.backoffs[machine]
+	return existing == nil || existing.allowsGrant(now)
 }
 
-// noteGrant makes the first request after a rest its trial, and ends a rest whose trial is over.
-func (c *Core) noteGrant(now time.Time, machine string, request *Request) {
-	held := c.rests[machine]
-	if held == nil {
+// recordGrant makes the first request after a backoff its probe, and ends a backoff whose probe
+// timed out without a rejection.
+func (s *Core) recordGrant(now time.Time, machine string, request *Request) {
+	existing := s.backoffs[machine]
+	if existing == nil {
 		return
 	}
-	if held.trial != 0 {
-		delete(c.rests, machine)
+	if existing.probe != 0 {
+		delete(s.backoffs, machine)
 		return
 	}
-	held.trial, held.trialAt = request.ID, now
+	existing.probe, existing.probeAt = request.ID, now
 }
 
-// noteTrial records how a trial ended. A rejected or unsent trial lets the next request try; any other end shows
-// that the machine takes requests, or is a matter of its health.
-func (c *Core) noteTrial(grant Grant, accepted bool) {
-	held := c.rests[grant.Target.Machine]
-	if held == nil || held.trial != grant.Request.ID {
+// recordProbe records how a probe ended. If it was rejected or not sent, the next request becomes
+// the probe; any other end shows that the machine accepts requests, or is handled by its health.
+func (s *Core) recordProbe(grant Grant, accepted bool) {
+	existing := s.backoffs[grant.Target.Machine]
+	if existing == nil || existing.probe != grant.Request.ID {
 		return
 	}
 	if accepted {
-		delete(c.rests, grant.Target.Machine)
+		delete(s.backoffs, grant.Target.Machine)
 		return
 	}
-	held.trial = 0
+	existing.probe = 0
 }
 
-// RetryAfterRest returns when the first machine that could take a request ends its rest, up to maxRetryAfter. It
-// includes machines that the request was already sent to, since the caller's next try is a new request. allRest is
-// false if one of the machines does not rest, or there is none.
-func (c *Core) RetryAfterRest(now time.Time, request *Request) (retryAfter time.Duration, allRest bool) {
-	if len(c.rests) == 0 {
-		return 0, false // The usual case, which need not look at the targets.
+// RetryAfterBackoff returns how long it takes until the first machine that could serve a request
+// ends its backoff, up to maxRetryAfter. It includes machines that the request was already sent
+// to, since a retry of the caller is a new request. allBackedOff is false if one of the machines
+// accepts requests, or there are none.
+func (s *Core) RetryAfterRest(now time.Time, request *Request) (retryAfter time.Duration, allBackedOff bool) {
+	if len(s.backoffs) == 0 {
+		return 0, false // Fast path: avoids visiting the targets.
 	}
-	anew := *request
-	anew.Tried = nil
-	wait, allRest := c.untilRested(now, c.version(request.Version), &anew)
-	return min(wait, maxRetryAfter), allRest
+	retry := *request
+	retry.Tried = nil
+	wait, allBackedOff := s.untilBackoffEnds(now, s.version(request.Version), &retry)
+	return min(wait, maxRetryAfter), allBackedOff
 }
 
-// untilRested returns how long it takes until the first machine that could take a request ends its rest, if all of
-// them rest.
-func (c *Core) untilRested(now time.Time, version *versionState, request *Request) (wait time.Duration, allRest bool) {
+// untilBackoffEnds returns how long it takes until the first machine that could serve a request
+// ends its backoff, if all of them have one.
+func (s *Core) untilBackoffEnds(now time.Time, version *versionState, request *Request) (wait time.Duration, allBackedOff bool) {
 	for _, candidate := range version.targets {
-		if c.isExcluded(candidate, request) {
+		if s.isExcluded(candidate, request) {
 			continue
 		}
-		held := c.rests[candidate.Machine]
-		if held == nil || !now.Before(held.until) {
+		existing := s.backoffs[candidate.Machine]
+		if existing == nil || !now.Before(existing.until) {
 			return 0, false
 		}
-		if remaining := held.until.Sub(now); !allRest || remaining < wait {
-			wait, allRest = remaining, true
+		if remaining := existing.until.Sub(now); !allBackedOff || remaining < wait {
+			wait, allBackedOff = remaining, true
 		}
 	}
-	return wait, allRest
+	return wait, allBackedOff
 }
 
-// refuseResting refuses a request if all machines that could take it rest for longer than it waits, or have
-// rejected it before they rested.
-func (c *Core) refuseResting(now time.Time, version *versionState, request *Request) (Refusal, bool) {
-	retryAfter, allRest := c.RetryAfterRest(now, request)
-	until := request.waitsUntil()
-	if !allRest || version.mayBeReadyElsewhere(until) {
+// refuseBackedOff refuses a request if all machines that could serve it back off beyond its time
+// in the queue, or have already rejected it.
+func (s *Core) refuseBackedOff(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+	retryAfter, allBackedOff := s.RetryAfterRest(now, request)
+	until := request.queuedUntil()
+	if !allBackedOff || version.mayBeReadyElsewhere(until) {
 		return Refusal{}, false
 	}
-	if wait, mayReturn := c.untilRested(now, version, request); mayReturn && !now.Add(wait).After(until) {
+	if wait, isTemporary := s.untilBackoffEnds(now, version, request); isTemporary && !now.Add(wait).After(until) {
 		return Refusal{}, false
 	}
-	return Refusal{Request: request, Reason: RefusedResting, Detail: detailsOfPaced[RefusedResting], RetryAfter: retryAfter}, true
+	return Refusal{Request: request, Reason: RefusedResting, Detail: throttlingDetails[RefusedResting], RetryAfter: retryAfter}, true
 }
 
-// refuseWaitingFor refuses waiting requests for the versions of a machine that can't be served in time any more.
-func (c *Core) refuseWaitingFor(now time.Time, machine string, outcome *Outcome) {
-	for _, name := range c.versionsOn(machine) {
-		version := c.versions[name]
+// refuseWaitingOn refuses the waiting requests for the versions of a machine that can't be served
+// in time any more.
+func (s *Core) refuseWaitingOn(now time.Time, machine string, outcome *Outcome) {
+	for _, name := range s.waitingVersionsOn(machine) {
+		version := s.versions[name]
 		for _, request := range version.queue.sorted() {
-			if refusal, refused := c.refuseEarly(now, version, request); refused {
-				c.drop(request)
+			if refusal, refused := s.refuseEarly(now, version, request); refused {
+				s.dequeue(request)
 				outcome.Refusals = append(outcome.Refusals, refusal)
 			}
 		}
 	}
 }
 
-// versionsOn returns the versions with a target on a machine for which requests wait, by name.
-func (c *Core) versionsOn(machine string) []string {
+// waitingVersionsOn returns the versions with waiting requests and a target on a machine, sorted
+// by name.
+func (s *Core) waitingVersionsOn(machine string) []string {
 	found := map[string]bool{}
-	for _, held := range c.targets {
-		if held.Machine == machine && len(c.version(held.Version).queue.waiting) > 0 {
-			found[held.Version] = true
+	for _, candidate := range s.targets {
+		if candidate.Machine == machine && len(s.version(candidate.Version).queue.waiting) > 0 {
+			found[candidate.Version] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(found))
 }
 
-// RetainRests forgets the ended rests of machines that are not listed any more.
-func (c *Core) RetainRests(now time.Time, isListed func(machine string) bool) {
-	maps.DeleteFunc(c.rests, func(machine string, held *rest) bool {
-		return !now.Before(held.until) && !isListed(machine)
+// RetainBackoffs forgets the ended backoffs of unlisted machines.
+func (s *Core) RetainRests(now time.Time, isListed func(machine string) bool) {
+	maps.DeleteFunc(s.backoffs, func(machine string, existing *backoff) bool {
+		return !now.Before(existing.until) && !isListed(machine)
 	})
 }
--- a/internal/dispatch/rest_sim_test.go
+++ b/internal/dispatch/rest_sim_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// overload is many routers before one worker in virtual time. The worker runs a few requests at once and
-// rejects the others, with a rest for the router that sent them.
-type overload struct {
+// overloadSim simulates many routers and one machine in virtual time. The machine runs a few
+// requests at once, rejects the others and asks the sending router to back off.
+type overloadSim struct {
 	now     time.Time
 	routers []*Core
 	nextID  uint64
 	running int
-	// due are the events to come, by time.
-	due      map[time.Time][]func()
+	// events are the pending events by time.
+	events   map[time.Time][]func()
 	served   int
 	rejected int
 }
@@ -22,103 +22,103 @@
 const (
 	overloadSlots   = 8
 	overloadRouters = 20
-	overloadRest    = time.Second
-	// serviceTime is how long the worker takes for a request; firstByte until its answer begins.
+	overloadBackoff = time.Second
+	// firstByte is the time until the first byte of a response.
 	serviceTime = 200 * time.Millisecond
 	firstByte   = 20 * time.Millisecond
-	oneWay      = 2 * time.Millisecond
+	latency     = 2 * time.Millisecond
 	step        = time.Millisecond
 )
 
-func newOverload() *overload {
-	created := &overload{now: beginning, due: map[time.Time][]func(){}}
+func newOverloadSim() *overloadSim {
+	created := &overloadSim{now: epoch, events: map[time.Time][]func(){}}
 	for number := range overloadRouters {
-		core := New(Config{MaxWaiting: 100, SharedSlots: true, ByWork: true, Seed: uint64(number)})
-		core.SetLoads(created.now, nil, overloadRouters)
-		core.SetTargets(created.now, []Target{{Replica: "r", Version: "v", Machine: "m", Max: 2 * overloadSlots}})
-		created.routers = append(created.routers, core)
+		scheduler := New(Config{MaxWaiting: 100, SharedSlots: true, ByWork: true, Seed: uint64(number)})
+		scheduler.SetLoads(created.now, nil, overloadRouters)
+		scheduler.SetTargets(created.now, []Target{{Replica: "r", Version: "v", Machine: "m", Max: 2 * overloadSlots}})
+		created.routers = append(created.routers, scheduler)
 	}
 	return created
 }
 
-func (o *overload) after(span time.Duration, do func()) {
-	at := o.now.Add(span)
-	o.due[at] = append(o.due[at], do)
+func (o *overloadSim) after(delay time.Duration, event func()) {
+	at := o.now.Add(delay)
+	o.events[at] = append(o.events[at], event)
 }
 
-func (o *overload) submit(core *Core) {
+func (o *overloadSim) submit(scheduler *Core) {
 	o.nextID++
 	request := &Request{ID: o.nextID, Version: "v", Work: 100, Arrived: o.now, Deadline: o.now.Add(5 * time.Second), Patience: o.now.Add(2 * time.Second)}
-	o.take(core, core.Submit(o.now, request))
+	o.apply(scheduler, scheduler.Submit(o.now, request))
 }
 
-func (o *overload) take(core *Core, outcome Outcome) {
+func (o *overloadSim) apply(scheduler *Core, outcome Outcome) {
 	for _, grant := range outcome.Grants {
-		o.after(oneWay, func() { o.arrive(core, grant) })
+		o.after(latency, func() { o.arrive(scheduler, grant) })
 	}
 }
 
-func (o *overload) arrive(core *Core, grant Grant) {
+func (o *overloadSim) arrive(scheduler *Core, grant Grant) {
 	if o.running >= overloadSlots {
 		o.rejected++
-		o.after(oneWay, func() {
-			o.take(core, core.Rest(o.now, "m", overloadRest))
-			o.take(core, core.Release(o.now, grant, ResultNotRun))
+		o.after(latency, func() {
+			o.apply(scheduler, scheduler.Rest(o.now, "m", overloadBackoff))
+			o.apply(scheduler, scheduler.Release(o.now, grant, ResultNotRun))
 		})
 		return
 	}
 	o.running++
-	o.after(firstByte, func() { core.Started(grant) })
+	o.after(firstByte, func() { scheduler.Started(grant) })
 	o.after(serviceTime, func() {
 		o.running--
 		o.served++
-		o.take(core, core.Release(o.now, grant, ResultOK))
+		o.apply(scheduler, scheduler.Release(o.now, grant, ResultOK))
 	})
 }
 
-// run plays a time, with so many requests a second at all routers together.
-func (o *overload) run(span time.Duration, perSecond int) {
-	every := time.Second / time.Duration(perSecond)
-	for elapsed := time.Duration(0); elapsed < span; elapsed += step {
-		for _, do := range o.due[o.now] {
-			do()
+// run simulates a time span with a total request rate.
+func (o *overloadSim) run(duration time.Duration, perSecond int) {
+	interval := time.Second / time.Duration(perSecond)
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
+		for _, event := range o.events[o.now] {
+			event()
 		}
-		delete(o.due, o.now)
-		if elapsed%every < step {
+		delete(o.events, o.now)
+		if elapsed%interval < step {
 			o.submit(o.routers[int(o.nextID)%len(o.routers)])
 		}
-		for _, core := range o.routers {
-			o.take(core, core.Tick(o.now))
+		for _, scheduler := range o.routers {
+			o.apply(scheduler, scheduler.Tick(o.now))
 		}
 		o.now = o.now.Add(step)
 	}
 }
 
-// TestRoutersReturnFromRestsOneByOne: routers that had been asked for a rest at the same moment returned
-// with all their waiting requests at once, were rejected again, and left the worker idle meanwhile.
-func TestRoutersReturnFromRestsOneByOne(t *testing.T) {
+// TestRoutersResumeOneByOne guards against routers that end their backoffs at the same moment,
+// overload the machine again and leave it idle afterwards.
+func TestRoutersResumeOneByOne(t *testing.T) {
 	const (
-		// capacity is how many requests a second the worker can serve.
+		// capacity is the number of requests per second that the machine can serve.
 		capacity = float64(overloadSlots) * float64(time.Second) / float64(serviceTime)
 		seconds  = 10
-		// leastUse is the part of its work that the worker gets to do; mostRejected bounds the
-		// rejections for each request that is served.
-		leastUse     = 0.5
-		mostRejected = 2.0
+		// minUtilization is relative to what the machine could serve; maxRejected is per request
+		// served.
+		minUtilization = 0.5
+		maxRejected    = 2.0
 	)
-	for _, share := range []float64{0.5, 0.9, 1.5, 3} {
-		t.Run(strconv.FormatFloat(share, 'f', -1, 64), func(t *testing.T) {
-			world := newOverload()
-			world.run(time.Second, int(4*capacity)) // All routers are asked for a rest.
-			world.served, world.rejected = 0, 0
-			world.run(seconds*time.Second, int(share*capacity))
-			if least := leastUse * min(1, share) * capacity * seconds; float64(world.served) < least {
-				t.Errorf("%d served, the worker could do %.0f", world.served, least/leastUse)
+	for _, load := range []float64{0.5, 0.9, 1.5, 3} {
+		t.Run(strconv.FormatFloat(load, 'f', -1, 64), func(t *testing.T) {
+			sim := newOverloadSim()
+			sim.run(time.Second, int(4*capacity)) // Makes all routers back off.
+			sim.served, sim.rejected = 0, 0
+			sim.run(seconds*time.Second, int(load*capacity))
+			if want := minUtilization * min(1, load) * capacity * seconds; float64(sim.served) < want {
+				t.Errorf("%d requests served, capacity for %.0f", sim.served, want/minUtilization)
 			}
-			if most := mostRejected * float64(world.served); float64(world.rejected) > most {
-				t.Errorf("%d served, %d rejected", world.served, world.rejected)
+			if limit := maxRejected * float64(sim.served); float64(sim.rejected) > limit {
+				t.Errorf("%d served, %d rejected", sim.served, sim.rejected)
 			}
-			t.Logf("%d served, %d rejected", world.served, world.rejected)
+			t.Logf("%d served, %d rejected", sim.served, sim.rejected)
 		})
 	}
 }
--- a/internal/dispatch/stale.go
+++ b/internal/dispatch/stale.go
@@ -6,89 +6,86 @@
 	"time"
 )
 
-// Every router sees the same lagged work of machines, and if each took the machine that
-// is least busy by it, all would take the same one until the next digest. So a router
-// reckons with what the others have sent since: as much as itself, and, since they
-// reason alike, to the machines that were least busy, until these are as busy as the
-// next ones.
+// All routers see the same lagged work of machines. If each selected the machine that is least
+// busy by it, all would select the same one until the next digest. Each router therefore estimates
+// what the others have sent since: as much as it sent itself, to the machines that were least
+// busy, until these are as busy as the next ones.
 
 const (
-	// rateMemory is the time over which a version's rate of work is averaged.
-	rateMemory = 2 * time.Second
-	// usualStaleness is how old lagged work is taken to be before two digests have
-	// come.
-	usualStaleness = 500 * time.Millisecond
-	// longestStaleness bounds it: where no digests come, more is not known.
-	longestStaleness = 2 * time.Second
-	// stalenessGain is the weight of the newest interval between digests.
+	// rateTimeConstant is the time constant of the averaged work rate of a version.
+	rateTimeConstant = 2 * time.Second
+	// initialStaleness is the assumed staleness before two digests have been received.
+	initialStaleness = 500 * time.Millisecond
+	// maxStaleness bounds the estimate when no digests arrive.
+	maxStaleness = 2 * time.Second
+	// stalenessGain is the weight of the newest digest interval in the average.
 	stalenessGain = 0.25
 )
 
-// workRate is an averaged rate of work, in tokens per second.
+// workRate is an exponentially decaying average, in tokens per second.
 type workRate struct {
 	rate    float64
 	updated time.Time
 }
 
 func (r *workRate) add(now time.Time, work float64) {
-	r.rate = r.at(now) + work/rateMemory.Seconds()
+	r.rate = r.at(now) + work/rateTimeConstant.Seconds()
 	r.updated = now
 }
 
 func (r *workRate) at(now time.Time) float64 {
-	return r.rate * math.Exp(-max(0, now.Sub(r.updated).Seconds())/rateMemory.Seconds())
+	return r.rate * math.Exp(-max(0, now.Sub(r.updated).Seconds())/rateTimeConstant.Seconds())
 }
 
-// noteDigest learns how old the work of machines is by the interval between digests.
-func (c *Core) noteDigest(now time.Time) {
-	if !c.digestAt.IsZero() {
-		interval := min(longestStaleness, now.Sub(c.digestAt))
-		c.staleness += time.Duration(stalenessGain * float64(interval-c.staleness))
+// updateStaleness averages the interval between digests.
+func (s *Core) updateStaleness(now time.Time) {
+	if !s.digestAt.IsZero() {
+		interval := min(maxStaleness, now.Sub(s.digestAt))
+		s.staleness += time.Duration(stalenessGain * float64(interval-s.staleness))
 	}
-	c.digestAt = now
+	s.digestAt = now
 }
 
-// machineWork is the work that is known of a target's machine.
-func (c *Core) machineWork(candidate *target) float64 {
-	return c.work[candidate.Machine] + c.othersWork[candidate.Machine]
+func (s *Core) totalWork(candidate *target) float64 {
+	return s.ownWork[candidate.Machine] + s.othersWork[candidate.Machine]
 }
 
-// levelOfOthers is the work up to which the other routers have filled the least busy
-// targets since the work of machines was reported; 0 for a single router.
-func (c *Core) levelOfOthers(now time.Time, version *versionState, targets []*target) float64 {
-	sent := float64(c.routers-1) * version.rate.at(now) * c.staleness.Seconds()
+// fillLevelOfOthers is the estimated work up to which other routers have filled the least busy
+// targets since the last report; 0 for a single router.
+func (s *Core) fillLevelOfOthers(now time.Time, version *versionState, targets []*target) float64 {
+	sent := float64(s.routers-1) * version.rate.at(now) * s.staleness.Seconds()
 	if sent <= 0 || len(targets) < 2 {
 		return 0
 	}
 	loads := make([]float64, 0, len(targets))
 	for _, candidate := range targets {
-		loads = append(loads, c.machineWork(candidate))
+		loads = append(loads, s.totalWork(candidate))
 	}
-	return fillLevel(loads, sent)
+	return waterFill(loads, sent)
 }
 
-// fillLevel is how high the lowest loads come when an amount is poured over them.
-func fillLevel(loads []float64, amount float64) float64 {
+// waterFill returns the level that the lowest loads reach when an amount is distributed over them.
+func waterFill(loads []float64, amount float64) float64 {
 	slices.Sort(loads)
-	for filled := 1; filled < len(loads); filled++ {
-		step := (loads[filled] - loads[filled-1]) * float64(filled)
+	for count := 1; count < len(loads); count++ {
+		step := (loads[count] - loads[count-1]) * float64(count)
 		if amount <= step {
-			return loads[filled-1] + amount/float64(filled)
+			return loads[count-1] + amount/float64(count)
 		}
 		amount -= step
 	}
 	return loads[len(loads)-1] + amount/float64(len(loads))
 }
 
-// weightedRank orders machines for a key so that each comes first as often as its
-// weight says: by the rendezvous hashing of weighted nodes.
+// weightedRank ranks a machine for a key by weighted rendezvous hashing: each machine ranks first
+// in proportion to its weight.
 func weightedRank(key uint64, machine string, weight float64) float64 {
 	return -max(weight, math.SmallestNonzeroFloat32) / math.Log(uniform(key, machine))
 }
 
-// uniform is a number between 0 and 1 for a key and a machine, evenly spread over both.
+// uniform returns a uniformly distributed hash of a key and a machine, between 0 and 1.
 func uniform(key uint64, machine string) float64 {
-	// The upper 53 bits are as many as a float64 holds.
+	// A float64 holds 53 bits.
 	const scale = 1 << 53
 	return (float64(rank(key, machine)>>11) + 0.5) / scale
 }
--- a/internal/dispatch/stale_test.go
+++ b/internal/dispatch/stale_test.go
@@ -7,79 +7,79 @@
 	"time"
 )
 
-// herd is a course of requests at routers that know of each other only by digests.
-type herd struct {
+// herdSim simulates routers that know of each other's requests by digests only.
+type herdSim struct {
 	routers []*Core
 	random  *rand.Rand
 	now     time.Time
-	// backlog is the work before each machine, in tokens; sent are the grants that a
-	// machine has not read yet, in order.
+	// backlog is the outstanding work of each machine, in tokens; sent are the grants that a
+	// machine has not processed yet, in order.
 	backlog map[string]float64
 	sent    map[string][]sentGrant
-	// waited adds up the work that requests found before them, least what they would
-	// have found at the least busy machine.
-	waited, least float64
+	// queuedWork is the total work ahead of requests on arrival, leastQueued what it would have
+	// been on the least busy machine.
+	queuedWork, leastQueued float64
 }
 
 type sentGrant struct {
-	router *Core
-	grant  Grant
-	left   float64
+	router    *Core
+	grant     Grant
+	remaining float64
 }
 
 const (
 	herdMachines = 6
-	// herdSpeed is how many tokens a machine reads in a second.
-	herdSpeed = 40_000
-	herdWork  = 3000
-	herdLoad  = 0.6
-	herdStep  = 5 * time.Millisecond
+	// herdSpeed is the tokens per second that a machine processes.
+	herdSpeed       = 40_000
+	herdWork        = 3000
+	herdUtilization = 0.6
+	herdStep        = 5 * time.Millisecond
 )
 
-func newHerd(routers int) *herd {
-	created := &herd{
+func newHerdSim(routers int) *herdSim {
+	created := &herdSim{
 		random: rand.New(rand.NewPCG(11, 13)), now: time.Unix(1000, 0), backlog: map[string]float64{}, sent: map[string][]sentGrant{},
 	}
 	for number := range routers {
-		core := New(Config{MaxWaiting: 10000, SharedSlots: true, ByWork: true, Seed: uint64(number)})
+		scheduler := New(Config{MaxWaiting: 10000, SharedSlots: true, ByWork: true, Seed: uint64(number)})
 		var targets []Target
 		for machine := range herdMachines {
 			name := "m" + strconv.Itoa(machine)
 			targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 1000})
 		}
-		core.SetTargets(created.now, targets)
-		created.routers = append(created.routers, core)
+		scheduler.SetTargets(created.now, targets)
+		created.routers = append(created.routers, scheduler)
 	}
 	return created
 }
 
-func (h *herd) run(span time.Duration) {
-	perStep := herdLoad * herdMachines * herdSpeed / herdWork * herdStep.Seconds()
+func (h *herdSim) run(duration time.Duration) {
+	perStep := herdUtilization * herdMachines * herdSpeed / herdWork * herdStep.Seconds()
 	var reported map[string]float64
-	for elapsed := time.Duration(0); elapsed < span; elapsed += herdStep {
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += herdStep {
 		h.now = h.now.Add(herdStep)
 		if h.random.Float64() < perStep {
 			h.arrive(h.routers[h.random.IntN(len(h.routers))])
 		}
-		h.read()
+		h.process()
 		if elapsed%(500*time.Millisecond) != 0 {
 			continue
 		}
-		// A digest carries what was reported before it.
-		for _, core := range h.routers {
-			core.SetWork(h.now, reported)
-			core.SetLoads(h.now, nil, len(h.routers))
+		// A digest contains the previous reports.
+		for _, scheduler := range h.routers {
+			scheduler.SetWork(h.now, reported)
+			scheduler.SetLoads(h.now, nil, len(h.routers))
 		}
 		reported = map[string]float64{}
-		for _, core := range h.routers {
-			for machine, work := range core.Work() {
+		for _, scheduler := range h.routers {
+			for machine, work := range scheduler.Work() {
 				reported[machine] += work
 			}
 		}
 	}
 }
 
-func (h *herd) arrive(router *Core) {
+func (h *herdSim) arrive(router *Core) {
 	nextRequest++
 	outcome := router.Submit(h.now, &Request{
 		ID: nextRequest, Version: "v", Arrived: h.now, Deadline: h.now.Add(time.Minute), Work: herdWork,
@@ -90,21 +90,21 @@
 	for number := range herdMachines {
 		least = min(least, h.backlog["m"+strconv.Itoa(number)])
 	}
-	h.waited += h.backlog[machine]
-	h.least += least
+	h.queuedWork += h.backlog[machine]
+	h.leastQueued += least
 	h.backlog[machine] += herdWork
-	h.sent[machine] = append(h.sent[machine], sentGrant{router: router, grant: grant, left: herdWork})
+	h.sent[machine] = append(h.sent[machine], sentGrant{router: router, grant: grant, remaining: herdWork})
 }
 
-func (h *herd) read() {
+func (h *herdSim) process() {
 	for machine, queue := range h.sent {
 		budget := herdSpeed * herdStep.Seconds()
 		for len(queue) > 0 && budget > 0 {
-			done := min(budget, queue[0].left)
-			queue[0].left -= done
+			done := min(budget, queue[0].remaining)
+			queue[0].remaining -= done
 			h.backlog[machine] -= done
 			budget -= done
-			if queue[0].left <= 0 {
+			if queue[0].remaining <= 0 {
 				queue[0].router.Release(h.now, queue[0].grant, ResultOK)
 				queue = queue[1:]
 			}
@@ -113,26 +113,25 @@
 	}
 }
 
-// TestRoutersDoNotHerd: by reports that are up to a second old, every router took the
-// machine that had been least busy, until the next report. The bound is how much work
-// requests find before them, in the work of one request, over what they would find at
-// the machine that is least busy.
+// TestRoutersDoNotHerd guards against all routers selecting the machine that was least busy in the
+// last digest. The bound is the excess work ahead of a request compared with the least busy
+// machine, in requests.
 func TestRoutersDoNotHerd(t *testing.T) {
 	for routers, bound := range map[int]float64{1: 0.3, 8: 1.5, 80: 1.8} {
 		t.Run(strconv.Itoa(routers), func(t *testing.T) {
-			course := newHerd(routers)
-			course.run(time.Minute)
-			requests := herdLoad * herdMachines * herdSpeed / herdWork * 60.0
-			extra := (course.waited - course.least) / requests / herdWork
-			t.Logf("%d routers: %.2f requests more before each than at the least busy machine", routers, extra)
+			sim := newHerdSim(routers)
+			sim.run(time.Minute)
+			requests := herdUtilization * herdMachines * herdSpeed / herdWork * 60.0
+			extra := (sim.queuedWork - sim.leastQueued) / requests / herdWork
+			t.Logf("%d routers: %.2f excess requests ahead", routers, extra)
 			if extra > bound {
-				t.Errorf("%.2f, allowed %.2f", extra, bound)
+				t.Errorf("got %.2f excess requests ahead, want at most %.2f", extra, bound)
 			}
 		})
 	}
 }
 
-func TestFillLevel(t *testing.T) {
+func TestWaterFill(t *testing.T) {
 	for _, test := range []struct {
 		loads  []float64
 		amount float64
@@ -144,13 +143,13 @@
 		{[]float64{0, 10, 20}, 60, 30},
 		{[]float64{5}, 3, 8},
 	} {
-		if level := fillLevel(test.loads, test.amount); level != test.level {
-			t.Errorf("%v with %v: %v, expected %v", test.loads, test.amount, level, test.level)
+		if level := waterFill(test.loads, test.amount); level != test.level {
+			t.Errorf("waterFill(%v, %v) = %v, want %v", test.loads, test.amount, level, test.level)
 		}
 	}
 }
 
-// TestWeightedRank: each machine comes first as often as its weight says.
+// TestWeightedRank checks that each machine ranks first in proportion to its weight.
 func TestWeightedRank(t *testing.T) {
 	const keys = 20000
 	weights := map[string]float64{"a": 1, "b": 3, "c": 0}
@@ -165,6 +164,6 @@
 		first[best]++
 	}
 	if share := float64(first["b"]) / keys; share < 0.73 || share > 0.77 || first["c"] > 0 {
-		t.Errorf("%v", first)
+		t.Errorf("first ranks: %v", first)
 	}
 }
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -6,106 +6,106 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// Submit asks for a replica. The request is granted, refused, or waits.
-func (c *Core) Submit(now time.Time, request *Request) Outcome {
-	version := c.version(request.Version)
+// Submit grants, refuses or queues a request.
+func (s *Core) Submit(now time.Time, request *Request) Outcome {
+	version := s.version(request.Version)
 	version.arrivals++
 	version.work += request.Work
 	version.rate.add(now, request.Work)
-	if request.Target > 0 && (version.target == 0 || request.Target < version.target) {
-		version.target = request.Target
+	if request.Target > 0 && (version.ttftTarget == 0 || request.Target < version.ttftTarget) {
+		version.ttftTarget = request.Target
 	}
-	if request.Adapter != "" && c.config.PlacedAdapters {
+	if request.Adapter != "" && s.config.PlacedAdapters {
 		version.countAdapter(request.Adapter)
 	}
-	version.countBound(request)
-	return c.enqueue(now, version, request)
+	version.countConstrained(request)
+	return s.enqueue(now, version, request)
 }
 
-// Resubmit asks again for a request whose replica turned out not to run it.
-func (c *Core) Resubmit(now time.Time, request *Request) Outcome {
-	return c.enqueue(now, c.version(request.Version), request)
+// Resubmit submits a request again that its target did not run.
+func (s *Core) Resubmit(now time.Time, request *Request) Outcome {
+	return s.enqueue(now, s.version(request.Version), request)
 }
 
-func (c *Core) enqueue(now time.Time, version *versionState, request *Request) Outcome {
+func (s *Core) enqueue(now time.Time, version *versionState, request *Request) Outcome {
 	var outcome Outcome
-	c.waiters[request.ID] = version.queue.push(request)
-	c.dispatch(now, version, &outcome, request)
-	if c.waiters[request.ID] == nil {
+	s.waiters[request.ID] = version.queue.push(request)
+	s.dispatch(now, version, &outcome, request)
+	if s.waiters[request.ID] == nil {
 		return outcome
 	}
-	if refusal, refused := c.refuseEarly(now, version, request); refused {
-		c.drop(request)
+	if refusal, refused := s.refuseEarly(now, version, request); refused {
+		s.dequeue(request)
 		outcome.Refusals = append(outcome.Refusals, refusal)
 		return outcome
 	}
-	c.shed(&outcome)
+	s.shed(&outcome)
 	return outcome
 }
 
-// dispatch grants waiting requests of a version, first come first, as long as
-// there is room. Fresh is the request that has just come, if any.
-func (c *Core) dispatch(now time.Time, version *versionState, outcome *Outcome, fresh *Request) {
+// dispatch grants waiting requests of a version in serving order while there is capacity. fresh is
+// the request just submitted, or nil.
+func (s *Core) dispatch(now time.Time, version *versionState, outcome *Outcome, fresh *Request) {
 	for {
-		request, chosen := c.nextGrant(now, version)
+		request, chosen := s.nextGrant(now, version)
 		if chosen == nil {
 			return
 		}
-		c.drop(request)
+		s.dequeue(request)
 		chosen.inFlight++
-		c.noteGrant(now, chosen.Machine, request)
-		c.onMachine[chosen.Machine]++
-		c.addWork(chosen.Machine, request)
+		s.recordGrant(now, chosen.Machine, request)
+		s.ownLoad[chosen.Machine]++
+		s.addWork(chosen.Machine, request)
 		version.running++
-		version.runAdapter(request.Adapter, 1)
-		version.runBound(request, 1)
-		chosen.remember(now, request)
+		version.adjustAdapterRunning(request.Adapter, 1)
+		version.adjustConstrainedRunning(request, 1)
+		chosen.recordCached(now, request)
 		outcome.Grants = append(outcome.Grants, Grant{Request: request, Target: chosen.Target, Waited: request != fresh})
 	}
 }
 
-// nextGrant returns the first request that there is a place for. Requests that wait for an
-// adapter that is placed, or for a place in their regions, don't hold up those behind.
-func (c *Core) nextGrant(now time.Time, version *versionState) (*Request, *target) {
+// nextGrant returns the first request that can be granted. Requests that wait for a placed adapter
+// or for their regions don't block the others.
+func (s *Core) nextGrant(now time.Time, version *versionState) (*Request, *target) {
 	first := version.queue.first()
 	if first == nil {
 		return nil, nil
 	}
-	if chosen := c.pick(now, version, first); chosen != nil || !c.config.PlacedAdapters && !first.Allowed.IsBound() {
+	if chosen := s.pick(now, version, first); chosen != nil || !s.config.PlacedAdapters && !first.Allowed.IsBound() {
 		return first, chosen
 	}
 	for _, request := range version.queue.sorted() {
 		if request == first {
 			continue
 		}
-		if chosen := c.pick(now, version, request); chosen != nil {
+		if chosen := s.pick(now, version, request); chosen != nil {
 			return request, chosen
 		}
 	}
 	return nil, nil
 }
 
-func (c *Core) drop(request *Request) {
-	entry := c.waiters[request.ID]
+func (s *Core) dequeue(request *Request) {
+	entry := s.waiters[request.ID]
 	if entry == nil {
 		return
 	}
-	c.versions[request.Version].queue.remove(entry)
-	delete(c.waiters, request.ID)
+	s.versions[request.Version].queue.remove(entry)
+	delete(s.waiters, request.ID)
 }
 
-// Cancel takes a waiting request out of its queue.
-func (c *Core) Cancel(request *Request) {
-	c.drop(request)
+// Cancel removes a waiting request from its queue.
+func (s *Core) Cancel(request *Request) {
+	s.dequeue(request)
 }
 
-// Rebind changes in which regions a waiting request may be served.
-func (c *Core) Rebind(now time.Time, request *Request, allowed places.Constraint) Outcome {
+// SetConstraint changes the region constraint of a waiting request.
+func (s *Core) Rebind(now time.Time, request *Request, allowed places.Constraint) Outcome {
 	var outcome Outcome
-	if c.waiters[request.ID] == nil {
+	if s.waiters[request.ID] == nil {
 		return outcome
 	}
 	request.Allowed = allowed
-	c.dispatch(now, c.version(request.Version), &outcome, nil)
+	s.dispatch(now, s.version(request.Version), &outcome, nil)
 	return outcome
 }
--- a/internal/dispatch/targets.go
+++ b/internal/dispatch/targets.go
@@ -2,104 +2,103 @@
 
 import "time"
 
-// target is a Target with its load.
+// target is a Target with its state.
 type target struct {
 	Target
 	inFlight int
-	// retired targets get nothing new and are dropped when idle.
+	// retired targets get no new requests and are removed when idle.
 	retired bool
-	// leaving targets get nothing new: their machine has said that it shuts down.
+	// leaving targets get no new requests, since their machine announced its shutdown.
 	leaving  bool
 	health   health
 	adapters map[string]time.Time
 	prefixes prefixCache
 }
 
-// SetTargets replaces the replicas that may get requests.
-func (c *Core) SetTargets(now time.Time, targets []Target) Outcome {
+// SetTargets replaces all targets.
+func (s *Core) SetTargets(now time.Time, targets []Target) Outcome {
 	var outcome Outcome
 	listed := make(map[string]bool, len(targets))
-	for _, next := range targets {
-		listed[next.Replica] = true
-		c.putTarget(next)
+	for _, updated := range targets {
+		listed[updated.Replica] = true
+		s.putTarget(updated)
 	}
-	for name, held := range c.targets {
+	for name, existing := range s.targets {
 		if !listed[name] {
-			c.retire(held)
+			s.retire(existing)
 		}
 	}
-	c.forgetAnswers()
-	c.dispatchAll(now, &outcome)
+	s.pruneResponseCounts()
+	s.dispatchAll(now, &outcome)
 	return outcome
 }
 
-// replaceTargets is SetTargets with those in drained zones beside.
-func (c *Core) replaceTargets(now time.Time, changes TargetChanges) Outcome {
-	c.replaceDrained(changes.Drained)
-	outcome := c.SetTargets(now, changes.Targets)
-	c.refuseWaitingForDrained(now, &outcome)
+// replaceTargets is SetTargets including the targets in drained zones.
+func (s *Core) replaceTargets(now time.Time, changes TargetChanges) Outcome {
+	s.replaceDrained(changes.Drained)
+	outcome := s.SetTargets(now, changes.Targets)
+	s.refuseWaitingForDrained(now, &outcome)
 	return outcome
 }
 
-// ChangeTargets takes over what is new in the replicas that may get requests. It costs what
-// has changed, where SetTargets costs all that there is.
-func (c *Core) ChangeTargets(now time.Time, changes TargetChanges) Outcome {
+// ChangeTargets applies changes to the targets. Its cost depends on the number of changes, that of
+// SetTargets on the number of targets.
+func (s *Core) ChangeTargets(now time.Time, changes TargetChanges) Outcome {
 	if changes.Full {
-		return c.replaceTargets(now, changes)
+		return s.replaceTargets(now, changes)
 	}
 	var outcome Outcome
-	for _, next := range changes.Targets {
-		c.putTarget(next)
+	for _, updated := range changes.Targets {
+		s.putTarget(updated)
 	}
 	for _, name := range changes.Removed {
-		c.unsetDrained(name)
-		c.removeTarget(name)
+		s.unsetDrained(name)
+		s.removeTarget(name)
 	}
-	for _, next := range changes.Drained {
-		c.setDrained(next)
+	for _, updated := range changes.Drained {
+		s.setDrained(updated)
 	}
 	if len(changes.Removed) > 0 || len(changes.Drained) > 0 {
-		c.forgetAnswers() // Once for all of them: a drain takes out a whole zone's.
+		s.pruneResponseCounts() // Costs a pass over all targets.
 	}
-	c.dispatchAll(now, &outcome)
-	c.refuseWaitingForDrained(now, &outcome)
+	s.dispatchAll(now, &outcome)
+	s.refuseWaitingForDrained(now, &outcome)
 	return outcome
 }
 
-// removeTarget gives a target nothing new, if there is one of that name.
-func (c *Core) removeTarget(name string) {
-	if held := c.targets[name]; held != nil {
-		c.retire(held)
+func (s *Core) removeTarget(name string) {
+	if existing := s.targets[name]; existing != nil {
+		s.retire(existing)
 	}
 }
 
-func (c *Core) putTarget(next Target) {
-	c.unsetDrained(next.Replica)
-	if held := c.targets[next.Replica]; held != nil {
-		held.Target = next
-		held.retired = false
+func (s *Core) putTarget(updated Target) {
+	s.unsetDrained(updated.Replica)
+	if existing := s.targets[updated.Replica]; existing != nil {
+		existing.Target = updated
+		existing.retired = false
 		return
 	}
-	_, isLeaving := c.leaving[next.Machine]
-	added := &target{Target: next, leaving: isLeaving, adapters: map[string]time.Time{}}
-	c.targets[next.Replica] = added
-	version := c.version(next.Version)
+	_, isLeaving := s.leaving[updated.Machine]
+	added := &target{Target: updated, leaving: isLeaving, adapters: map[string]time.Time{}}
+	s.targets[updated.Replica] = added
+	version := s.version(updated.Version)
 	version.targets = append(version.targets, added)
 }
 
-// retire gives a target nothing new; it is dropped once it is idle.
-func (c *Core) retire(held *target) {
-	held.retired = true
-	if held.inFlight == 0 {
-		c.forget(held)
+// retire stops new requests to a target; it is removed once it is idle.
+func (s *Core) retire(existing *target) {
+	existing.retired = true
+	if existing.inFlight == 0 {
+		s.remove(existing)
 	}
 }
 
-func (c *Core) forget(held *target) {
-	delete(c.targets, held.Replica)
-	version := c.version(held.Version)
-	for position, other := range version.targets {
-		if other == held {
+func (s *Core) remove(removed *target) {
+	delete(s.targets, removed.Replica)
+	version := s.version(removed.Version)
+	for position, candidate := range version.targets {
+		if candidate == removed {
 			version.targets = append(version.targets[:position], version.targets[position+1:]...)
 			return
 		}
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -7,35 +7,34 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// Request is a request for a replica.
 type Request struct {
-	// ID is unique among the requests that wait.
+	// ID is unique among the waiting requests.
 	ID       uint64
 	Version  string
 	Adapter  string
 	Priority int32
 	Arrived  time.Time
 	Deadline time.Time
-	// Prefix is a hash of the prompt's beginning; 0 if there is none.
+	// PrefixHash is a hash of the beginning of the prompt; 0 if there is none.
 	Prefix uint64
-	// Avoid names a replica that just failed the request.
+	// Avoid is a replica that just failed the request.
 	Avoid string
-	// Tried are the machines that the request must not go to again.
+	// TriedMachines must not get the request again.
 	Tried []string
-	// Work is what the request asks of a machine, in tokens; Shared is the
-	// part of it that is spared where the prompt's beginning is cached.
+	// Work is the request's processing cost in tokens; PrefixWork is the part that a cached prompt
+	// prefix saves.
 	Work, Shared float64
-	// Detour is how much less work a target in another region must have before it to be
-	// preferred, in tokens; 0 where places don't matter.
+	// CrossRegionPenalty is how much less outstanding work a target in another region must have to
+	// be preferred, in tokens; 0 if distance is ignored.
 	Detour float64
-	// Target is within which the answer should begin; 0 if that is open.
+	// TTFTTarget is the targeted time to first token; 0 if there is none.
 	Target time.Duration
-	// Allowed says in which regions the request may be served.
+	// Allowed constrains the regions that may serve the request.
 	Allowed places.Constraint
-	// outstanding is the work that the request's machine has not done yet.
-	outstanding float64
-	// Patience is until when the request waits for a place; zero for as long
-	// as its deadline allows.
+	// outstandingWork is the work that the machine has not processed yet.
+	outstandingWork float64
+	// QueueDeadline ends the request's time in the queue before its Deadline; zero if Deadline
+	// applies.
 	Patience time.Time
 }
 
@@ -45,115 +44,112 @@
 	Version  string
 	Machine  string
 	Endpoint string
-	// Max is how many requests the replica runs at once.
-	Max int
-	// Adapters that the replica holds, where these are placed like models.
+	Max      int
+	// Adapters are those loaded on the replica, if adapters are placed like models.
 	Adapters []string
-	// Zone is where the target's machine stands.
-	Zone string
-	// Region is where the target is served from; empty where that is not known.
+	Zone     string
+	// Region is empty if unknown.
 	Region string
-	// Nearness is how near the target is to the router.
+	// Nearness is the distance from the router.
 	Nearness places.Nearness
-	// Fixed is set for a machine that serves by itself: no replica of it can be loaded elsewhere.
+	// Fixed is set for a machine outside of the leader's placement: its replicas can't be loaded
+	// elsewhere.
 	Fixed bool
-	// Suspect targets get requests only if there are no others: their machine
-	// has been silent for a while.
+	// Suspect is set if the machine has been silent for a while. Such targets get requests only if
+	// there are no others.
 	Suspect bool
 }
 
-// Grant lets a request go to a target. It must be released.
+// Grant sends a request to a target. It must be released.
 type Grant struct {
 	Request *Request
 	Target  Target
-	// Waited is set where the request had to wait for a replica.
+	// Waited is set if the request was queued.
 	Waited bool
 }
 
-// RefusalReason says why a request is refused. All are "not run".
+// RefusalReason is why a request was refused. All refused requests are "not run".
 type RefusalReason string
 
-// The reasons for refusals.
 const (
 	// RefusedDeadline: the deadline passed, or can't be met.
 	RefusedDeadline RefusalReason = "deadline"
-	// RefusedOverload: too many wait, and others come first.
+	// RefusedOverload: the queue is full of requests that are served earlier.
 	RefusedOverload RefusalReason = "overload"
-	// RefusedZoneDrained: what could serve the request stands in drained zones, and nothing
-	// else is expected to in time.
+	// RefusedZoneDrained: the replicas are in drained zones, and no other is expected in time.
 	RefusedZoneDrained RefusalReason = v1.ReasonZoneDrained
 	// RefusedNotLoadable: no machine can hold the model.
 	RefusedNotLoadable RefusalReason = "not-loadable"
-	// RefusedWarming: the machines that could take it warm up, and get no more for now.
+	// RefusedWarming: the machines are warming up and get no more requests for now.
 	RefusedWarming RefusalReason = "warming"
-	// RefusedLimited: the machines that could take it name a limit, and get no more for now.
+	// RefusedLimited: the machines have rate limits and get no more requests for now.
 	RefusedLimited RefusalReason = "limited"
-	// RefusedResting: the machines that could take it asked this router for a rest.
+	// RefusedBackoff: the machines asked this router to back off.
 	RefusedResting RefusalReason = "resting"
-	// RefusedRegion: no machine may serve the request any more.
+	// RefusedRegion: no machine in the allowed regions may serve the request any more.
 	RefusedRegion RefusalReason = "no-allowed-region"
 )
 
-// detailsOfPaced describe the refusals where machines are there and take no more for now.
-var detailsOfPaced = map[RefusalReason]string{
+// throttlingDetails are the details of refusals for machines that exist but get no more requests
+// for now.
+var throttlingDetails = map[RefusalReason]string{
 	RefusedWarming: "the machines that could take it warm up",
 	RefusedLimited: "the machines that could take it limit how many requests they take",
 	RefusedResting: "the machines that could take it are overloaded and asked for a rest",
 }
 
-// Refusal ends a request that waited.
+// Refusal ends a waiting request.
 type Refusal struct {
 	Request *Request
 	Reason  RefusalReason
 	Detail  string
-	// RetryAfter is when a next try may be served; 0 if that is not known.
+	// RetryAfter is when a retry may succeed; 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Outcome is what follows from an event.
+// Outcome is the result of an event.
 type Outcome struct {
 	Grants   []Grant
 	Refusals []Refusal
 }
 
-// TargetChanges are what is new in the replicas that may get requests.
+// TargetChanges is an incremental or full update of the targets.
 type TargetChanges struct {
-	// Full is set where Targets are all that there are.
+	// Full is set if Targets replaces all targets.
 	Full bool
-	// Targets are those that are new or have changed, by name.
+	// Targets are new or changed.
 	Targets []Target
-	// Removed names the replicas that get nothing any more.
+	// Removed names replicas.
 	Removed []string
-	// Drained would be targets if their zones were not drained. They get nothing; that they are
-	// there tells why a version has no target.
+	// Drained are targets in drained zones. They get no requests, but explain why a version has no
+	// target.
 	Drained []Target
 }
 
-// Estimate is the leader's estimate for a version.
+// Estimate is the leader's estimate of when a version is ready.
 type Estimate struct {
-	// ReadyAt is when a replica is expected to be ready, EarliestAt when it is at best.
+	// ReadyAt is the expected time, EarliestAt the earliest possible one.
 	ReadyAt, EarliestAt time.Time
-	// Refused is set where the version can't be loaded; Reason says why.
+	// Refused is set if the version can't be loaded.
 	Refused bool
 	Reason  string
 }
 
-// Demand is what a router reports of one version, of one of its adapters, or of the requests for
-// it under one constraint; these are parts of the version's.
+// Demand is the reported demand for a version, or for the part of it for one adapter or under one
+// region constraint.
 type Demand struct {
 	Version string
 	Adapter string
-	// Allowed binds the requests that are told of, where it binds any.
+	// Allowed is the region constraint of the requests, if any.
 	Allowed  places.Constraint
 	Waiting  int
 	Running  int
 	Arrivals uint64
-	// Work is what all requests so far asked of machines, in tokens.
+	// Work is the total work of all requests so far, in tokens.
 	Work uint64
-	// Target is the shortest time within which a request wanted its answer to
-	// begin; 0 if none said.
+	// TTFTTarget is the shortest one requested; 0 if there is none.
 	Target time.Duration
-	// OldestWait is the age of the request that waits longest.
+	// OldestWait is the age of the longest-waiting request.
 	OldestWait time.Duration
 	Priority   int32
 }
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -7,96 +7,97 @@
 	"github.com/weldline/weldline/internal/ratelimit"
 )
 
-// A machine that warms up bears a few requests a second and answers them slowly, so it gets requests only where no
-// warm machine has room. A limited machine gets requests like any other, since only its answers show when the limit
-// ends. Each request to such machines needs a permit of the leader, which the router requests once the core has
-// chosen. A machine for which there is no permit now is held for a moment.
+// Machines that are warming up handle only a few requests per second, so they are used only when
+// no warm machine has capacity. Rate-limited machines are used like any other, since only their
+// responses show when the limit ends. Each request to either needs a permit from the leader, which
+// the router requests after the target is selected. A machine that gets no permit is put on hold.
 
-// standing orders the targets of a version: those that come first are used up first.
-type standing int
+// tier is the preference of a target: a lower tier is used up first.
+type tier int
 
 const (
-	standsWarm standing = iota
-	standsWarming
-	// standsSuspect: the machine has been silent for a while.
-	standsSuspect
-	// standsInDoubt: the same, and it takes a permit, as it may have started anew. It gets requests
-	// only where no other machine could take them: the permits are few, mostly for a machine that is
-	// down, and a request that asks for one loses its turn where it waits.
-	standsInDoubt
+	tierWarm tier = iota
+	tierWarming
+	// tierSuspect: the machine has been silent for a while.
+	tierSuspect
+	// tierSuspectWarming: the machine is also taken to be warming up, since it may have restarted.
+	// It is used only if no other machine could serve the request: the machine is probably down,
+	// and a request that asks for a permit loses its place in the queue.
+	tierSuspectWarming
 )
 
-func (c *Core) standingOf(candidate *target) standing {
+func (s *Core) tierOf(candidate *target) tier {
 	switch {
-	case candidate.Suspect && c.warming[candidate.Machine]:
-		return standsInDoubt
+	case candidate.Suspect && s.warming[candidate.Machine]:
+		return tierSuspectWarming
 	case candidate.Suspect:
-		return standsSuspect
-	case c.warming[candidate.Machine]:
-		return standsWarming
+		return tierSuspect
+	case s.warming[candidate.Machine]:
+		return tierWarming
 	}
-	return standsWarm
+	return tierWarm
 }
 
-// hasNoneInTouch reports whether all targets that could take a request, free or not, are in doubt.
-func (c *Core) hasNoneInTouch(version *versionState, request *Request) bool {
+// allSuspectWarming reports whether all targets that could serve a request, regardless of their
+// load, are in tierSuspectWarming.
+func (s *Core) allSuspectWarming(version *versionState, request *Request) bool {
 	for _, candidate := range version.targets {
-		if c.standingOf(candidate) != standsInDoubt && !c.isExcluded(candidate, request) {
+		if s.tierOf(candidate) != tierSuspectWarming && !s.isExcluded(candidate, request) {
 			return false
 		}
 	}
 	return true
 }
 
-// SetWarming replaces the machines that warm up.
-func (c *Core) SetWarming(warming map[string]bool) {
-	c.warming = warming
+// SetWarming replaces the set of machines that are warming up.
+func (s *Core) SetWarming(warming map[string]bool) {
+	s.warming = warming
 }
 
-// SetLimited replaces the machines that name a limit. One whose limit has ended or grown is held no
-// more.
-func (c *Core) SetLimited(limited map[string]ratelimit.Limit) {
-	for machine, before := range c.limited {
+// SetLimited replaces the rate limits of machines. The hold of a machine ends if its limit ended
+// or grew.
+func (s *Core) SetLimited(limited map[string]ratelimit.Limit) {
+	for machine, before := range s.limited {
 		after := limited[machine]
 		if !after.IsSet || after.PerSecond > before.PerSecond {
-			delete(c.held, machine)
+			delete(s.holds, machine)
 		}
 	}
-	c.limited = limited
+	s.limited = limited
 }
 
-// isPaced reports whether requests to a machine need permits.
-func (c *Core) isPaced(machine string) bool {
-	return c.warming[machine] || c.limited[machine].IsSet
+// needsPermit reports whether requests to a machine need permits.
+func (s *Core) needsPermit(machine string) bool {
+	return s.warming[machine] || s.limited[machine].IsSet
 }
 
-// Hold gives a machine nothing before a time. Tick gives out its room once that has come.
-func (c *Core) Hold(now time.Time, machine string, until time.Time) {
-	maps.DeleteFunc(c.held, func(_ string, ends time.Time) bool { return !now.Before(ends) })
-	c.held[machine] = until
+// Hold withholds requests from a machine until a time. Tick grants its capacity afterwards.
+func (s *Core) Hold(now time.Time, machine string, until time.Time) {
+	maps.DeleteFunc(s.holds, func(_ string, expiry time.Time) bool { return !now.Before(expiry) })
+	s.holds[machine] = until
 }
 
-// HoldPaced gives nothing to any machine that takes permits before a time. A request would else go
-// from one to the next, however many there are, where there is a permit for none.
-func (c *Core) HoldPaced(until time.Time) {
-	c.pacedHeld = until
+// HoldPermitMachines withholds requests from all machines that need permits until a time. A request
+// would otherwise try each of them in turn.
+func (s *Core) HoldPaced(until time.Time) {
+	s.permitHoldUntil = until
 }
 
-func (c *Core) isHeld(now time.Time, machine string) bool {
-	return now.Before(c.held[machine]) || now.Before(c.pacedHeld) && c.isPaced(machine)
+func (s *Core) isHeld(now time.Time, machine string) bool {
+	return now.Before(s.holds[machine]) || now.Before(s.permitHoldUntil) && s.needsPermit(machine)
 }
 
-// waitsFor returns the reason why a request waits, if its machines are held or busy because they warm up or are
-// limited.
-func (c *Core) waitsFor(now time.Time, request *Request) (reason RefusalReason, isPaced bool) {
-	version := c.version(request.Version)
-	noneInTouch := c.hasNoneInTouch(version, request)
+// throttledBy returns the reason for which a request waits, if its machines are on hold or busy
+// because they are warming up or limited.
+func (s *Core) throttledBy(now time.Time, request *Request) (reason RefusalReason, isThrottled bool) {
+	version := s.version(request.Version)
+	onlySuspectWarming := s.allSuspectWarming(version, request)
 	for _, candidate := range version.targets {
 		switch {
-		case c.isExcluded(candidate, request) || !noneInTouch && c.standingOf(candidate) == standsInDoubt:
-		case c.limited[candidate.Machine].IsSet && c.isHeld(now, candidate.Machine):
+		case s.isExcluded(candidate, request) || !onlySuspectWarming && s.tierOf(candidate) == tierSuspectWarming:
+		case s.limited[candidate.Machine].IsSet && s.isHeld(now, candidate.Machine):
 			return RefusedLimited, true
-		case c.warming[candidate.Machine] || c.isHeld(now, candidate.Machine):
+		case s.warming[candidate.Machine] || s.isHeld(now, candidate.Machine):
 			return RefusedWarming, true
 		}
 	}
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -11,83 +11,81 @@
 )
 
 const (
-	// startedShare is the part of a request's work that is left once its answer
-	// has begun: its prompt has been read, and what follows runs beside others.
-	startedShare = 0.05
-	// firstHomeShare and secondHomeShare are how sure it is that the homes of a
-	// prompt's beginning hold it.
-	firstHomeShare  = 0.9
-	secondHomeShare = 0.45
-	// zoneShare is what a target in another zone of the region costs, as a part of what one in
-	// another region does: the way is short, and its bytes are paid for all the same.
-	zoneShare = 0.25
+	// startedWorkShare is the share of a request's work that remains after its response has
+	// started: the prompt is processed, and decoding is batched with other requests.
+	startedWorkShare = 0.05
+	// Estimated probabilities that the preferred targets of a prefix have it cached.
+	firstHitProbability  = 0.9
+	secondHitProbability = 0.45
+	// crossZoneShare is the penalty of another zone in the region, as a share of that of another
+	// region.
+	crossZoneShare = 0.25
 )
 
-// addWork counts a request's work at a machine.
-func (c *Core) addWork(machine string, request *Request) {
-	request.outstanding = request.Work
-	c.work[machine] += request.Work
+// addWork adds a request's work to a machine.
+func (s *Core) addWork(machine string, request *Request) {
+	request.outstandingWork = request.Work
+	s.ownWork[machine] += request.Work
 }
 
-// finishWork lowers the work that a request still means for its machine.
-func (c *Core) finishWork(machine string, request *Request, left float64) {
-	done := request.outstanding - left
+// finishWork lowers the outstanding work of a request to the remaining one.
+func (s *Core) finishWork(machine string, request *Request, remaining float64) {
+	done := request.outstandingWork - remaining
 	if done <= 0 {
 		return
 	}
-	request.outstanding = left
-	c.work[machine] -= done
-	if c.work[machine] < 1 {
-		delete(c.work, machine)
+	request.outstandingWork = remaining
+	s.ownWork[machine] -= done
+	if s.ownWork[machine] < 1 {
+		delete(s.ownWork, machine)
 	}
 }
 
-// Started notes that the machine has accepted a granted request, and its answer has begun.
-func (c *Core) Started(grant Grant) {
-	c.finishWork(grant.Target.Machine, grant.Request, grant.Request.Work*startedShare)
-	c.noteTrial(grant, true)
-	if held := c.targets[grant.Target.Replica]; held != nil {
-		held.health.accept()
+// MarkStarted records that the machine accepted a granted request and its response has started.
+func (s *Core) Started(grant Grant) {
+	s.finishWork(grant.Target.Machine, grant.Request, grant.Request.Work*startedWorkShare)
+	s.recordProbe(grant, true)
+	if existing := s.targets[grant.Target.Replica]; existing != nil {
+		existing.health.recordAccepted()
 	}
 }
 
 // Work returns the outstanding work by machine.
-func (c *Core) Work() map[string]float64 {
-	return maps.Clone(c.work)
+func (s *Core) Work() map[string]float64 {
+	return maps.Clone(s.ownWork)
 }
 
-// SetWork replaces the lagged work of machines, that of all routers together.
-func (c *Core) SetWork(now time.Time, total map[string]float64) {
-	c.noteDigest(now)
-	c.othersWork = make(map[string]float64, len(total))
+// SetWork replaces the lagged work of machines, in total over all routers.
+func (s *Core) SetWork(now time.Time, total map[string]float64) {
+	s.updateStaleness(now)
+	s.othersWork = make(map[string]float64, len(total))
 	for machine, work := range total {
-		c.othersWork[machine] = max(0, work-c.work[machine])
+		s.othersWork[machine] = max(0, work-s.ownWork[machine])
 	}
 }
 
-// pickByWork takes the target where the request is done soonest: the work before
-// it, and its own, less what is spared where the beginning of its prompt is
-// cached. Every router finds the same homes for a beginning, by rendezvous
-// hashing, so that few machines hold each; a busy home is passed over as soon
-// as reading the beginning again costs less than waiting.
-func (c *Core) pickByWork(now time.Time, version *versionState, request *Request, wanted standing) *target {
-	hasChoice := version.hasChoice(request)
+// pickLeastWork returns the target with the lowest cost: the outstanding work of its machine, and
+// the request's own, less what a cached prefix saves. All routers prefer the same targets for a
+// prefix, by rendezvous hashing, so that few machines cache it. A busy preferred target loses to
+// another as soon as processing the prefix again costs less than waiting.
+func (s *Core) pickLeastWork(now time.Time, version *versionState, request *Request, wanted tier) *target {
+	hasAlternatives := version.hasAlternatives(request)
 	var usable []*target
 	for _, candidate := range version.targets {
-		if c.standingOf(candidate) == wanted && c.usable(now, candidate, request, hasChoice) {
+		if s.tierOf(candidate) == wanted && s.usable(now, candidate, request, hasAlternatives) {
 			usable = append(usable, candidate)
 		}
 	}
-	usable = c.withoutFailing(now, request, usable)
-	first, second := homes(request.nearby(usable), request.Prefix)
-	level := c.levelOfOthers(now, version, usable)
+	usable = s.excludeFailing(now, request, usable)
+	first, second := preferredTargets(request.inRegion(usable), request.Prefix)
+	level := s.fillLevelOfOthers(now, version, usable)
 	var best *target
 	var bestCost, bestTie float64
 	for _, candidate := range usable {
-		load := c.machineWork(candidate)
-		cost := max(load, level) + request.crossing(candidate.Nearness)
-		cost += request.Shared * (1 - candidate.cachedShare(now, request, first, second))
-		tie := weightedRank(c.config.Seed+request.ID, candidate.Machine, level-load)
+		load := s.totalWork(candidate)
+		cost := max(load, level) + request.distancePenalty(candidate.Nearness)
+		cost += request.Shared * (1 - candidate.hitProbability(now, request, first, second))
+		tie := weightedRank(s.config.Seed+request.ID, candidate.Machine, level-load)
 		if best == nil || cost < bestCost || cost == bestCost && tie > bestTie {
 			best, bestCost, bestTie = candidate, cost, tie
 		}
@@ -95,75 +93,75 @@
 	return best
 }
 
-// cachedShare is how sure it is that a target holds the beginning of a prompt.
-func (t *target) cachedShare(now time.Time, request *Request, first, second *target) float64 {
+// hitProbability is the estimated probability that a target has the request's prefix cached.
+func (t *target) hitProbability(now time.Time, request *Request, first, second *target) float64 {
 	switch {
 	case request.Prefix == 0:
 		return 0
-	case t.prefixes.holds(now, request.Prefix):
+	case t.prefixes.contains(now, request.Prefix):
 		return 1
 	case t == first:
-		return firstHomeShare
+		return firstHitProbability
 	case t == second:
-		return secondHomeShare
+		return secondHitProbability
 	}
 	return 0
 }
 
-// crossing is the work that a further target must have less before it.
-func (r *Request) crossing(nearness places.Nearness) float64 {
+// distancePenalty is the additional cost of a target in tokens.
+func (r *Request) distancePenalty(nearness places.Nearness) float64 {
 	switch nearness {
 	case places.SameZone:
 		return 0
 	case places.SameRegion:
-		return r.Detour * zoneShare
+		return r.Detour * crossZoneShare
 	}
 	return r.Detour
 }
 
-// nearby returns the targets in the router's region, or all where there is none or places don't
-// matter: a beginning that is read in each region is not read across regions.
-func (r *Request) nearby(targets []*target) []*target {
+// inRegion returns the targets in the router's region, so that prefixes are cached in each region.
+// It returns all targets if there are none, or distance is ignored.
+func (r *Request) inRegion(targets []*target) []*target {
 	if r.Detour == 0 {
 		return targets
 	}
-	var near []*target
+	var local []*target
 	for _, candidate := range targets {
 		if candidate.Nearness < places.Further {
-			near = append(near, candidate)
+			local = append(local, candidate)
 		}
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		return targets
 	}
-	return near
+	return local
 }
 
-// homes returns the two targets that rank highest for a prefix.
-func homes(targets []*target, prefix uint64) (first, second *target) {
+// preferredTargets returns the two targets that rank highest for a prefix.
+func preferredTargets(targets []*target, prefix uint64) (first, second *target) {
 	if prefix == 0 {
 		return nil, nil
 	}
 	var firstRank, secondRank uint64
 	for _, candidate := range targets {
-		ranked := rank(prefix, candidate.Machine)
+		candidateRank := rank(prefix, candidate.Machine)
 		switch {
-		case first == nil || ranked > firstRank:
+		case first == nil || candidateRank > firstRank:
 			second, secondRank = first, firstRank
-			first, firstRank = candidate, ranked
-		case second == nil || ranked > secondRank:
-			second, secondRank = candidate, ranked
+			first, firstRank = candidate, candidateRank
+		case second == nil || candidateRank > secondRank:
+			second, secondRank = candidate, candidateRank
 		}
 	}
 	return first, second
 }
 
-// rank orders machines for a key, for each key differently.
+// rank is the rendezvous hash of a key and a machine.
 func rank(key uint64, machine string) uint64 {
 	var buffer [8]byte
 	binary.LittleEndian.PutUint64(buffer[:], key)
-	digest := xxhash.New()
-	_, _ = digest.Write(buffer[:])
-	_, _ = digest.WriteString(machine)
-	return digest.Sum64()
+	hash := xxhash.New()
+	_, _ = hash.Write(buffer[:])
+	_, _ = hash.WriteString(machine)
+	return hash.Sum64()
 }
--- a/internal/dispatch/work_test.go
+++ b/internal/dispatch/work_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-func workCore(machines int) (*Core, time.Time) {
+func newWorkScheduler(machines int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
-	core := New(Config{MaxWaiting: 100, SharedSlots: true, PlacedAdapters: true, ByWork: true})
+	scheduler := New(Config{MaxWaiting: 100, SharedSlots: true, PlacedAdapters: true, ByWork: true})
 	var targets []Target
 	for position := range machines {
 		name := "m" + strconv.Itoa(position)
 		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 64, Adapters: []string{"a1"}})
 	}
-	core.SetTargets(now, targets)
-	return core, now
+	scheduler.SetTargets(now, targets)
+	return scheduler, now
 }
 
 var nextRequest uint64
@@ -35,79 +35,78 @@
 	return outcome.Grants[0]
 }
 
-// TestWorkAndNotRequests: one long prompt counts for many short ones, until its
-// answer begins.
-func TestWorkAndNotRequests(t *testing.T) {
-	core, now := workCore(2)
-	long := grantOf(t, core.Submit(now, request(now, 9000, 0, 0)))
+// TestLeastWorkCountsTokens: one long prompt outweighs many short ones until its response starts.
+func TestLeastWorkCountsTokens(t *testing.T) {
+	scheduler, now := newWorkScheduler(2)
+	long := grantOf(t, scheduler.Submit(now, request(now, 9000, 0, 0)))
 	for range 8 {
-		if short := grantOf(t, core.Submit(now, request(now, 1000, 0, 0))); short.Target.Machine == long.Target.Machine {
-			t.Error("a short request goes behind the long one")
+		if short := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); short.Target.Machine == long.Target.Machine {
+			t.Error("a short request is queued behind the long one")
 		}
 	}
-	core.Started(long)
-	if next := grantOf(t, core.Submit(now, request(now, 1000, 0, 0))); next.Target.Machine != long.Target.Machine {
-		t.Error("a machine whose prompt has been read is still passed over")
+	scheduler.Started(long)
+	if next := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); next.Target.Machine != long.Target.Machine {
+		t.Error("a machine is avoided after its prompt was processed")
 	}
 }
 
-// TestWorkOfOthers: what other routers have sent counts, own work not twice.
-func TestWorkOfOthers(t *testing.T) {
-	core, now := workCore(2)
-	own := grantOf(t, core.Submit(now, request(now, 2000, 0, 0)))
+// TestWorkOfOtherRouters guards against ignoring other routers' work and against counting own work
+// twice.
+func TestWorkOfOtherRouters(t *testing.T) {
+	scheduler, now := newWorkScheduler(2)
+	own := grantOf(t, scheduler.Submit(now, request(now, 2000, 0, 0)))
 	other := "m0"
 	if own.Target.Machine == "m0" {
 		other = "m1"
 	}
-	core.SetWork(now, map[string]float64{own.Target.Machine: 2000, other: 5000})
-	if next := grantOf(t, core.Submit(now, request(now, 1000, 0, 0))); next.Target.Machine != own.Target.Machine {
-		t.Error("the other machine has 5000 tokens before it, this one 2000")
+	scheduler.SetWork(now, map[string]float64{own.Target.Machine: 2000, other: 5000})
+	if next := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); next.Target.Machine != own.Target.Machine {
+		t.Error("the machine with more outstanding work was selected")
 	}
 }
 
-// TestHomes: every router sends prompts of one beginning to the same machine, if
-// that is not so busy that reading the beginning elsewhere is cheaper.
-func TestHomes(t *testing.T) {
-	homes := map[uint64]map[string]bool{}
+// TestPreferredTargets: all routers send a prefix to the same machine, unless waiting there costs
+// more than processing the prefix again.
+func TestPreferredTargets(t *testing.T) {
+	preferred := map[uint64]map[string]bool{}
 	for range 5 {
-		core, now := workCore(8)
+		scheduler, now := newWorkScheduler(8)
 		for prefix := uint64(1); prefix <= 20; prefix++ {
-			grant := grantOf(t, core.Submit(now, request(now, 100, 6000, prefix)))
-			if homes[prefix] == nil {
-				homes[prefix] = map[string]bool{}
+			grant := grantOf(t, scheduler.Submit(now, request(now, 100, 6000, prefix)))
+			if preferred[prefix] == nil {
+				preferred[prefix] = map[string]bool{}
 			}
-			homes[prefix][grant.Target.Machine] = true
-			core.Release(now, grant, ResultOK)
+			preferred[prefix][grant.Target.Machine] = true
+			scheduler.Release(now, grant, ResultOK)
 		}
 	}
 	all := map[string]bool{}
-	for prefix, machines := range homes {
+	for prefix, machines := range preferred {
 		if len(machines) != 1 {
-			t.Errorf("routers don't agree on the home of %d: %v", prefix, machines)
+			t.Errorf("routers prefer different machines for prefix %d: %v", prefix, machines)
 		}
 		for machine := range machines {
 			all[machine] = true
 		}
 	}
 	if len(all) < 5 {
-		t.Errorf("20 beginnings have their homes on %d of 8 machines", len(all))
+		t.Errorf("20 prefixes use only %d of 8 machines", len(all))
 	}
-	core, now := workCore(8)
-	home := grantOf(t, core.Submit(now, request(now, 9000, 6000, 1)))
-	if next := grantOf(t, core.Submit(now, request(now, 9000, 6000, 1))); next.Target.Machine == home.Target.Machine {
-		t.Error("a request waits for 9000 tokens to spare 6000")
+	scheduler, now := newWorkScheduler(8)
+	first := grantOf(t, scheduler.Submit(now, request(now, 9000, 6000, 1)))
+	if next := grantOf(t, scheduler.Submit(now, request(now, 9000, 6000, 1))); next.Target.Machine == first.Target.Machine {
+		t.Error("a request waits for 9000 tokens to save 6000")
 	}
 }
 
-// TestAdaptersInUseAreReported for as long as a request for one runs: one that
-// ran for long was dropped meanwhile.
-func TestAdaptersInUseAreReported(t *testing.T) {
-	core, now := workCore(1)
+// TestRunningAdapterIsInDemand guards against unloading an adapter while a long request uses it.
+func TestRunningAdapterIsInDemand(t *testing.T) {
+	scheduler, now := newWorkScheduler(1)
 	wanted := request(now, 100, 0, 0)
 	wanted.Adapter = "a1"
-	grant := grantOf(t, core.Submit(now, wanted))
+	grant := grantOf(t, scheduler.Submit(now, wanted))
 	running := func() int {
-		for _, demand := range core.Demand(now) {
+		for _, demand := range scheduler.Demand(now) {
 			if demand.Adapter == "a1" {
 				return demand.Running
 			}
@@ -115,39 +114,39 @@
 		return 0
 	}
 	if running() != 1 {
-		t.Error("a running request's adapter is not reported")
+		t.Error("the adapter of a running request is not in the demand")
 	}
-	core.Release(now, grant, ResultOK)
+	scheduler.Release(now, grant, ResultOK)
 	if running() != 0 {
-		t.Error("an adapter is reported after its request")
+		t.Error("an adapter is in the demand after its request ended")
 	}
 }
 
-// TestUnreachable: a machine that no connection came about to is passed over and
-// reported at once, and tried when there is no other.
-func TestUnreachable(t *testing.T) {
-	core, now := workCore(2)
-	down := grantOf(t, core.Submit(now, request(now, 100, 0, 0)))
-	core.Release(now, down, ResultUnreachable)
-	if names := core.Unreachable(now); len(names) != 1 || names[0] != down.Target.Machine {
-		t.Errorf("unreachable: %v", names)
+// TestUnreachableMachine: a machine that can't be connected to is avoided and reported at once,
+// but tried if there is no other.
+func TestUnreachableMachine(t *testing.T) {
+	scheduler, now := newWorkScheduler(2)
+	unreachable := grantOf(t, scheduler.Submit(now, request(now, 100, 0, 0)))
+	scheduler.Release(now, unreachable, ResultUnreachable)
+	if names := scheduler.Unreachable(now); len(names) != 1 || names[0] != unreachable.Target.Machine {
+		t.Errorf("unreachable machines: %v", names)
 	}
 	for range 5 {
-		next := grantOf(t, core.Submit(now, request(now, 100, 0, 0)))
-		if next.Target.Machine == down.Target.Machine {
-			t.Error("a machine that is down is tried again")
+		next := grantOf(t, scheduler.Submit(now, request(now, 100, 0, 0)))
+		if next.Target.Machine == unreachable.Target.Machine {
+			t.Error("an unreachable machine is tried again")
 		}
 	}
-	alone := request(now, 100, 0, 0)
+	last := request(now, 100, 0, 0)
 	for _, machine := range []string{"m0", "m1"} {
-		if machine != down.Target.Machine {
-			alone.Tried = append(alone.Tried, machine)
+		if machine != unreachable.Target.Machine {
+			last.Tried = append(last.Tried, machine)
 		}
 	}
-	if last := grantOf(t, core.Submit(now, alone)); last.Target.Machine != down.Target.Machine {
-		t.Error("a request waits although one machine could be tried")
+	if granted := grantOf(t, scheduler.Submit(now, last)); granted.Target.Machine != unreachable.Target.Machine {
+		t.Error("a request is not sent to the only remaining machine")
 	}
-	if names := core.Unreachable(now.Add(time.Minute)); len(names) != 0 {
-		t.Errorf("still reported: %v", names)
+	if names := scheduler.Unreachable(now.Add(time.Minute)); len(names) != 0 {
+		t.Errorf("still reported as unreachable: %v", names)
 	}
 }
