--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-const mostForDials = 500 * time.Millisecond
+const maxDialTimeout = 500 * time.Millisecond
 
-func limitsAfter(took ...time.Duration) dialLimits {
-	limits := newDialLimits(mostForDials)
-	for _, each := range took {
-		limits.connected("m", each)
+func timeoutsAfter(elapsed ...time.Duration) dialTimeouts {
+	timeouts := newDialTimeouts(maxDialTimeout)
+	for _, each := range elapsed {
+		timeouts.recordConnected("m", each)
 	}
-	return limits
+	return timeouts
 }
 
-func repeated(took time.Duration, times int) []time.Duration {
+func repeated(elapsed time.Duration, times int) []time.Duration {
 	all := make([]time.Duration, times)
 	for position := range all {
-		all[position] = took
+		all[position] = elapsed
 	}
 	return all
 }
 
-func TestDialLimitFollowsWhatConnectionsTake(t *testing.T) {
+func TestDialTimeoutFollowsConnectionTimes(t *testing.T) {
 	tests := []struct {
-		name  string
-		took  []time.Duration
-		limit time.Duration
+		name    string
+		elapsed []time.Duration
+		timeout time.Duration
 	}{
-		{"nothing is known yet", nil, mostForDials},
-		{"machines are near", repeated(3*time.Millisecond, 20), leastDialLimit},
-		{"the first connection was slow", []time.Duration{400 * time.Millisecond}, mostForDials},
+		{"nothing is known yet", nil, maxDialTimeout},
+		{"machines are near", repeated(3*time.Millisecond, 20), minDialTimeout},
+		{"the first connection was slow", []time.Duration{400 * time.Millisecond}, maxDialTimeout},
 		{"machines are far", repeated(200*time.Millisecond, 50), 200 * time.Millisecond},
 	}
 	for _, test := range tests {
-		limits := limitsAfter(test.took...)
-		limit := limits.limit("m")
-		if limit < test.limit || limit > test.limit+10*time.Millisecond {
-			t.Errorf("%s: %s instead of %s", test.name, limit, test.limit)
+		timeouts := timeoutsAfter(test.elapsed...)
+		timeout := timeouts.timeout("m")
+		if timeout < test.timeout || timeout > test.timeout+10*time.Millisecond {
+			t.Errorf("%s: got %s, want %s", test.name, timeout, test.timeout)
 		}
 	}
 }
 
-// TestDialLimitGrowsForASlowMachine: whoever does not answer in time gets longer, until
-// it answers; the others are not affected.
-func TestDialLimitGrowsForASlowMachine(t *testing.T) {
-	limits := limitsAfter(repeated(3*time.Millisecond, 20)...)
-	for _, wanted := range []time.Duration{150, 300, 500, 500} {
-		if limit := limits.limit("slow"); limit != wanted*time.Millisecond {
-			t.Errorf("%s instead of %s", limit, wanted*time.Millisecond)
+// TestDialTimeoutGrowsForSlowMachine: the timeout doubles until the machine responds; other
+// machines are not affected.
+func TestDialTimeoutGrowsForSlowMachine(t *testing.T) {
+	timeouts := timeoutsAfter(repeated(3*time.Millisecond, 20)...)
+	for _, want := range []time.Duration{150, 300, 500, 500} {
+		if timeout := timeouts.timeout("slow"); timeout != want*time.Millisecond {
+			t.Errorf("got %s, want %s", timeout, want*time.Millisecond)
 		}
-		limits.timedOut("slow")
+		timeouts.recordTimeout("slow")
 	}
-	if limit := limits.limit("m"); limit != leastDialLimit {
-		t.Errorf("another machine gets %s", limit)
+	if timeout := timeouts.timeout("m"); timeout != minDialTimeout {
+		t.Errorf("another machine has a timeout of %s", timeout)
 	}
-	limits.connected("slow", 5*time.Millisecond)
-	if limit := limits.limit("slow"); limit > 2*leastDialLimit {
-		t.Errorf("after a connection it still gets %s", limit)
+	timeouts.recordConnected("slow", 5*time.Millisecond)
+	if timeout := timeouts.timeout("slow"); timeout > 2*minDialTimeout {
+		t.Errorf("after a connection its timeout is still %s", timeout)
 	}
-	limits.timedOut("gone")
-	limits.retain(func(string) bool { return false })
-	if len(limits.timeouts) != 0 {
-		t.Error("a machine that is not listed is remembered")
+	timeouts.recordTimeout("gone")
+	timeouts.retain(func(string) bool { return false })
+	if len(timeouts.consecutive) != 0 {
+		t.Error("an unlisted machine is not forgotten")
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,72 +15,68 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// Request is one request to a machine. Method, target and body go out as they
-// are, byte for byte.
+// Request is one request to a machine. Method, target and body are sent unchanged.
 type Request struct {
 	Machine string
 	// Address is an IP address and a port.
 	Address string
 	Method  string
-	// Target is the path with the query, as the caller wrote it.
+	// Target is the path and query as received from the caller.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection: a kept one may be closed by the machine
-	// at the moment at which it is used.
+	// NewConnection disables the use of idle connections, which the machine may close at the same
+	// moment.
 	Fresh bool
-	// Prepare is called once a connection stands, just before anything is
-	// written; an error ends the exchange as not sent. May be nil.
+	// Prepare, if set, is called with a connection at hand, just before anything is written. An
+	// error ends the exchange as not sent.
 	Prepare func(header http.Header) error
-	// Matches reports whether an answer is to this request; may be nil.
+	// Matches, if set, reports whether a response belongs to this request.
 	Matches func(header http.Header) bool
 }
 
-// Failure tells how far an exchange came.
+// Failure is how far a failed exchange got.
 type Failure int
 
-// The failures of an exchange.
 const (
-	// FailedNone: there is an answer.
+	// FailureNone: there is a response.
 	FailedNone Failure = iota
-	// FailedConnect: nothing was written.
+	// FailureConnect: nothing was written.
 	FailedConnect
-	// FailedStale: a kept connection broke before any byte of an answer. The
-	// request may have run.
+	// FailureStale: a reused connection broke before any byte of a response. The request may have
+	// run.
 	FailedStale
-	// FailedBroken: the request may have run.
+	// FailureBroken: the request may have run.
 	FailedBroken
 )
 
-// String names the failure in logs.
 func (f Failure) String() string {
 	return [...]string{"none", "not_connected", "stale_connection", "broken"}[f]
 }
 
-// Answer is the head of an answer whose body is still to be read. Close must
-// be called.
+// Response is the head of a response and its unread body. Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length of the body in bytes, -1 if it is not known before its end.
+	// ContentLength is -1 if unknown.
 	Length int64
 	Body   io.Reader
 
-	pool     *Pool
-	conn     *conn
-	response *http.Response
-	// sent is set once the whole request has been written.
-	sent  *atomic.Bool
-	stop  func() bool
-	whole bool
+	pool         *Pool
+	conn         *conn
+	httpResponse *http.Response
+	// requestSent is set once the whole request has been written.
+	requestSent  *atomic.Bool
+	stopWatching func() bool
+	complete     bool
 }
 
-// maxSurplusAnswers bounds the answers to earlier requests that are skipped.
-const maxSurplusAnswers = 4
+// maxSkippedResponses bounds the responses to earlier requests that are skipped.
+const maxSkippedResponses = 4
 
-// Do sends a request and reads the head of its answer. The end of ctx closes
-// the connection, which tells the machine to stop.
+// Do sends a request and reads the head of its response. The end of ctx closes the connection,
+// which tells the machine to stop.
 func (p *Pool) Do(ctx context.Context, request *Request) (*Answer, Failure, error) {
 	connection, err := p.acquire(ctx, request.Machine, request.Address, request.Fresh)
 	if err != nil {
@@ -88,12 +84,12 @@
 	}
 	if request.Prepare != nil {
 		if err := request.Prepare(request.Header); err != nil {
-			p.putBack(connection)
+			p.putUnused(connection)
 			return nil, FailedConnect, err
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.network.Close() })
-	answer, err := connection.exchange(request)
+	response, err := connection.exchange(request)
 	if err != nil {
 		stop()
 		_ = connection.network.Close()
@@ -102,24 +98,24 @@
 		}
 		return nil, FailedBroken, err
 	}
-	answer.pool, answer.stop = p, stop
-	return answer, FailedNone, nil
+	response.pool, response.stopWatching = p, stop
+	return response, FailedNone, nil
 }
 
-// putBack returns a connection on which nothing was written.
-func (p *Pool) putBack(connection *conn) {
+// putUnused returns a connection on which nothing was written.
+func (p *Pool) putUnused(connection *conn) {
 	if connection.reused {
-		p.keep(connection, time.Until(connection.until))
+		p.putIdle(connection, time.Until(connection.expiresAt))
 		return
 	}
 	_ = connection.network.Close()
 }
 
-// exchange writes the request beside reading the answer: a machine may answer
-// before it has read a long body.
+// exchange writes a long request concurrently with reading the response, since a machine may
+// respond before it has read the body.
 func (c *conn) exchange(request *Request) (*Answer, error) {
 	sent := &atomic.Bool{}
-	if len(request.Body) <= smallBodyBytes {
+	if len(request.Body) <= maxInlineBodyBytes {
 		err := c.write(request)
 		sent.Store(err == nil)
 		if err != nil {
@@ -128,31 +124,31 @@
 	} else {
 		go func() { sent.Store(c.write(request) == nil) }()
 	}
-	for range maxSurplusAnswers {
+	for range maxSkippedResponses {
 		response, err := readHead(c.reader, request.Method)
 		if err != nil {
-			return nil, fault.Unavailable.Wrap(err, "reading an answer of machine %s", c.machine)
+			return nil, fault.Unavailable.Wrap(err, "reading a response from machine %s", c.machine)
 		}
 		if request.Matches == nil || request.Matches(response.Header) {
 			return &Answer{
 				Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
-				Body: response.Body, conn: c, response: response, sent: sent,
+				Body: response.Body, conn: c, httpResponse: response, requestSent: sent,
 			}, nil
 		}
-		// A late answer to an earlier request; this one's is still to come.
+		// A late response to an earlier request.
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 || response.Close {
 			break
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return nil, fault.Protocol.Wrap(err, "skipping an answer to another request")
+			return nil, fault.Protocol.Wrap(err, "discarding a response to another request")
 		}
 	}
-	return nil, fault.Protocol.New("machine %s answers other requests", c.machine)
+	return nil, fault.Protocol.New("machine %s responds to other requests", c.machine)
 }
 
-// smallBodyBytes fit into the windows of a connection, so that writing them
-// does not wait for the machine to read.
-const smallBodyBytes = 8 << 10
+// maxInlineBodyBytes fits into the socket buffers, so that writing does not wait for the machine
+// to read.
+const maxInlineBodyBytes = 8 << 10
 
 func readHead(reader *bufio.Reader, method string) (*http.Response, error) {
 	for {
@@ -184,30 +180,30 @@
 }
 
 // Read reads the body.
-func (a *Answer) Read(buffer []byte) (int, error) {
-	count, err := a.Body.Read(buffer)
+func (r *Answer) Read(buffer []byte) (int, error) {
+	count, err := r.Body.Read(buffer)
 	if err == io.EOF {
-		a.whole = true
+		r.complete = true
 	}
 	return count, err
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to
-// its end and nothing speaks against it.
-func (a *Answer) Close() {
-	intact := a.stop()
-	lifetime, may := keepAlive(a.Header)
-	framed := a.Length >= 0 || len(a.response.TransferEncoding) > 0
-	if !intact || !a.whole || !a.sent.Load() || a.response.Close || !framed || !may || a.conn.reader.Buffered() > 0 {
-		_ = a.conn.network.Close()
+// Close ends the exchange. The connection is kept only if the request and the response are
+// complete and the connection may be reused.
+func (r *Answer) Close() {
+	intact := r.stopWatching()
+	lifetime, reusable := keepAlive(r.Header)
+	framed := r.Length >= 0 || len(r.httpResponse.TransferEncoding) > 0
+	if !intact || !r.complete || !r.requestSent.Load() || r.httpResponse.Close || !framed || !reusable || r.conn.reader.Buffered() > 0 {
+		_ = r.conn.network.Close()
 		return
 	}
-	a.pool.keep(a.conn, lifetime)
+	r.pool.putIdle(r.conn, lifetime)
 }
 
-// keepAlive returns for how long a machine keeps a resting connection, 0 if it
-// does not say, and whether it may be used again at all. A part of the time is
-// left out: the machine's clock started earlier.
+// keepAlive returns how long a machine keeps an idle connection, 0 if it does not say, and whether
+// the connection may be reused at all. The advertised time is reduced, since the machine started
+// its timer earlier.
 func keepAlive(header http.Header) (time.Duration, bool) {
 	for _, value := range header["Keep-Alive"] {
 		for parameter := range strings.SplitSeq(value, ",") {
@@ -223,13 +219,13 @@
 	return 0, true
 }
 
-// hopHeaders concern one connection only.
+// hopHeaders are the hop-by-hop headers.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// EndToEnd copies the headers that do not concern one connection only.
+// EndToEndHeaders copies the headers that are not hop-by-hop.
 func EndToEnd(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, value := range header["Connection"] {
@@ -243,7 +239,7 @@
 	return copied
 }
 
-// AddressOf returns the address of an http endpoint.
+// AddressOf returns the host and port of an http endpoint.
 func AddressOf(endpoint string) string {
 	address := strings.TrimPrefix(endpoint, "http://")
 	if _, _, err := net.SplitHostPort(address); err != nil {
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// answering takes connections and answers every request on them with an empty answer that has some headers
-// of the connection. It leaves closing to the other side.
-func answering(t *testing.T, headers string) string {
+// respondWith accepts connections and responds to every request with an empty body and the given
+// headers. It leaves closing the connections to the client.
+func respondWith(t *testing.T, headers string) string {
 	t.Helper()
-	return accepting(t, func(network net.Conn) { go answerAll(network, headers) })
+	return acceptConnections(t, func(network net.Conn) { go respondAll(network, headers) })
 }
 
-func answerAll(network net.Conn, headers string) {
+func respondAll(network net.Conn, headers string) {
 	defer func() { _ = network.Close() }()
 	reader := bufio.NewReader(network)
 	for {
@@ -29,14 +29,14 @@
 	}
 }
 
-// TestWhatAMachineSaysOfItsConnections: a request on a connection that the machine is about to close may be
-// lost, so none is used longer than the machine says.
-func TestWhatAMachineSaysOfItsConnections(t *testing.T) {
+// TestKeepAliveHeaders guards against reusing a connection that the machine is about to close, on
+// which a request may be lost.
+func TestKeepAliveHeaders(t *testing.T) {
 	const idleTimeout = time.Hour
 	for _, test := range []struct {
 		headers string
-		// kept is for how long the connection is kept; 0 if it is not.
-		kept time.Duration
+		// lifetime is how long the connection is kept; 0 if it is closed.
+		lifetime time.Duration
 	}{
 		{"", idleTimeout},
 		{"Connection: close\r\n", 0},
@@ -48,26 +48,26 @@
 		{"Keep-Alive: timeout=soon\r\n", idleTimeout},
 	} {
 		pool := NewPool(Config{DialTimeout: 5 * time.Second, MaxIdle: KeepAtMost(1), IdleTimeout: idleTimeout})
-		address := answering(t, test.headers)
+		address := respondWith(t, test.headers)
 		before := time.Now()
-		answer, failure, err := pool.Do(t.Context(), &Request{Machine: "m", Address: address, Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
+		response, failure, err := pool.Do(t.Context(), &Request{Machine: "m", Address: address, Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
 		if err != nil {
 			t.Fatalf("%q: %s: %v", test.headers, failure, err)
 		}
-		if _, err := io.Copy(io.Discard, answer); err != nil {
+		if _, err := io.Copy(io.Discard, response); err != nil {
 			t.Errorf("%q: %v", test.headers, err)
 		}
-		answer.Close()
+		response.Close()
 		after := time.Now()
-		kept := pool.idle["m"]
-		if test.kept == 0 {
-			if len(kept) != 0 {
-				t.Errorf("%q: the connection is kept", test.headers)
+		idle := pool.idle["m"]
+		if test.lifetime == 0 {
+			if len(idle) != 0 {
+				t.Errorf("%q: the connection is not closed", test.headers)
 			}
 			continue
 		}
-		if len(kept) != 1 || kept[0].until.Before(before.Add(test.kept)) || kept[0].until.After(after.Add(test.kept)) {
-			t.Errorf("%q: the connection is not kept for %s", test.headers, test.kept)
+		if len(idle) != 1 || idle[0].expiresAt.Before(before.Add(test.lifetime)) || idle[0].expiresAt.After(after.Add(test.lifetime)) {
+			t.Errorf("%q: the connection does not expire after %s", test.headers, test.lifetime)
 		}
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,16 +1,7 @@
-// Package upstream sends HTTP/1.1 requests to machines on kept connections.
-//
-// The problem: whoever forwards a request that must not run twice has to know
-// what may have reached the other side. A general client repeats requests by
-// itself on connections that died, takes answers for whatever request is next,
-// and keeps connections that it should not.
-//
-// The mechanism: one request at a time on a connection, sent once, never again
-// by this package. The result tells whether anything was written. Connections
-// belong to a machine by its name, not by its address, since addresses are used
-// again. A connection is kept only if the whole request was written, the whole
-// answer read, and nothing came behind it; before it is used again, it is
-// looked at for bytes that came meanwhile.
+// Package upstream sends HTTP/1.1 requests to machines over pooled connections. Unlike net/http, it
+// never retries a request, and reports whether anything was written. Invariant: a connection is
+// reused only after a complete exchange, only for the machine and address that it was opened for,
+// and only if nothing was received in the meantime.
 package upstream
 
 import (
@@ -24,63 +15,62 @@
 	"github.com/weldline/weldline/internal/tcpopt"
 )
 
-// Config bounds the connections.
+// Config configures a Pool.
 type Config struct {
-	// DialTimeout is the longest that a connection may take to come about. Once
-	// connections have come about, a new one gets as long as they make likely.
+	// DialTimeout is the maximum of the dial timeout, which adapts to the time that connections
+	// take.
 	DialTimeout time.Duration
-	// MaxIdle returns how many connections to a machine are kept for later.
+	// MaxIdle returns the maximum number of idle connections to a machine.
 	MaxIdle func(machine string) int
-	// IdleTimeout is how long one is kept, unless the machine says less.
+	// IdleTimeout is how long an idle connection is kept, unless the machine advertises less.
 	IdleTimeout time.Duration
 }
 
-// KeepAtMost keeps so many connections to every machine.
-func KeepAtMost(most int) func(machine string) int {
-	return func(string) int { return most }
+// FixedMaxIdle allows the same number of idle connections to every machine.
+func KeepAtMost(limit int) func(machine string) int {
+	return func(string) int { return limit }
 }
 
 // Pool holds the connections to all machines. It is safe for concurrent use.
 type Pool struct {
 	config Config
 
-	mutex sync.Mutex
-	idle  map[string][]*conn
-	dials dialLimits
+	mutex        sync.Mutex
+	idle         map[string][]*conn
+	dialTimeouts dialTimeouts
 }
 
 // conn is one connection to a machine.
 type conn struct {
 	machine string
-	// address is where the machine was when the connection was made.
+	// address is the machine's address at the time of connecting.
 	address string
 	network net.Conn
 	reader  *bufio.Reader
-	// until is when the connection must not be used any more.
-	until time.Time
-	// reused is set once it has carried a request.
+	// expiresAt is when the connection must not be used any more.
+	expiresAt time.Time
+	// reused is set if the connection was in the pool.
 	reused bool
 }
 
 const readBufferBytes = 4 << 10
 
-// NewPool returns an empty pool.
 func NewPool(config Config) *Pool {
-	return &Pool{config: config, idle: map[string][]*conn{}, dials: newDialLimits(config.DialTimeout)}
+	return &Pool{config: config, idle: map[string][]*conn{}, dialTimeouts: newDialTimeouts(config.DialTimeout)}
 }
 
-// acquire returns a kept connection to a machine, or a new one. A machine that is at another address
-// now is another process; what was kept leads to the one before.
-func (p *Pool) acquire(ctx context.Context, machine, address string, fresh bool) (*conn, error) {
-	for !fresh {
-		kept := p.take(machine)
-		if kept == nil {
+// acquire returns an idle connection to a machine, or a new one. Idle connections to another
+// address are closed, since they lead to an earlier process of the machine.
+func (p *Pool) acquire(ctx context.Context, machine, address string, newConnection bool) (*conn, error) {
+	for !newConnection {
+		idle := p.takeIdle(machine)
+		if idle == nil {
 			break
 		}
-		if kept.address == address && time.Now().Before(kept.until) && kept.isQuiet() {
-			return kept, nil
+		if idle.address == address && time.Now().Before(idle.expiresAt) && idle.hasNoInput() {
+			return idle, nil
 		}
-		_ = kept.network.Close()
+		_ = idle.network.Close()
 	}
 	network, err := p.Dial(ctx, machine, address)
 	if err != nil {
@@ -89,83 +79,82 @@
 	return &conn{machine: machine, address: address, network: network, reader: bufio.NewReaderSize(network, readBufferBytes)}, nil
 }
 
-// Open connects to a machine and keeps the connection for a request that is about to come.
+// Preconnect opens an idle connection to a machine, for a request that is expected.
 func (p *Pool) Open(ctx context.Context, machine, address string) error {
 	opened, err := p.acquire(ctx, machine, address, true)
 	if err != nil {
 		return err
 	}
-	p.keep(opened, 0)
+	p.putIdle(opened, 0)
 	return nil
 }
 
-// Dial connects to a machine within the time that other connections make likely.
+// Dial connects to a machine within the adaptive timeout.
 func (p *Pool) Dial(ctx context.Context, machine, address string) (net.Conn, error) {
 	p.mutex.Lock()
-	limit := p.dials.limit(machine)
+	limit := p.dialTimeouts.timeout(machine)
 	p.mutex.Unlock()
 	dialer := net.Dialer{Timeout: limit, Control: tcpopt.Control, KeepAliveConfig: tcpopt.KeepAlive}
 	started := time.Now()
 	network, err := dialer.DialContext(ctx, "tcp", address)
-	took := time.Since(started)
+	elapsed := time.Since(started)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if err == nil {
-		p.dials.connected(machine, took)
-	} else if took >= limit {
-		p.dials.timedOut(machine)
+		p.dialTimeouts.recordConnected(machine, elapsed)
+	} else if elapsed >= limit {
+		p.dialTimeouts.recordTimeout(machine)
 	}
 	return network, err
 }
 
-// take returns the connection that was kept last: the others may then expire.
-func (p *Pool) take(machine string) *conn {
+// takeIdle returns the most recently used connection, so that the others may expire.
+func (p *Pool) takeIdle(machine string) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.idle[machine]
-	if len(kept) == 0 {
+	idle := p.idle[machine]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	kept[len(kept)-1] = nil
-	p.idle[machine] = kept[:len(kept)-1]
+	last := idle[len(idle)-1]
+	idle[len(idle)-1] = nil
+	p.idle[machine] = idle[:len(idle)-1]
 	return last
 }
 
-// keep puts a connection back, for as long as the machine keeps it open.
-func (p *Pool) keep(returned *conn, lifetime time.Duration) {
+// putIdle returns a connection to the pool, for as long as the machine keeps it open.
+func (p *Pool) putIdle(returned *conn, lifetime time.Duration) {
 	if lifetime <= 0 || lifetime > p.config.IdleTimeout {
 		lifetime = p.config.IdleTimeout
 	}
-	returned.until = time.Now().Add(lifetime)
+	returned.expiresAt = time.Now().Add(lifetime)
 	returned.reused = true
-	most := p.config.MaxIdle(returned.machine)
+	maxIdle := p.config.MaxIdle(returned.machine)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.idle[returned.machine]) >= most {
+	if len(p.idle[returned.machine]) >= maxIdle {
 		_ = returned.network.Close()
 		return
 	}
 	p.idle[returned.machine] = append(p.idle[returned.machine], returned)
 }
 
-// Retain closes the kept connections to all machines but the listed ones, and
-// those whose time has passed.
-func (p *Pool) Retain(listed func(machine string) bool) {
+// Retain closes idle connections that have expired or whose machine is not listed.
+func (p *Pool) Retain(isListed func(machine string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.dials.retain(listed)
+	p.dialTimeouts.retain(isListed)
 	now := time.Now()
-	for machine, kept := range p.idle {
-		remaining := kept[:0]
-		for _, entry := range kept {
-			if listed(machine) && now.Before(entry.until) {
+	for machine, idle := range p.idle {
+		remaining := idle[:0]
+		for _, entry := range idle {
+			if isListed(machine) && now.Before(entry.expiresAt) {
 				remaining = append(remaining, entry)
 				continue
 			}
 			_ = entry.network.Close()
 		}
-		clear(kept[len(remaining):])
+		clear(idle[len(remaining):])
 		p.idle[machine] = remaining
 		if len(remaining) == 0 {
 			delete(p.idle, machine)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// listen takes connections and keeps them open until the test ends.
+// listen accepts connections and keeps them open until the test ends.
 func listen(t *testing.T) string {
 	t.Helper()
-	return accepting(t, func(network net.Conn) { t.Cleanup(func() { _ = network.Close() }) })
+	return acceptConnections(t, func(network net.Conn) { t.Cleanup(func() { _ = network.Close() }) })
 }
 
-// accepting passes on each connection that it takes, and returns its address.
-func accepting(t *testing.T, accepted func(network net.Conn)) string {
+// acceptConnections calls handle for each accepted connection, and returns the listening address.
+func acceptConnections(t *testing.T, handle func(network net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,15 +26,15 @@
 			if err != nil {
 				return
 			}
-			accepted(network)
+			handle(network)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// TestKeptConnectionsLeadToTheAddress: a machine that came back at another address under its name
-// must not have its requests given to the process before, which may still be there.
-func TestKeptConnectionsLeadToTheAddress(t *testing.T) {
+// TestIdleConnectionsMatchTheAddress guards against sending requests for a machine that moved to
+// another address to the process at the old one.
+func TestIdleConnectionsMatchTheAddress(t *testing.T) {
 	const machine = "machine-1"
 	pool := NewPool(Config{DialTimeout: 5 * time.Second, MaxIdle: KeepAtMost(1), IdleTimeout: time.Hour})
 	before, after := listen(t), listen(t)
@@ -46,18 +46,17 @@
 		t.Fatal(err)
 	}
 	if to := moved.network.RemoteAddr().String(); to != after {
-		t.Errorf("a request to %s went to %s", after, to)
+		t.Errorf("the connection for %s goes to %s", after, to)
 	}
-	pool.keep(moved, 0)
+	pool.putIdle(moved, 0)
 	again, err := pool.acquire(t.Context(), machine, after, false)
 	if err != nil || again != moved {
-		t.Errorf("a kept connection to the same address is not used again: %v", err)
+		t.Errorf("an idle connection to the same address is not reused: %v", err)
 	}
 	_ = moved.network.Close()
 }
 
-// TestConnectionsBeyondTheShareAreClosed: what is kept of a machine is bounded for that machine.
-func TestConnectionsBeyondTheShareAreClosed(t *testing.T) {
+func TestConnectionsBeyondMaxIdleAreClosed(t *testing.T) {
 	pool := NewPool(Config{DialTimeout: 5 * time.Second, IdleTimeout: time.Hour, MaxIdle: func(machine string) int {
 		return map[string]int{"one": 1, "two": 2}[machine]
 	}})
@@ -70,6 +69,6 @@
 		}
 	}
 	if one, two := len(pool.idle["one"]), len(pool.idle["two"]); one != 1 || two != 2 {
-		t.Errorf("%d and %d connections are kept", one, two)
+		t.Errorf("got %d and %d idle connections, want 1 and 2", one, two)
 	}
 }
--- a/internal/upstream/quiet.go
+++ b/internal/upstream/quiet.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// isQuiet reports whether nothing has come on a resting connection: neither
-// bytes, which would belong to no request, nor its end.
-func (c *conn) isQuiet() bool {
+// hasNoInput reports whether nothing was received on an idle connection: neither data, which would
+// belong to no request, nor EOF.
+func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -20,12 +20,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var peeked [1]byte
 		_, _, failure := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failure == unix.EAGAIN
+		empty = failure == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
