--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// endMemory is how long the end of a limit is published: about as long as a router may be without
-	// digests, or a report delayed.
-	endMemory = 10 * time.Second
-	// maxExchangeDelay is the assumed delay of an observation between nodes. Observations carry ages, so a
-	// delayed one makes its statement look younger than it is.
+	// endRetention is how long the end of a limit is published. It exceeds the delay of digests
+	// and reports.
+	endRetention = 10 * time.Second
+	// maxExchangeDelay is the assumed delay of an observation between nodes. Observations carry
+	// ages, so a delayed one makes its statement appear younger than it is.
 	maxExchangeDelay = 250 * time.Millisecond
 )
 
-// Limits holds the stated limits that a node knows, by machine. It is not safe for concurrent use.
+// Limits holds the advertised limits known to a node, by machine. It is not safe for concurrent
+// use.
 type Limits struct {
-	held map[string]Statement
+	statements map[string]Statement
 }
 
 // Change describes a limit transition.
@@ -28,12 +29,11 @@
 	After   Limit
 }
 
-// Changed reports whether the limit differs from the one before.
 func (c Change) Changed() bool {
 	return c.Before != c.After
 }
 
-// LogFields returns the fields of a log line about the change. Source is what reported it: an answer, a
+// LogFields returns the log fields for the change. source is what reported it: a response, a
 // report, a permit request or a digest.
 func (c Change) LogFields(source string) []any {
 	return []any{
@@ -42,53 +42,53 @@
 	}
 }
 
-// Observation is a machine's stated limit as exchanged between nodes. It carries ages instead of timestamps
-// because node clocks differ.
+// Observation is a machine's advertised limit as exchanged between nodes. It carries ages instead
+// of timestamps because node clocks differ.
 type Observation struct {
 	Machine string
 	Limit   Limit
-	// SentAge and HeardAge are the ages of the request and of the answer that stated the limit.
+	// SentAge and ReceivedAge are the ages of the request and of the response that stated the
+	// limit.
 	SentAge, HeardAge time.Duration
 }
 
-// New returns empty Limits.
 func New() *Limits {
-	return &Limits{held: map[string]Statement{}}
+	return &Limits{statements: map[string]Statement{}}
 }
 
-// Observe records a machine's statement, unless a newer or stricter one holds. The absence of a limit is
-// recorded only for machines that stated one recently.
+// Observe records a machine's statement, unless a newer or stricter one holds. The absence of a
+// limit is recorded only for machines that stated one recently.
 func (l *Limits) Observe(machine string, stated Statement) Change {
-	held, known := l.held[machine]
-	change := Change{Machine: machine, Before: held.Limit, After: held.Limit}
-	if !known && !stated.Limit.IsSet || known && !stated.supersedes(held) {
+	current, known := l.statements[machine]
+	change := Change{Machine: machine, Before: current.Limit, After: current.Limit}
+	if !known && !stated.Limit.IsSet || known && !stated.supersedes(current) {
 		return change
 	}
-	l.held[machine] = stated
+	l.statements[machine] = stated
 	change.After = stated.Limit
 	return change
 }
 
-// Merge records an observation of another node. It may originate from this node, so the same limit replaces
-// the held one only if it is certainly newer. Otherwise nodes would renew for each other a limit that the machine
-// no longer states.
+// Merge records an observation of another node. It may originate from this node, so the same limit
+// replaces the current one only if it is certainly newer. Otherwise nodes would renew for each
+// other a limit that the machine no longer states.
 func (l *Limits) Merge(now time.Duration, observed Observation) Change {
 	stated := Statement{Limit: observed.Limit, Sent: now - observed.SentAge - maxExchangeDelay, Heard: now - observed.HeardAge}
-	if held, known := l.held[observed.Machine]; known && held.Limit == stated.Limit && stated.Sent < held.Heard {
-		return Change{Machine: observed.Machine, Before: held.Limit, After: held.Limit}
+	if current, known := l.statements[observed.Machine]; known && current.Limit == stated.Limit && stated.Sent < current.Heard {
+		return Change{Machine: observed.Machine, Before: current.Limit, After: current.Limit}
 	}
 	return l.Observe(observed.Machine, stated)
 }
 
-// Of returns the limit of a machine, or None.
+// Get returns the limit of a machine, or Unlimited.
 func (l *Limits) Of(machine string) Limit {
-	return l.held[machine].Limit
+	return l.statements[machine].Limit
 }
 
-// Set returns the limits that are in force, by machine.
+// Active returns the limits in force, by machine.
 func (l *Limits) Set() map[string]Limit {
 	set := map[string]Limit{}
-	for machine, stated := range l.held {
+	for machine, stated := range l.statements {
 		if stated.Limit.IsSet {
 			set[machine] = stated.Limit
 		}
@@ -98,21 +98,21 @@
 
 // Lookup returns the observation of one machine to send to other nodes, if there is any.
 func (l *Limits) Lookup(now time.Duration, machine string) (observed Observation, known bool) {
-	stated, known := l.held[machine]
+	stated, known := l.statements[machine]
 	if !known {
 		return Observation{}, false
 	}
 	return Observation{Machine: machine, Limit: stated.Limit, SentAge: now - stated.Sent, HeardAge: now - stated.Heard}, true
 }
 
-// Snapshot returns the observations to send to other nodes, sorted by machine. It forgets ended limits that
-// need not be published any more.
+// Snapshot returns the observations to send to other nodes, sorted by machine. It forgets ended
+// limits after endRetention.
 func (l *Limits) Snapshot(now time.Duration) []Observation {
-	maps.DeleteFunc(l.held, func(_ string, stated Statement) bool {
-		return !stated.Limit.IsSet && now-stated.Heard > endMemory
+	maps.DeleteFunc(l.statements, func(_ string, stated Statement) bool {
+		return !stated.Limit.IsSet && now-stated.Heard > endRetention
 	})
-	all := make([]Observation, 0, len(l.held))
-	for machine := range l.held {
+	all := make([]Observation, 0, len(l.statements))
+	for machine := range l.statements {
 		observed, _ := l.Lookup(now, machine)
 		all = append(all, observed)
 	}
@@ -120,7 +120,7 @@
 	return all
 }
 
-// Retain forgets all machines but the listed ones.
+// Retain forgets unlisted machines.
 func (l *Limits) Retain(isListed func(machine string) bool) {
-	maps.DeleteFunc(l.held, func(machine string, _ Statement) bool { return !isListed(machine) })
+	maps.DeleteFunc(l.statements, func(machine string, _ Statement) bool { return !isListed(machine) })
 }
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -9,28 +9,28 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestLimits runs the tables of what nodes know of limits. Times are in milliseconds.
+// TestLimits runs the data-driven tests of the limits known to nodes. Times are in milliseconds.
 //
-//	answer node=N sent=S heard=H [limit=L]: a machine's answer; no limit: it names none
-//	tell from=N to=M at=T [way=W]: all that a node tells arrives at another, W after it was sent at T
+//	answer node=N sent=S heard=H [limit=L]: a node receives a machine's response; without limit, it states none
+//	tell from=N to=M at=T [way=W]: a node's observations, sent at T, arrive at another after W
 //	retain node=N [machines=(...)]
-//	limits: what each node takes the limit to be
+//	limits: the limit known to each node
 func TestLimits(t *testing.T) {
 	datadriven.Walk(t, "testdata/limits", func(t *testing.T, path string) {
-		nodes := &nodes{held: map[string]*Limits{}}
+		cluster := &nodes{limits: map[string]*Limits{}}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "answer":
-				return nodes.answer(t, d)
+				return cluster.recordResponse(t, d)
 			case "tell":
-				return nodes.tell(t, d)
+				return cluster.exchange(t, d)
 			case "retain":
 				var listed []string
 				d.MaybeScanArgs(t, "machines", &listed)
-				nodes.of(nameOf(t, d, "node")).Retain(func(machine string) bool { return strings.Contains(strings.Join(listed, " "), machine) })
+				cluster.of(nameOf(t, d, "node")).Retain(func(machine string) bool { return strings.Contains(strings.Join(listed, " "), machine) })
 				return ""
 			case "limits":
-				return nodes.String()
+				return cluster.String()
 			}
 			t.Fatalf("unknown command %s", d.Cmd)
 			return ""
@@ -41,51 +41,51 @@
 const machineUnderTest = "m"
 
 type nodes struct {
-	names []string
-	held  map[string]*Limits
+	names  []string
+	limits map[string]*Limits
 }
 
 func (n *nodes) of(name string) *Limits {
-	if n.held[name] == nil {
+	if n.limits[name] == nil {
 		n.names = append(n.names, name)
-		n.held[name] = New()
+		n.limits[name] = New()
 	}
-	return n.held[name]
+	return n.limits[name]
 }
 
-func (n *nodes) answer(t *testing.T, d *datadriven.TestData) string {
-	said := Statement{Sent: timeOf(t, d, "sent"), Heard: timeOf(t, d, "heard")}
+func (n *nodes) recordResponse(t *testing.T, d *datadriven.TestData) string {
+	stated := Statement{Sent: timeOf(t, d, "sent"), Heard: timeOf(t, d, "heard")}
 	if d.HasArg("limit") {
 		var perSecond float64
 		if _, err := fmt.Sscan(nameOf(t, d, "limit"), &perSecond); err != nil {
 			t.Fatal(err)
 		}
-		said.Limit = Of(perSecond)
+		stated.Limit = Of(perSecond)
 	}
-	return describe(n.of(nameOf(t, d, "node")).Observe(machineUnderTest, said))
+	return describe(n.of(nameOf(t, d, "node")).Observe(machineUnderTest, stated))
 }
 
-func (n *nodes) tell(t *testing.T, d *datadriven.TestData) string {
-	at, way := timeOf(t, d, "at"), time.Duration(0)
+func (n *nodes) exchange(t *testing.T, d *datadriven.TestData) string {
+	sentAt, delay := timeOf(t, d, "at"), time.Duration(0)
 	if d.HasArg("way") {
-		way = timeOf(t, d, "way")
+		delay = timeOf(t, d, "way")
 	}
 	from, to := n.of(nameOf(t, d, "from")), n.of(nameOf(t, d, "to"))
-	told := from.Snapshot(at)
-	if len(told) == 0 {
+	observations := from.Snapshot(sentAt)
+	if len(observations) == 0 {
 		return "nothing\n"
 	}
-	news := ""
-	for _, each := range told {
-		news += describe(to.Merge(at+way, each))
+	changes := ""
+	for _, observed := range observations {
+		changes += describe(to.Merge(sentAt+delay, observed))
 	}
-	return news
+	return changes
 }
 
 func (n *nodes) String() string {
 	var lines strings.Builder
 	for _, name := range n.names {
-		lines.WriteString(name + ": " + text(n.held[name].Of(machineUnderTest)) + "\n")
+		lines.WriteString(name + ": " + formatLimit(n.limits[name].Of(machineUnderTest)) + "\n")
 	}
 	return lines.String()
 }
@@ -94,10 +94,10 @@
 	if !change.Changed() {
 		return "no news\n"
 	}
-	return text(change.Before) + " -> " + text(change.After) + "\n"
+	return formatLimit(change.Before) + " -> " + formatLimit(change.After) + "\n"
 }
 
-func text(limit Limit) string {
+func formatLimit(limit Limit) string {
 	if !limit.IsSet {
 		return "none"
 	}
--- a/internal/ratelimit/pace_test.go
+++ b/internal/ratelimit/pace_test.go
@@ -17,11 +17,12 @@
 // window is the span in which a machine's requests are counted.
 const window = 4 * time.Second
 
-// allowance is what a machine may get in a window: half as much again as it takes, and five requests.
-func allowance(limit Limit) float64 { return 1.5*limit.PerSecond*window.Seconds() + 5 }
+// maxRequests is the number of requests that a machine may get in a window: 1.5 times its limit,
+// and five.
+func maxRequests(limit Limit) float64 { return 1.5*limit.PerSecond*window.Seconds() + 5 }
 
-// mostInWindow is the largest number of sends within one window.
-func mostInWindow(sends []time.Duration) int {
+// maxInWindow returns the largest number of sends within one window.
+func maxInWindow(sends []time.Duration) int {
 	slices.Sort(sends)
 	most, first := 0, 0
 	for last := range sends {
@@ -33,132 +34,132 @@
 	return most
 }
 
-// TestPaceKeepsTheLimit: whatever leaders follow each other, and however late permits are used, no
-// window holds more than is allowed.
-func TestPaceKeepsTheLimit(t *testing.T) {
+// TestPermitsKeepTheLimit checks that no window exceeds the allowed requests, over changes of the
+// leader and delays in the use of permits.
+func TestPermitsKeepTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Of(rapid.SampledFrom([]float64{0, 0.05, 0.2, 0.5, 1, 1.7, 2, 10, 100}).Draw(t, "per second"))
 		var sends []time.Duration
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 4).Draw(t, "leaders") {
-			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "leaderless")) * time.Millisecond
-			given := permits.New(now)
-			for range rapid.IntRange(0, 300).Draw(t, "asked") {
+			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "leaderless gap")) * time.Millisecond
+			buckets := permits.New(now)
+			for range rapid.IntRange(0, 300).Draw(t, "requests") {
 				now += time.Duration(rapid.SampledFrom([]int{0, 0, 1, 5, 60, 400, 12000}).Draw(t, "pause")) * time.Millisecond
-				if given.Take(now, "m", limit.Pace()).Granted {
+				if buckets.Take(now, "m", limit.Pace()).Granted {
 					sends = append(sends, now+time.Duration(rapid.Int64Range(0, int64(permits.Lifetime)).Draw(t, "used")))
 				}
 			}
 		}
-		if most := mostInWindow(sends); float64(most) > allowance(limit) {
-			t.Fatalf("%d requests in %s at %g a second, %.1f are allowed", most, window, limit.PerSecond, allowance(limit))
+		if got := maxInWindow(sends); float64(got) > maxRequests(limit) {
+			t.Fatalf("got %d requests in %s at a limit of %g per second, want at most %.1f", got, window, limit.PerSecond, maxRequests(limit))
 		}
 	})
 }
 
-// way is a way to keep a limit over all routers.
-type way interface {
-	// maySend reports whether a router may send a request now.
+// strategy decides how routers keep a limit.
+type strategy interface {
 	maySend(now time.Duration, router int) bool
 }
 
-// ownBuckets is the way where every router keeps a limit for itself, or its part of one.
-type ownBuckets struct {
-	pace    permits.Pace
+// localBuckets gives every router a token bucket of its own.
+type localBuckets struct {
+	config  permits.Pace
 	buckets *permits.Permits
 }
 
-func (w *ownBuckets) maySend(now time.Duration, router int) bool {
-	return w.buckets.Take(now, fmt.Sprint(router), w.pace).Granted
+func (s *localBuckets) maySend(now time.Duration, router int) bool {
+	return s.buckets.Take(now, fmt.Sprint(router), s.config).Granted
 }
 
-// byPermits is the way where routers ask the leader, and leave the machine alone for as long as it says.
-type byPermits struct {
-	pace    permits.Pace
+// leaderPermits makes routers request permits from the leader and wait for its retry time.
+type leaderPermits struct {
+	config  permits.Pace
 	buckets *permits.Permits
-	held    map[int]time.Duration
+	retryAt map[int]time.Duration
 }
 
-func (w *byPermits) maySend(now time.Duration, router int) bool {
-	if now < w.held[router] {
+func (s *leaderPermits) maySend(now time.Duration, router int) bool {
+	if now < s.retryAt[router] {
 		return false
 	}
-	decision := w.buckets.Take(now, "m", w.pace)
-	w.held[router] = now + decision.RetryAfter
+	decision := s.buckets.Take(now, "m", s.config)
+	s.retryAt[router] = now + decision.RetryAfter
 	return decision.Granted
 }
 
-// played is what came of a way.
-type played struct {
-	most   int
-	served float64
+// result summarizes a simulation.
+type result struct {
+	maxInWindow int
+	served      float64
 }
 
-// play lets callers ask for a minute, perSecond of them, half at the first router and the rest at any.
-// A request that may not be sent waits at its router for up to 2 s.
-func play(kept way, routers int, perSecond float64) played {
+// simulate runs a minute of Poisson arrivals at a total rate of perSecond, half of them at the
+// first router and the rest at random ones. A request that may not be sent waits at its router for
+// up to 2 s.
+func simulate(strategy strategy, routers int, perSecond float64) result {
 	const (
-		length   = time.Minute
+		duration = time.Minute
 		step     = 5 * time.Millisecond
-		patience = 2 * time.Second
+		maxWait  = 2 * time.Second
 	)
 	random := rand.New(rand.NewPCG(1, 2))
 	waiting := make([][]time.Duration, routers)
 	var sends []time.Duration
-	for now := window; now < window+length; now += step {
+	for now := window; now < window+duration; now += step {
 		if random.Float64() < perSecond*step.Seconds() {
 			router := 0
 			if random.Float64() < 0.5 {
 				router = random.IntN(routers)
 			}
-			waiting[router] = append(waiting[router], now+patience)
+			waiting[router] = append(waiting[router], now+maxWait)
 		}
 		for router := range waiting {
 			for len(waiting[router]) > 0 && waiting[router][0] < now {
 				waiting[router] = waiting[router][1:]
 			}
-			for len(waiting[router]) > 0 && kept.maySend(now, router) {
+			for len(waiting[router]) > 0 && strategy.maySend(now, router) {
 				waiting[router] = waiting[router][1:]
 				sends = append(sends, now)
 			}
 		}
 	}
-	return played{most: mostInWindow(sends), served: float64(len(sends)) / length.Seconds()}
+	return result{maxInWindow: maxInWindow(sends), served: float64(len(sends)) / duration.Seconds()}
 }
 
-// TestWaysToKeepALimit compares the ways on the same callers; see the tables.
+// TestStrategies compares the strategies on the same arrivals.
 //
 //	play limit=N routers=R asked=D
-func TestWaysToKeepALimit(t *testing.T) {
+func TestStrategies(t *testing.T) {
 	datadriven.RunTest(t, "testdata/ways/ways", func(t *testing.T, d *datadriven.TestData) string {
 		var routers int
-		var asked, perSecond float64
+		var offered, perSecond float64
 		d.ScanArgs(t, "routers", &routers)
-		for name, value := range map[string]*float64{"limit": &perSecond, "asked": &asked} {
+		for name, value := range map[string]*float64{"limit": &perSecond, "asked": &offered} {
 			if _, err := fmt.Sscan(nameOf(t, d, name), value); err != nil {
 				t.Fatal(err)
 			}
 		}
 		limit := Of(perSecond)
 		share := permits.Pace{Rate: perSecond / float64(routers), Burst: max(1, perSecond/float64(routers))}
-		ways := []struct {
-			name string
-			kept way
+		strategies := []struct {
+			name     string
+			strategy strategy
 		}{
-			{"each alone", &ownBuckets{limit.Pace(), permits.New(0)}},
-			{"equal shares", &ownBuckets{share, permits.New(0)}},
-			{"permits", &byPermits{pace: limit.Pace(), buckets: permits.New(0), held: map[int]time.Duration{}}},
+			{"each alone", &localBuckets{limit.Pace(), permits.New(0)}},
+			{"equal shares", &localBuckets{share, permits.New(0)}},
+			{"permits", &leaderPermits{config: limit.Pace(), buckets: permits.New(0), retryAt: map[int]time.Duration{}}},
 		}
 		var lines strings.Builder
-		for _, each := range ways {
-			came := play(each.kept, routers, asked)
-			kept := "kept"
-			if float64(came.most) > allowance(limit) {
-				kept = "BROKEN"
+		for _, each := range strategies {
+			outcome := simulate(each.strategy, routers, offered)
+			verdict := "kept"
+			if float64(outcome.maxInWindow) > maxRequests(limit) {
+				verdict = "BROKEN"
 			}
-			fmt.Fprintf(&lines, "%-12s %3d in 4 s (%g allowed: %s), %.2f a second served\n", each.name, came.most, allowance(limit), kept, came.served)
-			if each.name == "permits" && (kept != "kept" || came.served < 0.9*min(asked, perSecond)) {
-				t.Errorf("permits: %+v of %g a second", came, perSecond)
+			fmt.Fprintf(&lines, "%-12s %3d in 4 s (%g allowed: %s), %.2f a second served\n", each.name, outcome.maxInWindow, maxRequests(limit), verdict, outcome.served)
+			if each.name == "permits" && (verdict != "kept" || outcome.served < 0.9*min(offered, perSecond)) {
+				t.Errorf("permits: %+v at a limit of %g per second", outcome, perSecond)
 			}
 		}
 		return lines.String()
--- a/internal/ratelimit/statement.go
+++ b/internal/ratelimit/statement.go
@@ -6,35 +6,33 @@
 	"github.com/weldline/weldline/internal/permits"
 )
 
-// leastPerSecond is the rate of a machine that takes nothing, or nearly nothing: without a request now
-// and then, no answer could end its limit.
-const leastPerSecond = 0.1
+// minPerSecond is the rate for machines with a lower limit: without an occasional request, no
+// response could end the limit.
+const minPerSecond = 0.1
 
-// Limit is how many requests a second a machine takes from all routers together.
+// Limit is the number of requests per second that a machine accepts from all routers together.
 type Limit struct {
-	// IsSet is false where a machine names no limit.
+	// IsSet is false if the machine states no limit.
 	IsSet bool
-	// PerSecond means something only where IsSet is.
+	// PerSecond applies only if IsSet.
 	PerSecond float64
 }
 
-// None is what a machine says that takes whatever it gets.
+// Unlimited is the absence of a limit.
 var None = Limit{}
 
-// Of is a limit of so many requests a second.
 func Of(perSecond float64) Limit {
 	return Limit{IsSet: true, PerSecond: perSecond}
 }
 
-// Pace is what a limited machine may get. A burst is what the machine takes in a second: it may get a
-// single request at least, and permits that are used late come on top. In any 4 s that is less than
-// 5.3 times the limit, or one request and what the limit gives.
+// BucketConfig returns the token bucket for permits of a limited machine. The burst is one
+// second's worth, and at least a single request.
 func (l Limit) Pace() permits.Pace {
-	rate := max(leastPerSecond, l.PerSecond)
+	rate := max(minPerSecond, l.PerSecond)
 	return permits.Pace{Rate: rate, Burst: max(1, rate)}
 }
 
-// isStricter reports whether a limit lets fewer requests through than another.
+// isStricter reports whether a limit allows fewer requests than another.
 func (l Limit) isStricter(other Limit) bool {
 	if l.IsSet != other.IsSet {
 		return l.IsSet
@@ -42,23 +40,23 @@
 	return l.IsSet && l.PerSecond < other.PerSecond
 }
 
-// Statement is what a machine said in one answer.
+// Statement is the limit stated in one response.
 type Statement struct {
 	Limit Limit
-	// Sent and Heard are when the request was sent and when the head of its answer came: the
-	// machine said it between them.
+	// Sent and Received are when the request was sent and when the head of its response was
+	// received: the limit was stated in between.
 	Sent, Heard time.Duration
 }
 
-// supersedes reports whether a statement takes the place of another.
-func (s Statement) supersedes(held Statement) bool {
+// supersedes reports whether a statement replaces the current one.
+func (s Statement) supersedes(current Statement) bool {
 	switch {
-	case s.Sent >= held.Heard:
+	case s.Sent >= current.Heard:
 		return true
-	case held.Sent >= s.Heard:
+	case current.Sent >= s.Heard:
 		return false
-	case s.Limit != held.Limit:
-		return s.Limit.isStricter(held.Limit)
+	case s.Limit != current.Limit:
+		return s.Limit.isStricter(current.Limit)
 	}
-	return s.Heard > held.Heard
+	return s.Heard > current.Heard
 }
