--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,9 +1,7 @@
-// Package limits holds callers to the declared limits.
-//
-// A limit holds in the whole fleet, yet asking for each request would cost a
-// message. So each router enforces an equal share of every limit, by the
-// number of live routers that the leader's digest names. While routers come
-// or go the shares are off for the time of one digest.
+// Package limits enforces the declared rate and concurrency limits of callers, which apply to the
+// whole fleet. To avoid a message per request, each router enforces an equal share, by the number
+// of live routers in the leader's digest. While routers join or leave, the sum of the shares may
+// differ from the limit until the next digest.
 package limits
 
 import (
@@ -15,13 +13,13 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// Refusal says which limit a request met.
+// Refusal names the limit that refused a request.
 type Refusal struct {
 	Limit      string
 	RetryAfter time.Duration
 }
 
-// Enforcer enforces one router's shares.
+// Enforcer enforces one router's shares. It is safe for concurrent use.
 type Enforcer struct {
 	mutex   sync.Mutex
 	entries map[string]*entry
@@ -35,80 +33,79 @@
 	running int
 }
 
-// New returns an enforcer.
 func New() *Enforcer {
 	return &Enforcer{entries: map[string]*entry{}}
 }
 
-// Acquire takes a request through every limit that applies to the caller. On
-// success the returned function must be called when the request has ended.
+// Acquire checks a request against every limit that applies to the caller. On success the returned
+// function must be called when the request has ended.
 func (e *Enforcer) Acquire(now time.Time, specs map[string]*v1.LimitSpec, caller string, routers int) (func(), *Refusal) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var taken []*entry
+	var acquired []*entry
 	release := func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		giveBack(taken)
+		releaseAll(acquired)
 	}
 	for name, spec := range specs {
 		if spec.Caller != "" && spec.Caller != caller {
 			continue
 		}
-		held := e.entry(name, spec, max(1, routers))
-		if wait, refused := held.take(now); refused {
-			giveBack(taken)
-			return nil, &Refusal{Limit: name, RetryAfter: wait}
+		limit := e.entry(name, spec, max(1, routers))
+		if retryAfter, refused := limit.acquire(now); refused {
+			releaseAll(acquired)
+			return nil, &Refusal{Limit: name, RetryAfter: retryAfter}
 		}
-		taken = append(taken, held)
+		acquired = append(acquired, limit)
 	}
 	return release, nil
 }
 
-func giveBack(taken []*entry) {
-	for _, held := range taken {
-		held.running--
+func releaseAll(acquired []*entry) {
+	for _, limit := range acquired {
+		limit.running--
 	}
 }
 
 func (e *Enforcer) entry(name string, spec *v1.LimitSpec, routers int) *entry {
-	held := e.entries[name]
-	if held == nil {
-		held = &entry{}
-		e.entries[name] = held
+	limit := e.entries[name]
+	if limit == nil {
+		limit = &entry{}
+		e.entries[name] = limit
 	}
-	if held.spec != *spec || held.routers != routers {
-		held.update(spec, routers)
+	if limit.spec != *spec || limit.routers != routers {
+		limit.update(spec, routers)
 	}
-	return held
+	return limit
 }
 
-func (h *entry) update(spec *v1.LimitSpec, routers int) {
-	h.spec = *spec
-	h.routers = routers
+func (e *entry) update(spec *v1.LimitSpec, routers int) {
+	e.spec = *spec
+	e.routers = routers
 	if spec.RequestsPerSecond == 0 {
-		h.bucket = nil
+		e.bucket = nil
 		return
 	}
 	share := rate.Limit(spec.RequestsPerSecond / float64(routers))
 	burst := max(1, spec.Burst/routers)
-	if h.bucket == nil {
-		h.bucket = rate.NewLimiter(share, burst)
+	if e.bucket == nil {
+		e.bucket = rate.NewLimiter(share, burst)
 		return
 	}
-	h.bucket.SetLimit(share)
-	h.bucket.SetBurst(burst)
+	e.bucket.SetLimit(share)
+	e.bucket.SetBurst(burst)
 }
 
 const concurrencyRetryAfter = time.Second
 
-func (h *entry) take(now time.Time) (time.Duration, bool) {
-	if h.spec.Concurrent > 0 && h.running >= max(1, h.spec.Concurrent/h.routers) {
+func (e *entry) acquire(now time.Time) (time.Duration, bool) {
+	if e.spec.Concurrent > 0 && e.running >= max(1, e.spec.Concurrent/e.routers) {
 		return concurrencyRetryAfter, true
 	}
-	if h.bucket != nil && !h.bucket.AllowN(now, 1) {
-		return time.Duration(float64(time.Second) / float64(h.bucket.Limit())), true
+	if e.bucket != nil && !e.bucket.AllowN(now, 1) {
+		return time.Duration(float64(time.Second) / float64(e.bucket.Limit())), true
 	}
-	h.running++
+	e.running++
 	return 0, false
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,8 +7,7 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// TestRateIsSharedByRouters gives each of two routers half of the rate.
-func TestRateIsSharedByRouters(t *testing.T) {
+func TestRateIsSplitAmongRouters(t *testing.T) {
 	now := time.Unix(1000, 0)
 	specs := map[string]*v1.LimitSpec{"rate": {Service: "s", RequestsPerSecond: 20, Burst: 20}}
 	enforcer := New()
@@ -19,19 +18,19 @@
 		}
 	}
 	if admitted != 10 {
-		t.Errorf("%d of a burst of 20 admitted at one of two routers", admitted)
+		t.Errorf("admitted %d of a burst of 20 at one of two routers, want 10", admitted)
 	}
 	_, refusal := enforcer.Acquire(now, specs, "caller", 2)
 	if refusal == nil || refusal.RetryAfter <= 0 {
-		t.Fatalf("%+v", refusal)
+		t.Fatalf("got refusal %+v, want one with RetryAfter", refusal)
 	}
 	if _, refusal := enforcer.Acquire(now.Add(refusal.RetryAfter), specs, "caller", 2); refusal != nil {
-		t.Errorf("refused when told to come back: %+v", refusal)
+		t.Errorf("refused after RetryAfter: %+v", refusal)
 	}
 }
 
-// TestConcurrencyIsGivenBack also when a later limit refuses.
-func TestConcurrencyIsGivenBack(t *testing.T) {
+// TestConcurrencyIsReleased also covers the release when a later limit refuses the request.
+func TestConcurrencyIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
 	specs := map[string]*v1.LimitSpec{
 		"all":  {Service: "s", Concurrent: 2},
@@ -44,19 +43,19 @@
 	}
 	for range 5 {
 		if _, refusal := enforcer.Acquire(now, specs, "me", 1); refusal == nil {
-			t.Fatal("a second one of the same caller was admitted")
+			t.Fatal("a second request of the same caller was admitted")
 		}
 	}
 	other, refusal := enforcer.Acquire(now, specs, "you", 1)
 	if refusal != nil {
-		t.Fatalf("refusals of one caller used up the limit of all: %+v", refusal)
+		t.Fatalf("refused requests of one caller used up the common limit: %+v", refusal)
 	}
 	if _, refusal := enforcer.Acquire(now, specs, "they", 1); refusal == nil {
-		t.Error("a third one was admitted")
+		t.Error("a third request was admitted")
 	}
 	release()
 	other()
 	if _, refusal := enforcer.Acquire(now, specs, "me", 1); refusal != nil {
-		t.Errorf("nothing was given back: %+v", refusal)
+		t.Errorf("refused after the release: %+v", refusal)
 	}
 }
