--- a/internal/permits/pace.go
+++ b/internal/permits/pace.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// LongestRetry bounds for how long a router that is refused leaves a machine alone. What bounds the
-// machine may have ended by then, and so may the wait of those that a token was promised to: longer
-// promises leave tokens unused.
+// MaxRetryAfter bounds the retry time of refused routers. The restriction of the machine, or the
+// waiting request, may end earlier; longer reservations would leave tokens unused.
 const LongestRetry = 500 * time.Millisecond
 
-// Lifetime is for how long a permit may be used, counted by the router from before it asked. It
-// covers a few round trips between regions; a longer one would cost burst, as what was permitted over
-// that time may all be sent at once.
+// Lifetime is how long a permit may be used, counted by the router from before its request. It
+// covers a few round trips between regions; all permits of a lifetime may be used at once, so a
+// longer one would reduce the burst.
 const Lifetime = 250 * time.Millisecond
 
-// Pace is what a machine may get. The zero pace permits nothing.
+// BucketConfig configures a machine's token bucket. The zero value permits nothing.
 type Pace struct {
-	// Rate is how many requests a second it may get for long.
+	// Rate is the sustained number of requests per second.
 	Rate float64
-	// Burst is how many it may get at once.
+	// Burst is the bucket's capacity in requests.
 	Burst float64
 }
 
-// And is the pace of a machine that is bounded by both.
-func (p Pace) And(other Pace) Pace {
-	return Pace{Rate: min(p.Rate, other.Rate), Burst: min(p.Burst, other.Burst)}
+// Min returns the configuration that satisfies both.
+func (c Pace) And(other Pace) Pace {
+	return Pace{Rate: min(c.Rate, other.Rate), Burst: min(c.Burst, other.Burst)}
 }
--- a/internal/permits/permits.go
+++ b/internal/permits/permits.go
@@ -5,100 +5,97 @@
 	"time"
 )
 
-// sweepInterval is how often buckets that are full are dropped.
 const sweepInterval = 10 * time.Second
 
-// Permits are the token buckets of one term of leadership. They are not safe for concurrent use.
+// Buckets are the token buckets of one leadership term. They are not safe for concurrent use.
 //
-// A term's buckets are empty when it begins. What the leader before it permitted, it permitted
-// earlier, as it held its lease then; so both together give out in any span no more than one
-// bucket does.
+// The buckets are empty at the start of a term. The previous leader's permits were all granted
+// before, while it held its lease, so both terms together never exceed one bucket.
 type Permits struct {
-	began   time.Duration
-	swept   time.Duration
-	buckets map[string]*bucket
+	termStart time.Duration
+	sweptAt   time.Duration
+	buckets   map[string]*bucket
 }
 
-// bucket is one machine's.
 type bucket struct {
-	// pace is what the bucket was last used with.
-	pace    Pace
-	level   float64
-	updated time.Duration
-	// promised is the time for which a token was promised to the router refused last.
-	promised time.Duration
+	// config is the one last used.
+	config    Pace
+	tokens    float64
+	updatedAt time.Duration
+	// nextRetry is the retry time given to the last refused router.
+	nextRetry time.Duration
 }
 
-// Decision is the answer to a router that asks for a permit.
+// Decision is the response to a permit request.
 type Decision struct {
 	Granted bool
-	// RetryAfter is when to ask again, where no permit was granted.
+	// RetryAfter is when to request again, if no permit was granted.
 	RetryAfter time.Duration
 }
 
-// New returns the buckets of a term that begins at now.
+// New returns the buckets of a term that starts now.
 func New(now time.Duration) *Permits {
-	return &Permits{began: now, swept: now, buckets: map[string]*bucket{}}
+	return &Permits{termStart: now, sweptAt: now, buckets: map[string]*bucket{}}
 }
 
-// Take requests a token for a machine. Refused routers get increasing retry times, each for a token of its own.
-func (p *Permits) Take(now time.Duration, machine string, pace Pace) Decision {
+// Take requests a token for a machine. Refused routers get increasing retry times, each for a
+// token of its own.
+func (p *Permits) Take(now time.Duration, machine string, config Pace) Decision {
 	p.sweep(now)
-	if pace.Rate <= 0 {
+	if config.Rate <= 0 {
 		return Decision{RetryAfter: LongestRetry}
 	}
-	held := p.bucket(machine)
-	held.pace = pace
-	held.refill(now)
-	if held.level >= 1 {
-		held.level--
+	entry := p.bucket(machine)
+	entry.config = config
+	entry.refill(now)
+	if entry.tokens >= 1 {
+		entry.tokens--
 		return Decision{Granted: true}
 	}
-	oneToken := time.Duration(float64(time.Second) / pace.Rate)
-	next := now + time.Duration((1-held.level)*float64(oneToken))
-	held.promised = min(max(next, held.promised+oneToken), now+LongestRetry)
-	return Decision{RetryAfter: held.promised - now}
+	tokenInterval := time.Duration(float64(time.Second) / config.Rate)
+	nextToken := now + time.Duration((1-entry.tokens)*float64(tokenInterval))
+	entry.nextRetry = min(max(nextToken, entry.nextRetry+tokenInterval), now+LongestRetry)
+	return Decision{RetryAfter: entry.nextRetry - now}
 }
 
-// Empty takes away a machine's tokens. One that took no permits until just now got requests without
-// them, which count beside those that come next.
+// Empty removes a machine's tokens, for a machine that got requests without permits until now.
 func (p *Permits) Empty(now time.Duration, machine string) {
-	held := p.bucket(machine)
-	held.level = min(held.level, 0)
-	held.updated = max(held.updated, now)
+	entry := p.bucket(machine)
+	entry.tokens = min(entry.tokens, 0)
+	entry.updatedAt = max(entry.updatedAt, now)
 }
 
-// bucket returns a machine's bucket. One that has not been asked for has filled up since the
-// term began: dropping a full one, and making it anew, changes nothing.
+// bucket returns a machine's bucket. A new one has filled since the start of the term, so dropping
+// full buckets has no effect on decisions.
 func (p *Permits) bucket(machine string) *bucket {
-	held := p.buckets[machine]
-	if held == nil {
-		held = &bucket{updated: p.began}
-		p.buckets[machine] = held
+	entry := p.buckets[machine]
+	if entry == nil {
+		entry = &bucket{updatedAt: p.termStart}
+		p.buckets[machine] = entry
 	}
-	return held
+	return entry
 }
 
 func (b *bucket) refill(now time.Duration) {
-	if now <= b.updated {
+	if now <= b.updatedAt {
 		return
 	}
-	b.level = min(b.pace.Burst, b.level+b.pace.Rate*(now-b.updated).Seconds())
-	b.updated = now
+	b.tokens = min(b.config.Burst, b.tokens+b.config.Rate*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
 }
 
-// sweep drops buckets that are full: most machines are paced once. One that was emptied, and not asked
-// for since, is kept for long after what emptied it.
+// sweep drops full buckets, since most machines need permits only once. An emptied bucket that has
+// not been used since is kept for sweepInterval.
 func (p *Permits) sweep(now time.Duration) {
-	if now-p.swept < sweepInterval {
+	if now-p.sweptAt < sweepInterval {
 		return
 	}
-	p.swept = now
-	maps.DeleteFunc(p.buckets, func(_ string, held *bucket) bool {
-		if held.pace.Rate == 0 {
-			return now-held.updated >= sweepInterval
+	p.sweptAt = now
+	maps.DeleteFunc(p.buckets, func(_ string, entry *bucket) bool {
+		if entry.config.Rate == 0 {
+			return now-entry.updatedAt >= sweepInterval
 		}
-		held.refill(now)
-		return held.level >= held.pace.Burst
+		entry.refill(now)
+		return entry.tokens >= entry.config.Burst
 	})
 }
--- a/internal/permits/permits_test.go
+++ b/internal/permits/permits_test.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// TestSweptBucketsAreFull: a bucket that was used lately stays as empty as it is when others are
-// dropped.
-func TestSweptBucketsAreFull(t *testing.T) {
-	permits, pace := New(0), Pace{Rate: 5, Burst: 5}
-	for permits.Take(sweepInterval-time.Millisecond, "used", pace).Granted {
+// TestSweepDropsOnlyFullBuckets guards against refilling a recently used bucket by dropping it.
+func TestSweepDropsOnlyFullBuckets(t *testing.T) {
+	buckets, config := New(0), Pace{Rate: 5, Burst: 5}
+	for buckets.Take(sweepInterval-time.Millisecond, "used", config).Granted {
 	}
-	permits.Take(sweepInterval, "another", pace)
-	if permits.Take(sweepInterval, "used", pace).Granted {
-		t.Error("the bucket is full again")
+	buckets.Take(sweepInterval, "another", config)
+	if buckets.Take(sweepInterval, "used", config).Granted {
+		t.Error("the bucket was refilled by the sweep")
 	}
-	permits.Take(2*sweepInterval, "another", pace)
-	if _, held := permits.buckets["used"]; held || len(permits.buckets) != 1 {
-		t.Errorf("%d buckets are held", len(permits.buckets))
+	buckets.Take(2*sweepInterval, "another", config)
+	if _, found := buckets.buckets["used"]; found || len(buckets.buckets) != 1 {
+		t.Errorf("got %d buckets, want 1", len(buckets.buckets))
 	}
 }
