--- a/internal/warming/bound.go
+++ b/internal/warming/bound.go
@@ -9,28 +9,27 @@
 const (
 	// window is the span over which a machine's requests are counted.
 	window = time.Second
-	// margin is the share of the bound that is left unused: a request that has been checked may
-	// reach the wire a moment after its permit ended, and clocks don't run alike.
+	// margin is the unused share of the bound, for the delay between the check of a permit and the
+	// write of its request, and for clock skew.
 	margin = 0.05
 )
 
-// Bound is by how much all routers together may exceed what a pool declares that a machine
-// bears while it warms up: rate times Factor plus Slack requests in any one second.
+// Bound is how far all routers together may exceed the rate that a pool declares for machines that
+// are warming up: at most rate times Factor plus Slack requests in any second.
 type Bound struct {
 	Factor, Slack float64
 }
 
-// Allows is how many requests a machine that bears so many a second may get in one second.
+// MaxRequests returns the number of requests allowed in one second at a declared rate.
 func (b Bound) Allows(perSecond float64) float64 {
 	return perSecond*b.Factor + b.Slack
 }
 
-// Pace derives the bucket of a machine that bears so many requests a second from the bound. A permit
-// given at t is used before t + permits.Lifetime, so the requests of one window have permits from a
-// span of at most window + permits.Lifetime, in which a bucket gives out burst + rate * span. That
-// must not exceed what is allowed. The machine bears the rate for long; a burst of one second's worth
-// is as much as it need be offered at once. Where the bound leaves no room for a single token beside
-// the rate, the rate gives way; where it leaves none at all, nothing is permitted.
+// BucketConfig derives the token bucket of a machine from its declared rate. A permit is used
+// within permits.Lifetime, so the requests of one window have permits from a span of at most
+// window + permits.Lifetime, in which a bucket grants burst + rate * span. This must not exceed
+// MaxRequests. If the bound leaves no room for a single token, the rate is reduced; if it leaves
+// none at all, nothing is permitted.
 func (b Bound) Pace(perSecond float64) permits.Pace {
 	allowed := b.Allows(perSecond) * (1 - margin)
 	span := (window + permits.Lifetime).Seconds()
--- a/internal/warming/state.go
+++ b/internal/warming/state.go
@@ -7,103 +7,100 @@
 )
 
 const (
-	// Unit is what the numbers in digests count.
+	// DigestUnit is the unit of the remaining times in digests.
 	Unit = 100 * time.Millisecond
-	// Unsaid stands in a digest for a machine that has not said whether it warms up.
+	// UnitsUnknown is the digest value of a machine with unknown status.
 	Unsaid = math.MaxUint8
-	// failureDoubt is for how long after a connection that did not come about no digest vouches
-	// for a machine: it may have ended, and be back before the leader hears of it. Machines
-	// report about once a second.
-	failureDoubt = 1500 * time.Millisecond
+	// failureHoldTime is how long after a failed connection digests are ignored for a machine,
+	// which may have restarted before the leader noticed. It exceeds the machines' report
+	// interval.
+	failureHoldTime = 1500 * time.Millisecond
 )
 
-// InDoubt is the revision of a change that no digest can know of.
+// UncoveredRevision is the revision of a change that no digest covers.
 const InDoubt = math.MaxUint64
 
-// Units returns a time as a digest carries it, rounded up.
+// ToUnits converts a time to digest units, rounded up.
 func Units(remaining time.Duration) uint8 {
 	units := (max(0, remaining) + Unit - 1) / Unit
 	return uint8(min(units, Unsaid-1))
 }
 
-// Digest is what a leader's digest says of machines that warm up.
+// Digest is the part of a leader's digest about machines that are warming up.
 type Digest struct {
 	Term, Revision uint64
-	// Machines are all that the leader knows of, and Units what it says of each of them, in the
-	// same order; those behind the end are warm.
+	// Machines are all machines known to the leader, and Units their remaining times in the same
+	// order. Machines beyond the end of Units are warm.
 	Machines []string
 	Units    []byte
 }
 
-// State is what a router knows of machines that warm up. It is not safe for concurrent use.
+// State is a router's knowledge of machines that are warming up. It is not safe for concurrent
+// use.
 //
-// Whatever puts a machine in doubt leaves a trace in the log: its record, a change of its phase,
-// the end of its zone's drain. A machine is warm only if a digest that knew of the newest of these
-// has said so. Where no digest comes, what was said last holds on, lowered by time: a router that
-// is cut off goes on serving with the machines that it knows to be warm.
+// Whatever may require a machine to warm up again leaves a revision in the log: its registration,
+// a change of its phase, the end of its zone's drain. A machine is warm only if a digest that
+// covers the newest of these says so. Without digests the last statements stay in force, so that a
+// partitioned router keeps serving with warm machines.
 type State struct {
 	statements map[string]statement
-	// failed is when a connection to a machine last did not come about, where that was lately.
+	// failed is the time of the last recent connection failure, by machine.
 	failed map[string]time.Duration
 }
 
-// statement is what a digest said of a machine.
+// statement is what a digest states about a machine.
 type statement struct {
 	term, revision uint64
-	// until is when the machine is warm.
-	until time.Duration
-	// unsaid is set where nobody vouches for the machine.
-	unsaid bool
+	warmAt         time.Duration
+	// unknown is set if the machine's status is unknown to the leader.
+	unknown bool
 }
 
-// NewState returns the state of a router that has just started.
+// NewState returns the state of a newly started router.
 func NewState() *State {
 	return &State{statements: map[string]statement{}, failed: map[string]time.Duration{}}
 }
 
-// TakeDigest takes what a digest says, which came at now; digests must come in order.
+// ApplyDigest applies a digest received now. Digests must be applied in order.
 //
-// A leader that has just begun has heard of no machine. Where it says so, a statement of an
-// earlier term holds on: without that, a change of leader would stop a whole fleet for as long
-// as machines take to report. What has put a machine in doubt since the statement is in the log;
-// and one that begins to warm up by itself finds no other leader to report to than the new one.
+// A new leader has received no reports yet. Where its digest states an unknown status, the
+// statement of an earlier term stays in force; otherwise each change of the leader would restrict
+// the whole fleet until machines report.
 func (s *State) TakeDigest(now time.Duration, digest Digest) {
-	s.forgetFailures(now)
+	s.pruneFailures(now)
 	next := make(map[string]statement, len(digest.Machines))
 	for position, machine := range digest.Machines {
-		said := statement{term: digest.Term, revision: digest.Revision, until: now}
+		stated := statement{term: digest.Term, revision: digest.Revision, warmAt: now}
 		if position < len(digest.Units) {
-			said.unsaid = digest.Units[position] == Unsaid
-			said.until = now + time.Duration(digest.Units[position])*Unit
+			stated.unknown = digest.Units[position] == Unsaid
+			stated.warmAt = now + time.Duration(digest.Units[position])*Unit
 		}
-		if held, known := s.statements[machine]; said.unsaid && known && held.term < digest.Term {
-			said = held
+		if previous, known := s.statements[machine]; stated.unknown && known && previous.term < digest.Term {
+			stated = previous
 		}
 		if _, failed := s.failed[machine]; failed {
-			said.unsaid = true
+			stated.unknown = true
 		}
-		next[machine] = said
+		next[machine] = stated
 	}
 	s.statements = next
 }
 
-// forgetFailures drops the failures that are too old to keep a digest from vouching for their
-// machines, which may be gone by now.
-func (s *State) forgetFailures(now time.Duration) {
-	maps.DeleteFunc(s.failed, func(_ string, failed time.Duration) bool { return now-failed >= failureDoubt })
+func (s *State) pruneFailures(now time.Duration) {
+	maps.DeleteFunc(s.failed, func(_ string, failed time.Duration) bool { return now-failed >= failureHoldTime })
 }
 
-// NoteFailure notes that a connection to a machine did not come about.
+// RecordFailure records a failed connection to a machine.
 func (s *State) NoteFailure(now time.Duration, machine string) {
 	s.failed[machine] = now
-	said := s.statements[machine]
-	said.unsaid = true
-	s.statements[machine] = said
+	stated := s.statements[machine]
+	stated.unknown = true
+	s.statements[machine] = stated
 }
 
-// Warms reports whether a machine is to be taken to warm up. Changed is the revision of the newest
-// change in the log that puts it in doubt.
+// IsWarming reports whether a machine must be taken to be warming up. changed is the revision of
+// the newest change in the log that may require it to warm up again.
 func (s *State) Warms(now time.Duration, machine string, changed uint64) bool {
-	said, known := s.statements[machine]
-	return !known || said.unsaid || said.revision < changed || now < said.until
+	stated, known := s.statements[machine]
+	return !known || stated.unknown || stated.revision < changed || now < stated.warmAt
 }
--- a/internal/warming/state_test.go
+++ b/internal/warming/state_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestState runs the tables of what a router knows.
+// TestState runs the data-driven tests of a router's state.
 //
 //	at ms=N
 //	digest term=N revision=N: a line "machine [units]" for each machine
@@ -66,16 +66,17 @@
 	return digest
 }
 
-// TestFailuresOfMachinesThatAreGoneAreForgotten: machines come and go under names of their own.
-func TestFailuresOfMachinesThatAreGoneAreForgotten(t *testing.T) {
+// TestFailuresOfRemovedMachinesAreForgotten guards against unbounded growth as machines come and
+// go.
+func TestFailuresOfRemovedMachinesAreForgotten(t *testing.T) {
 	state := NewState()
 	state.NoteFailure(0, "gone")
-	state.NoteFailure(failureDoubt, "new")
-	state.TakeDigest(failureDoubt, Digest{Machines: []string{"new"}, Units: []byte{0}})
-	if _, held := state.failed["new"]; !held || len(state.failed) != 1 {
-		t.Errorf("failures of %v are held", state.failed)
+	state.NoteFailure(failureHoldTime, "new")
+	state.TakeDigest(failureHoldTime, Digest{Machines: []string{"new"}, Units: []byte{0}})
+	if _, found := state.failed["new"]; !found || len(state.failed) != 1 {
+		t.Errorf("got failures %v, want one of new", state.failed)
 	}
-	if len(state.statements) != 1 || !state.Warms(failureDoubt, "new", 0) {
-		t.Errorf("held are %v", state.statements)
+	if len(state.statements) != 1 || !state.Warms(failureHoldTime, "new", 0) {
+		t.Errorf("got statements %v, want one of new, which is warming", state.statements)
 	}
 }
--- a/internal/warming/watch.go
+++ b/internal/warming/watch.go
@@ -6,157 +6,155 @@
 	"time"
 )
 
-// Report is what a machine said of itself last.
+// Report is the last report of a machine.
 type Report struct {
-	// Received is when a control node got it.
+	// Received is when a control node received the report.
 	Received time.Duration
-	// Remaining is for how long the machine warmed up from then on.
+	// Remaining is the warm-up time left at Received.
 	Remaining time.Duration
 }
 
-// Machine is what the leader holds of a machine.
+// Machine is the leader's knowledge of a machine.
 type Machine struct {
 	Zone string
-	// Declared is set where the machine's pool says that its machines warm up.
+	// DeclaredWarming is set if the machine's pool declares that its machines warm up.
 	Declared bool
 	// Lost is set while the machine is silent.
 	Lost bool
-	// Report is nil where the machine has said nothing.
+	// Report is nil if there is none.
 	Report *Report
 }
 
-// Drain is the newest order for a zone.
+// Drain is the latest drain setting of a zone.
 type Drain struct {
 	Revision uint64
 	Drained  bool
 }
 
-// Change tells that a machine began to warm up, or is warm.
+// Change is a machine that started to warm up or became warm.
 type Change struct {
 	Machine string
-	// Remaining is for how long it warms up; 0 where it is warm.
+	// Remaining is the warm-up time left; 0 if the machine is warm.
 	Remaining time.Duration
 }
 
-// News is what an update of the watch brings.
+// Transitions are the results of an update.
 type News struct {
-	// Changes are the machines that said that they warm up, or are warm again, by name.
+	// Changes are the machines that reported to be warming up, or became warm, sorted by name.
 	Changes []Change
-	// Doubted are those that were warm, and got requests without permits, by name.
+	// LeftWarm are the machines that were warm, and got requests without permits, sorted by name.
 	Doubted []string
-	// Urgent is set where routers should hear at once of how any machine stands.
+	// Urgent is set if routers should get a digest at once.
 	Urgent bool
 }
 
-// Watch is what the leader of one term knows of machines that warm up. It is not safe for
+// Tracker tracks the machines that are warming up, for the leader of one term. It is not safe for
 // concurrent use.
 //
-// A machine is vouched for by a report from this term, and from after the newest order for its
-// zone was seen: a machine whose drain has ended may have started anew meanwhile.
+// The status of a machine is known by a report received in this term and after the latest drain
+// setting of its zone was seen: a machine whose drain has ended may have restarted.
 type Watch struct {
-	began    time.Duration
-	drains   map[string]seenDrain
-	machines map[string]Machine
-	// stood is what was last known of each machine.
-	stood map[string]standing
+	termStart time.Duration
+	drains    map[string]seenDrain
+	machines  map[string]Machine
+	statuses  map[string]status
 }
 
-// seenDrain is an order for a zone, and when it was first seen.
+// seenDrain is a drain setting and when it was first seen.
 type seenDrain struct {
 	Drain
-	seen time.Duration
+	seenAt time.Duration
 }
 
-// standing is how a machine stands.
-type standing int
+type status int
 
 const (
-	unsaid standing = iota
-	warms
-	warm
+	statusUnknown status = iota
+	statusWarming
+	statusWarm
 )
 
-// NewWatch returns the watch of a term that begins at now.
+// NewTracker returns the tracker of a term that starts now.
 func NewWatch(now time.Duration) *Watch {
-	return &Watch{began: now, drains: map[string]seenDrain{}, stood: map[string]standing{}}
+	return &Watch{termStart: now, drains: map[string]seenDrain{}, statuses: map[string]status{}}
 }
 
-// Update takes what the leader holds now, which must not be changed afterwards.
-func (w *Watch) Update(now time.Duration, drains map[string]Drain, machines map[string]Machine) News {
-	w.machines = machines
+// Update applies the leader's current knowledge. The maps must not be modified afterwards.
+func (t *Watch) Update(now time.Duration, drains map[string]Drain, machines map[string]Machine) News {
+	t.machines = machines
 	for zone, drain := range drains {
-		if held, known := w.drains[zone]; !known || held.Revision != drain.Revision {
-			w.drains[zone] = seenDrain{Drain: drain, seen: now}
+		if seen, known := t.drains[zone]; !known || seen.Revision != drain.Revision {
+			t.drains[zone] = seenDrain{Drain: drain, seenAt: now}
 		}
 	}
-	var news News
-	stood := make(map[string]standing, len(machines))
+	var transitions News
+	statuses := make(map[string]status, len(machines))
 	for name, machine := range machines {
-		remaining, said := w.remaining(now, machine)
-		stood[name] = standingOf(remaining, said)
-		news.add(Change{Machine: name, Remaining: remaining}, w.stood[name], stood[name])
+		remaining, known := t.remaining(now, machine)
+		statuses[name] = statusOf(remaining, known)
+		transitions.add(Change{Machine: name, Remaining: remaining}, t.statuses[name], statuses[name])
 	}
-	w.stood = stood
-	slices.SortFunc(news.Changes, func(left, right Change) int { return cmp.Compare(left.Machine, right.Machine) })
-	slices.Sort(news.Doubted)
-	return news
+	t.statuses = statuses
+	slices.SortFunc(transitions.Changes, func(left, right Change) int { return cmp.Compare(left.Machine, right.Machine) })
+	slices.Sort(transitions.Doubted)
+	return transitions
 }
 
-// add takes in how a machine stood and stands.
-func (n *News) add(change Change, before, after standing) {
+// add records the transition of a machine.
+func (t *News) add(change Change, before, after status) {
 	if before == after {
 		return
 	}
-	n.Urgent = true
-	if after == warms || before == warms && after == warm {
-		n.Changes = append(n.Changes, change)
+	t.Urgent = true
+	if after == statusWarming || before == statusWarming && after == statusWarm {
+		t.Changes = append(t.Changes, change)
 	}
-	if before == warm {
-		n.Doubted = append(n.Doubted, change.Machine)
+	if before == statusWarm {
+		t.Doubted = append(t.Doubted, change.Machine)
 	}
 }
 
-func standingOf(remaining time.Duration, said bool) standing {
+func statusOf(remaining time.Duration, known bool) status {
 	switch {
-	case !said:
-		return unsaid
+	case !known:
+		return statusUnknown
 	case remaining > 0:
-		return warms
+		return statusWarming
 	}
-	return warm
+	return statusWarm
 }
 
-// Units returns what a digest that is sent now says of the machines that are not warm.
-func (w *Watch) Units(now time.Duration) map[string]uint32 {
+// DigestUnits returns the digest values of the machines that are not warm.
+func (t *Watch) Units(now time.Duration) map[string]uint32 {
 	units := map[string]uint32{}
-	for name, machine := range w.machines {
-		remaining, said := w.remaining(now, machine)
-		switch standingOf(remaining, said) {
-		case unsaid:
+	for name, machine := range t.machines {
+		remaining, known := t.remaining(now, machine)
+		switch statusOf(remaining, known) {
+		case statusUnknown:
 			units[name] = Unsaid
-		case warms:
+		case statusWarming:
 			units[name] = uint32(Units(remaining))
 		}
 	}
 	return units
 }
 
-// Remaining returns for how long the machines that said that they warm up still do.
-func (w *Watch) Remaining(now time.Duration) map[string]time.Duration {
+// Remaining returns the warm-up time left of the machines that reported to be warming up.
+func (t *Watch) Remaining(now time.Duration) map[string]time.Duration {
 	found := map[string]time.Duration{}
-	for name, machine := range w.machines {
-		if remaining, said := w.remaining(now, machine); said && remaining > 0 {
+	for name, machine := range t.machines {
+		if remaining, known := t.remaining(now, machine); known && remaining > 0 {
 			found[name] = remaining
 		}
 	}
 	return found
 }
 
-// remaining is for how long a machine warms up; said is false where nobody vouches for it. A
-// machine of a pool whose machines don't warm up is passed over unless it says that it does.
-func (w *Watch) remaining(now time.Duration, machine Machine) (remaining time.Duration, said bool) {
-	drain := w.drains[machine.Zone]
-	since := max(w.began, drain.seen)
+// remaining returns the warm-up time left of a machine. known is false if its status is unknown. A
+// machine without DeclaredWarming is warm unless it reports otherwise.
+func (t *Watch) remaining(now time.Duration, machine Machine) (remaining time.Duration, known bool) {
+	drain := t.drains[machine.Zone]
+	since := max(t.termStart, drain.seenAt)
 	isHeard := machine.Report != nil && machine.Report.Received >= since
 	if !isHeard || machine.Lost || drain.Drained {
 		return 0, !machine.Declared
--- a/internal/warming/watch_test.go
+++ b/internal/warming/watch_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-const beginning = 10 * time.Second
+const termStart = 10 * time.Second
 
 func reported(received, remaining time.Duration) Machine {
 	return Machine{Zone: "z", Declared: true, Report: &Report{Received: received, Remaining: remaining}}
 }
 
-// TestWatchVouchesByReportsOnly: of a machine that could warm up, the leader says what the machine
-// said itself in this term and since its zone's drain ended, lowered by time.
-func TestWatchVouchesByReportsOnly(t *testing.T) {
+// TestTrackerTrustsOnlyCurrentReports: the status of a machine is known only from a report of this
+// term, after the end of its zone's drain.
+func TestTrackerTrustsOnlyCurrentReports(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		machine Machine
@@ -23,54 +23,54 @@
 	}{
 		{"said nothing", Machine{Declared: true}, nil, Unsaid},
 		{"said nothing, and can't warm up", Machine{}, nil, 0},
-		{"warm", reported(beginning, 0), nil, 0},
-		{"warms up", reported(beginning, 3*time.Second), nil, 20},
-		{"warms up for a part of a unit", reported(beginning, 1001*time.Millisecond), nil, 1},
-		{"warms up for very long", reported(beginning, time.Hour), nil, Unsaid - 1},
-		{"was warm by now", reported(beginning, time.Second), nil, 0},
-		{"told the leader before", reported(beginning-1, 0), nil, Unsaid},
-		{"lost", Machine{Declared: true, Lost: true, Report: &Report{Received: beginning}}, nil, Unsaid},
-		{"drained", reported(beginning+time.Second, 0), map[string]Drain{"z": {Revision: 4, Drained: true}}, Unsaid},
-		{"heard before the drain's end was seen", reported(beginning+999*time.Millisecond, 0), map[string]Drain{"z": {Revision: 5}}, Unsaid},
-		{"heard since", reported(beginning+time.Second, 0), map[string]Drain{"z": {Revision: 5}}, 0},
-		{"another zone's drain", reported(beginning, 0), map[string]Drain{"y": {Revision: 5}}, 0},
+		{"warm", reported(termStart, 0), nil, 0},
+		{"warms up", reported(termStart, 3*time.Second), nil, 20},
+		{"warms up for a part of a unit", reported(termStart, 1001*time.Millisecond), nil, 1},
+		{"warms up for very long", reported(termStart, time.Hour), nil, Unsaid - 1},
+		{"was warm by now", reported(termStart, time.Second), nil, 0},
+		{"told the leader before", reported(termStart-1, 0), nil, Unsaid},
+		{"lost", Machine{Declared: true, Lost: true, Report: &Report{Received: termStart}}, nil, Unsaid},
+		{"drained", reported(termStart+time.Second, 0), map[string]Drain{"z": {Revision: 4, Drained: true}}, Unsaid},
+		{"heard before the drain's end was seen", reported(termStart+999*time.Millisecond, 0), map[string]Drain{"z": {Revision: 5}}, Unsaid},
+		{"heard since", reported(termStart+time.Second, 0), map[string]Drain{"z": {Revision: 5}}, 0},
+		{"another zone's drain", reported(termStart, 0), map[string]Drain{"y": {Revision: 5}}, 0},
 	} {
-		watch := NewWatch(beginning)
-		now := beginning + time.Second
-		watch.Update(now, test.drains, map[string]Machine{"m": test.machine})
-		if units := watch.Units(now)["m"]; units != test.units {
-			t.Errorf("%s: %d units, wanted %d", test.name, units, test.units)
+		tracker := NewWatch(termStart)
+		now := termStart + time.Second
+		tracker.Update(now, test.drains, map[string]Machine{"m": test.machine})
+		if units := tracker.Units(now)["m"]; units != test.units {
+			t.Errorf("%s: got %d units, want %d", test.name, units, test.units)
 		}
 	}
 }
 
-// TestWatchTellsOfChanges: routers hear at once of a machine that begins to warm up or is warm, and
-// the log tells of those that said so; a new leader that hears of a warm fleet logs nothing.
-func TestWatchTellsOfChanges(t *testing.T) {
-	watch := NewWatch(beginning)
+// TestTrackerReportsTransitions: transitions are urgent, and only reported ones are listed; the
+// first reports to a new leader are not.
+func TestTrackerReportsTransitions(t *testing.T) {
+	tracker := NewWatch(termStart)
 	for _, step := range []struct {
 		name    string
 		after   time.Duration
 		machine Machine
-		news    News
+		want    News
 	}{
 		{"not heard yet", 0, Machine{Declared: true}, News{}},
-		{"warm", 0, reported(beginning, 0), News{Urgent: true}},
-		{"still warm", time.Second, reported(beginning+time.Second, 0), News{}},
+		{"warm", 0, reported(termStart, 0), News{Urgent: true}},
+		{"still warm", time.Second, reported(termStart+time.Second, 0), News{}},
 		{
-			"begins to warm up", 2 * time.Second, reported(beginning+2*time.Second, time.Second),
+			"begins to warm up", 2 * time.Second, reported(termStart+2*time.Second, time.Second),
 			News{Changes: []Change{{Machine: "m", Remaining: time.Second}}, Doubted: []string{"m"}, Urgent: true},
 		},
-		{"is warm", 3 * time.Second, reported(beginning+2*time.Second, time.Second), News{Changes: []Change{{Machine: "m"}}, Urgent: true}},
+		{"is warm", 3 * time.Second, reported(termStart+2*time.Second, time.Second), News{Changes: []Change{{Machine: "m"}}, Urgent: true}},
 		{
 			"lost", 4 * time.Second,
 			Machine{Declared: true, Lost: true},
 			News{Doubted: []string{"m"}, Urgent: true},
 		},
 	} {
-		news := watch.Update(beginning+step.after, nil, map[string]Machine{"m": step.machine})
-		if !reflect.DeepEqual(news, step.news) {
-			t.Errorf("%s: %+v, wanted %+v", step.name, news, step.news)
+		got := tracker.Update(termStart+step.after, nil, map[string]Machine{"m": step.machine})
+		if !reflect.DeepEqual(got, step.want) {
+			t.Errorf("%s: got %+v, want %+v", step.name, got, step.want)
 		}
 	}
 }
