--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,16 +1,6 @@
-// Package quarantine keeps a request that ends the machines that run it from ending more
-// of them.
-//
-// The problem: such a request breaks off in the middle of its answer, and its caller sends
-// it again, under another id and through another router. Each send looks like a new
-// request, and ends one more machine with everything that runs there.
-//
-// The mechanism: a request is known by its content (Identity). Everything that was at a
-// machine when its process ended is recorded in the replicated log, machine by machine; a
-// request under which CrashesToQuarantine machines ended is refused by every router, and one
-// that comes to its end is cleared.
-//
-// Invariant: a record counts each machine once, however many routers saw it end, and a
-// machine that starts again has another name. A conviction is given up only for a newer one,
-// an operator or a whole run.
+// Package quarantine stops requests that crash the machines that run them. A request is identified
+// by its content, since callers retry it under other IDs and through other routers. One that was
+// running during QuarantineThreshold crashes is refused by every router; one that completes is
+// cleared. Invariant: a record counts each process instance once, and a quarantine ends only by
+// eviction, an operator or a completed run.
 package quarantine
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -7,45 +7,42 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// CrashesToQuarantine is how many machines have to have ended under a request before no
-// router sends it on. One crash convicts nobody: everything that ran on the machine was
-// there. A second one under the same request is chance only where companions of the culprit
-// met it again, and one whole run clears them.
+// QuarantineThreshold is the number of crashes after which a request is refused. One crash is not
+// enough, since it implicates everything that ran on the machine.
 const CrashesToQuarantine = 2
 
-// RetryAfter is when the caller of a quarantined request is told to come back. Only an operator
-// lets the request run again, so soon is of no use.
+// RetryAfter is the Retry-After of quarantined requests, which only an operator releases.
 const RetryAfter = 10 * time.Minute
 
-// AddCrash returns the record of a request after a machine has ended under it, and whether
-// that is news. Held is nil for a request without a record.
-func AddCrash(held *v1.SuspectSpec, machine string, at time.Time) (*v1.SuspectSpec, bool) {
-	next := &v1.SuspectSpec{}
-	if held != nil {
-		*next = *held
+// AddCrash returns the record of a request after a crash of a machine, and whether it changed.
+// current is nil if there is no record.
+func AddCrash(current *v1.SuspectSpec, machine string, at time.Time) (*v1.SuspectSpec, bool) {
+	updated := &v1.SuspectSpec{}
+	if current != nil {
+		*updated = *current
 	}
-	if len(next.Machines) >= v1.MaxCrashesRecorded || slices.Contains(next.Machines, machine) {
-		return held, false
+	if len(updated.Machines) >= v1.MaxCrashesRecorded || slices.Contains(updated.Machines, machine) {
+		return current, false
 	}
-	next.Machines = append(slices.Clone(next.Machines), machine)
-	next.Quarantined = next.Quarantined || len(next.Machines) >= CrashesToQuarantine
-	next.LastCrash = at
-	return next, true
+	updated.Machines = append(slices.Clone(updated.Machines), machine)
+	updated.Quarantined = updated.Quarantined || len(updated.Machines) >= CrashesToQuarantine
+	updated.LastCrash = at
+	return updated, true
 }
 
-// Excess returns which of the records are given up so that at most so many are left: those
-// with the fewest crashes, of these the oldest. Records come oldest first. Whoever changes a
-// request a little each time makes records with one crash, and drives out only such.
-func Excess(records []*v1.SuspectSpec, most int) []int {
-	if len(records) <= most {
+// Evictions returns the indexes of the records to evict so that at most limit remain: those with
+// the fewest crashes first, then the oldest. records must be sorted by age, oldest first. A caller
+// that varies its requests creates records with one crash, and evicts only such records.
+func Excess(records []*v1.SuspectSpec, limit int) []int {
+	if len(records) <= limit {
 		return nil
 	}
-	positions := make([]int, len(records))
-	for position := range positions {
-		positions[position] = position
+	indexes := make([]int, len(records))
+	for index := range indexes {
+		indexes[index] = index
 	}
-	slices.SortStableFunc(positions, func(left, right int) int {
+	slices.SortStableFunc(indexes, func(left, right int) int {
 		return len(records[left].Machines) - len(records[right].Machines)
 	})
-	return positions[:len(records)-most]
+	return indexes[:len(records)-limit]
 }
--- a/internal/quarantine/identity.go
+++ b/internal/quarantine/identity.go
@@ -8,32 +8,30 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// identityBytes is the length of an Identity. A caller chooses what is hashed; to find two
-// requests with one identity takes about 2^64 hashes.
+// identityBytes is chosen for collision resistance, since callers control the hashed content:
+// finding a collision takes about 2^64 hashes.
 const identityBytes = 16
 
-// Identity tells a request by what it is, whichever router it comes to and under whatever
-// id: the same on every node and in every life of one.
+// Identity is a hash of a request's content, equal on all nodes.
 type Identity [identityBytes]byte
 
-// Content is what makes two sends the same request. Ids, deadlines, priorities and other
-// headers differ from one send to the next.
+// Content is what identifies a request. It excludes IDs, deadlines, priorities and other headers,
+// which differ between retries.
 type Content struct {
-	// Tenant is the caller's, empty where callers show no key. Their network address is no
-	// part of it: one caller may come from many, and many through one proxy.
+	// Tenant is empty for callers without a key. Network addresses are not used instead: a caller
+	// may have many, and many callers may share a proxy.
 	Tenant string
 	Method string
 	Host   string
-	// Target is the escaped path with the query.
+	// Target is the escaped path and query.
 	Target string
 	Body   []byte
 }
 
-// Identify returns the identity of a request.
 func Identify(content Content) Identity {
 	digest := sha256.New()
 	for _, part := range []string{content.Tenant, content.Method, content.Host, content.Target} {
-		// The length keeps the end of one part apart from the beginning of the next.
+		// The length prefix makes the boundaries between parts unambiguous.
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		_, _ = digest.Write(length[:])
@@ -43,17 +41,17 @@
 	return Identity(digest.Sum(nil)[:identityBytes])
 }
 
-// LoadIdentity is the identity of the loads of a model version, as an order to engines.
+// LoadIdentity is the identity of the load requests for a model version.
 func LoadIdentity(version string) Identity {
 	return Identify(Content{Method: "LOAD", Target: version})
 }
 
-// String is the identity in hexadecimal, as it stands in logs and names of records.
+// String returns the identity in hexadecimal, as used in logs and record names.
 func (i Identity) String() string {
 	return hex.EncodeToString(i[:])
 }
 
-// ParseIdentity reads what String wrote.
+// ParseIdentity parses the output of String.
 func ParseIdentity(text string) (Identity, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil {
@@ -62,7 +60,6 @@
 	return IdentityOf(decoded)
 }
 
-// IdentityOf reads an identity from its bytes.
 func IdentityOf(encoded []byte) (Identity, error) {
 	if len(encoded) != identityBytes {
 		return Identity{}, fault.InvalidField("identity", "has %d bytes, not %d", len(encoded), identityBytes)
--- a/internal/quarantine/identity_test.go
+++ b/internal/quarantine/identity_test.go
@@ -6,10 +6,10 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-func TestIdentityTellsRequestsApart(t *testing.T) {
+func TestIdentityDistinguishesRequests(t *testing.T) {
 	base := Content{Tenant: "t", Method: "POST", Host: "a.example", Target: "/x/1?q=2", Body: []byte("body")}
 	if again := base; Identify(again) != Identify(base) {
-		t.Fatal("the same request has two identities")
+		t.Fatal("equal requests have different identities")
 	}
 	for name, change := range map[string]func(content *Content){
 		"tenant": func(content *Content) { content.Tenant = "u" },
@@ -25,25 +25,25 @@
 		changed := base
 		change(&changed)
 		if Identify(changed) == Identify(base) {
-			t.Errorf("%s: two requests have one identity", name)
+			t.Errorf("%s: different requests have the same identity", name)
 		}
 	}
 }
 
-func TestIdentityIsReadBack(t *testing.T) {
+func TestParseIdentity(t *testing.T) {
 	identity := Identify(Content{Target: "/x"})
-	read, err := ParseIdentity(identity.String())
-	if err != nil || read != identity {
-		t.Errorf("%s is read back as %s (%v)", identity, read, err)
+	parsed, err := ParseIdentity(identity.String())
+	if err != nil || parsed != identity {
+		t.Errorf("%s parses as %s (%v)", identity, parsed, err)
 	}
 	for _, text := range []string{"", "xy", identity.String()[2:], identity.String() + "00"} {
 		if _, err := ParseIdentity(text); fault.FieldOf(err) != "identity" {
-			t.Errorf("%q: %v, not an error of the field", text, err)
+			t.Errorf("%q: got error %v, want one of the field", text, err)
 		}
 	}
 }
 
-// BenchmarkIdentify hashes a request with a prompt of 18 kB.
+// BenchmarkIdentify hashes a request with a body of 18 kB.
 func BenchmarkIdentify(b *testing.B) {
 	content := Content{Method: "POST", Host: "a.example", Target: "/x/1", Body: make([]byte, 18<<10)}
 	for b.Loop() {
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -10,33 +10,28 @@
 )
 
 const (
-	// endedLifetime is for how long it is kept that a machine ended, for requests whose ends are
-	// noticed later, on other connections. No other verdict is kept: a machine that is alive now
-	// may end in the next moment.
-	endedLifetime = 10 * time.Second
-	// maxExamined bounds the machines that are looked at, or remembered, at a time. Beyond it
-	// crashes go unrecorded; a router has requests at so many machines only where all of them
-	// end at once, which one request does not do.
-	maxExamined = 256
-	// maxRuns bounds the requests remembered of one machine while it is looked at.
-	maxRuns = 256
-	// firstIncarnation is that of every machine that registers.
+	// endedRetention is how long a VerdictEnded is kept for broken requests that are noticed
+	// later. Other verdicts are not kept: a machine that is alive may crash in the next moment.
+	endedRetention = 10 * time.Second
+	// maxProbes bounds the tracked machines. Crashes beyond it are not recorded.
+	maxProbes = 256
+	// maxRequestsPerProbe bounds the requests tracked for one machine while it is probed.
+	maxRequestsPerProbe = 256
+	// firstIncarnation is the incarnation of every machine that registers.
 	firstIncarnation = 1
 )
 
-// Run is a request whose answer from a machine broke off, or did not come.
+// BrokenRequest is a request whose response was interrupted or missing.
 type Run struct {
-	// Machine is the machine's name, and Address where it takes connections.
 	Machine, Address string
-	// Life names the life of the machine's process; see LifeOf.
+	// Instance identifies the machine's process; see InstanceName.
 	Life          string
 	Identity      Identity
 	Route, Tenant string
 }
 
-// LifeOf names one life of a machine's process: its name, and its incarnation where it starts
-// again under the same name. Machines that register have a new name in each life, and all the
-// first incarnation.
+// InstanceName identifies one process instance of a machine. Machines that register have a new
+// name after each restart; others have the same name and a new incarnation.
 func LifeOf(machine string, incarnation uint64) string {
 	if incarnation <= firstIncarnation {
 		return machine
@@ -44,178 +39,178 @@
 	return machine + "/" + strconv.FormatUint(incarnation, 10)
 }
 
-// Verdict is what has become of a machine whose answers broke off.
+// Verdict is the status of a machine with broken requests.
 type Verdict int
 
 const (
-	// VerdictNone: it is not known yet.
+	// VerdictPending: not known yet.
 	VerdictNone Verdict = iota
-	// VerdictEnded: its process ended, and nobody planned that.
+	// VerdictEnded: the process ended unexpectedly.
 	VerdictEnded
-	// VerdictAlive: it takes connections, so only those that stood have broken.
+	// VerdictAlive: the machine accepts connections, so only individual connections broke.
 	VerdictAlive
-	// VerdictPlanned: it was leaving.
+	// VerdictPlanned: the machine was leaving.
 	VerdictPlanned
-	// VerdictUnknown: it neither takes nor refuses connections: it is cut off, or dark.
+	// VerdictUnknown: the machine neither accepts nor refuses connections.
 	VerdictUnknown
 )
 
-// String names the verdict in logs and metrics.
+// String returns the name used in logs and metrics.
 func (v Verdict) String() string {
 	return [...]string{"none", "ended", "alive", "planned", "unknown"}[v]
 }
 
-// Sign is what can be seen of a machine whose answers broke off.
+// Evidence is what is observed of a machine with broken requests.
 type Sign struct {
-	// Replaced is set once another live machine stands at its address, Leaving if it had said
-	// that it leaves.
+	// Replaced is set if another live machine has its address, Leaving if it announced its
+	// shutdown.
 	Replaced, Leaving bool
-	// Accepts and Refuses tell what it does with a new connection; neither if it says nothing.
+	// Accepts and Refuses are its reaction to a new connection; neither is set if there was none.
 	Accepts, Refuses bool
 }
 
-// Judge tells what has become of a machine; VerdictNone where another look is needed.
+// Verdict evaluates the evidence; VerdictPending means that more is needed.
 //
-// A process that has ended refuses connections, or another one registers at its address; one
-// whose connections were reset takes new ones; one that is cut off does neither.
-func (s Sign) Judge() Verdict {
+// A process that ended refuses connections, or another one registers at its address. A process
+// that reset connections accepts new ones. A partitioned machine does neither.
+func (e Sign) Judge() Verdict {
 	switch {
-	case s.Replaced:
+	case e.Replaced:
 		return VerdictEnded
-	case s.Leaving:
+	case e.Leaving:
 		return VerdictPlanned
-	case s.Accepts:
+	case e.Accepts:
 		return VerdictAlive
-	case s.Refuses:
+	case e.Refuses:
 		return VerdictEnded
 	}
 	return VerdictNone
 }
 
-// examination is what is found out about one machine.
-type examination struct {
+// probe is the investigation of one machine.
+type probe struct {
 	verdict Verdict
-	// until is when the verdict is forgotten.
-	until time.Time
-	runs  []Run
+	// expiresAt is when the verdict is forgotten.
+	expiresAt time.Time
+	requests  []Run
 }
 
-// Watch is what one router knows of machines that ended under its requests, before the log
-// and beside it. It is not safe for concurrent use.
+// Tracker tracks crashes seen by one router, including those not yet in its view of the log. It is
+// not safe for concurrent use.
 type Watch struct {
-	examined map[string]*examination
-	// own are the crashes that the router's view may not hold yet: the lives, by request.
-	own map[Identity][]string
-	// clearing are the requests whose records are being dropped.
+	probes map[string]*probe
+	// unconfirmed are the crashed instances that the router's view may not contain yet, by
+	// request.
+	unconfirmed map[Identity][]string
+	// clearing are the requests whose records are being cleared.
 	clearing map[Identity]bool
 }
 
-// NewWatch returns a watch that knows nothing.
 func NewWatch() *Watch {
-	return &Watch{examined: map[string]*examination{}, own: map[Identity][]string{}, clearing: map[Identity]bool{}}
+	return &Watch{probes: map[string]*probe{}, unconfirmed: map[Identity][]string{}, clearing: map[Identity]bool{}}
 }
 
-// Next is what a router has to do about a broken run.
+// Action is what a router has to do about a broken request.
 type Next int
 
 const (
-	// NextNothing: what is known suffices, or will come.
+	// ActionNone: nothing, or the pending probe covers the request.
 	NextNothing Next = iota
-	// NextExamine: it has to find out what has become of the machine.
+	// ActionProbe: probe the machine.
 	NextExamine
-	// NextRecord: it has to record the run: the machine is known to have ended.
+	// ActionRecord: record the request, since the machine is known to have crashed.
 	NextRecord
-	// NextDropped: so many machines are looked at that this one is not.
+	// ActionDropped: too many machines are tracked.
 	NextDropped
 )
 
-// Broken takes a run.
-func (w *Watch) Broken(now time.Time, run Run) Next {
-	for life, held := range w.examined {
-		if held.verdict != VerdictNone && now.After(held.until) {
-			delete(w.examined, life)
+// AddBroken tracks a broken request.
+func (t *Watch) Broken(now time.Time, request Run) Next {
+	for instance, probed := range t.probes {
+		if probed.verdict != VerdictNone && now.After(probed.expiresAt) {
+			delete(t.probes, instance)
 		}
 	}
-	held := w.examined[run.Life]
+	probed := t.probes[request.Life]
 	switch {
-	case held == nil && len(w.examined) >= maxExamined:
+	case probed == nil && len(t.probes) >= maxProbes:
 		return NextDropped
-	case held == nil:
-		w.examined[run.Life] = &examination{runs: []Run{run}}
+	case probed == nil:
+		t.probes[request.Life] = &probe{requests: []Run{request}}
 		return NextExamine
-	case held.verdict == VerdictNone && len(held.runs) < maxRuns:
-		held.runs = append(held.runs, run)
-	case held.verdict == VerdictEnded:
-		w.note(run)
+	case probed.verdict == VerdictNone && len(probed.requests) < maxRequestsPerProbe:
+		probed.requests = append(probed.requests, request)
+	case probed.verdict == VerdictEnded:
+		t.addUnconfirmed(request)
 		return NextRecord
 	}
 	return NextNothing
 }
 
-// Forget drops a life that can't be examined.
-func (w *Watch) Forget(life string) {
-	delete(w.examined, life)
+// Forget drops an instance that can't be probed.
+func (t *Watch) Forget(instance string) {
+	delete(t.probes, instance)
 }
 
-// Judged takes the verdict on one life of a machine and returns the runs to be recorded.
-func (w *Watch) Judged(now time.Time, life string, verdict Verdict) []Run {
-	held := w.examined[life]
-	if held == nil {
+// ApplyVerdict applies the verdict on an instance and returns the requests to record.
+func (t *Watch) Judged(now time.Time, instance string, verdict Verdict) []Run {
+	probed := t.probes[instance]
+	if probed == nil {
 		return nil
 	}
 	if verdict != VerdictEnded {
-		delete(w.examined, life)
+		delete(t.probes, instance)
 		return nil
 	}
-	runs := held.runs
-	held.verdict, held.until, held.runs = verdict, now.Add(endedLifetime), nil
-	for _, run := range runs {
-		w.note(run)
+	requests := probed.requests
+	probed.verdict, probed.expiresAt, probed.requests = verdict, now.Add(endedRetention), nil
+	for _, request := range requests {
+		t.addUnconfirmed(request)
 	}
-	return runs
+	return requests
 }
 
-// note makes the router heed a crash at once.
-func (w *Watch) note(run Run) {
-	if !slices.Contains(w.own[run.Identity], run.Life) {
-		w.own[run.Identity] = append(w.own[run.Identity], run.Life)
+// addUnconfirmed makes the router count a crash at once.
+func (t *Watch) addUnconfirmed(request Run) {
+	if !slices.Contains(t.unconfirmed[request.Identity], request.Life) {
+		t.unconfirmed[request.Identity] = append(t.unconfirmed[request.Identity], request.Life)
 	}
 }
 
-// Recorded drops runs that the router's view holds by now.
-func (w *Watch) Recorded(runs []Run) {
-	for _, run := range runs {
-		left := slices.DeleteFunc(w.own[run.Identity], func(life string) bool { return life == run.Life })
-		if len(left) == 0 {
-			delete(w.own, run.Identity)
+// MarkRecorded drops crashes that the router's view contains.
+func (t *Watch) Recorded(requests []Run) {
+	for _, request := range requests {
+		remaining := slices.DeleteFunc(t.unconfirmed[request.Identity], func(instance string) bool { return instance == request.Life })
+		if len(remaining) == 0 {
+			delete(t.unconfirmed, request.Identity)
 			continue
 		}
-		w.own[run.Identity] = left
+		t.unconfirmed[request.Identity] = remaining
 	}
 }
 
-// Suspects reports whether the router knows of crashes that its view may not hold, or looks for some.
-func (w *Watch) Suspects() bool {
-	return len(w.own) > 0 || w.isLooking()
+// HasSuspects reports whether there are crashes that the router's view may not contain, or pending
+// probes.
+func (t *Watch) Suspects() bool {
+	return len(t.unconfirmed) > 0 || t.hasPendingProbe()
 }
 
-// isLooking reports whether it is being found out what has become of a machine.
-func (w *Watch) isLooking() bool {
-	for _, held := range w.examined {
-		if held.verdict == VerdictNone {
+func (t *Watch) hasPendingProbe() bool {
+	for _, probed := range t.probes {
+		if probed.verdict == VerdictNone {
 			return true
 		}
 	}
 	return false
 }
 
-// Crashed returns the machines that ended under a request, as far as this router knows, and
-// whether it must not run any more. Held is the record in the view; nil if there is none.
-func (w *Watch) Crashed(identity Identity, held *v1.SuspectSpec) (machines []string, quarantined bool) {
-	if held != nil {
-		machines, quarantined = slices.Clone(held.Machines), held.Quarantined
+// Crashes returns the machines that crashed while running a request, as far as this router knows,
+// and whether the request is quarantined. recorded is the record in the view, or nil.
+func (t *Watch) Crashed(identity Identity, recorded *v1.SuspectSpec) (machines []string, quarantined bool) {
+	if recorded != nil {
+		machines, quarantined = slices.Clone(recorded.Machines), recorded.Quarantined
 	}
-	for _, machine := range w.own[identity] {
+	for _, machine := range t.unconfirmed[identity] {
 		if !slices.Contains(machines, machine) {
 			machines = append(machines, machine)
 		}
@@ -223,56 +218,55 @@
 	return machines, quarantined || len(machines) >= CrashesToQuarantine
 }
 
-// Doubted reports whether a request may have ended as many machines as convict it, once it is known what
-// has become of those that are looked at. It must not run meanwhile: its caller may come back sooner than
-// that, and each run may end one more machine.
-func (w *Watch) Doubted(identity Identity, held *v1.SuspectSpec) bool {
-	machines, _ := w.Crashed(identity, held)
+// IsPending reports whether pending probes may quarantine a request. It must not run meanwhile,
+// since it could crash another machine.
+func (t *Watch) Doubted(identity Identity, recorded *v1.SuspectSpec) bool {
+	machines, _ := t.Crashed(identity, recorded)
 	count := len(machines)
-	for life, examined := range w.examined {
-		if examined.verdict == VerdictNone && !slices.Contains(machines, life) && examined.concerns(identity) {
+	for instance, probed := range t.probes {
+		if probed.verdict == VerdictNone && !slices.Contains(machines, instance) && probed.includes(identity) {
 			count++
 		}
 	}
 	return count >= CrashesToQuarantine
 }
 
-// concerns reports whether a request's answer broke off at the machine.
-func (e *examination) concerns(identity Identity) bool {
-	return slices.ContainsFunc(e.runs, func(run Run) bool { return run.Identity == identity })
+// includes reports whether a request broke on the probed machine.
+func (p *probe) includes(identity Identity) bool {
+	return slices.ContainsFunc(p.requests, func(request Run) bool { return request.Identity == identity })
 }
 
-// Completed takes a request that a machine has run to the end: a machine that ended under it
-// ended for another reason. It returns whether its record has to be dropped.
-func (w *Watch) Completed(identity Identity, recorded bool) bool {
-	delete(w.own, identity)
-	if !recorded || w.clearing[identity] {
+// Complete drops the unconfirmed crashes of a request that ran to completion, and returns whether
+// its record must be cleared.
+func (t *Watch) Completed(identity Identity, recorded bool) bool {
+	delete(t.unconfirmed, identity)
+	if !recorded || t.clearing[identity] {
 		return false
 	}
-	w.clearing[identity] = true
+	t.clearing[identity] = true
 	return true
 }
 
-// Cleared takes that a record was dropped, or could not be.
-func (w *Watch) Cleared(identity Identity) {
-	delete(w.clearing, identity)
+// MarkCleared ends the clearing of a record, whether or not it succeeded.
+func (t *Watch) Cleared(identity Identity) {
+	delete(t.clearing, identity)
 }
 
-// Settled reports whether nothing is being found out or recorded.
-func (w *Watch) Settled() bool {
-	return !w.isLooking() && len(w.own) == 0 && len(w.clearing) == 0
+// IsIdle reports whether nothing is being probed, recorded or cleared.
+func (t *Watch) Settled() bool {
+	return !t.hasPendingProbe() && len(t.unconfirmed) == 0 && len(t.clearing) == 0
 }
 
-// RecordCommand is the command that records runs at one life of a machine.
-func RecordCommand(life string, runs []Run) *wirepb.Command {
-	command := &wirepb.RecordCrashCommand{Machine: life}
-	for _, run := range runs {
-		command.Requests = append(command.Requests, &wirepb.SuspectRequest{Identity: run.Identity[:], Route: run.Route, Tenant: run.Tenant})
+// RecordCommand returns the command that records requests on a crashed instance.
+func RecordCommand(instance string, requests []Run) *wirepb.Command {
+	command := &wirepb.RecordCrashCommand{Machine: instance}
+	for _, request := range requests {
+		command.Requests = append(command.Requests, &wirepb.SuspectRequest{Identity: request.Identity[:], Route: request.Route, Tenant: request.Tenant})
 	}
 	return &wirepb.Command{Body: &wirepb.Command_RecordCrash{RecordCrash: command}}
 }
 
-// ClearCommand is the command that drops the record of a request.
+// ClearCommand returns the command that clears the record of a request.
 func ClearCommand(identity Identity) *wirepb.Command {
 	command := &wirepb.ClearSuspectsCommand{Identities: [][]byte{identity[:]}}
 	return &wirepb.Command{Body: &wirepb.Command_ClearSuspects{ClearSuspects: command}}
--- a/internal/quarantine/watch_test.go
+++ b/internal/quarantine/watch_test.go
@@ -8,11 +8,11 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-func TestJudge(t *testing.T) {
+func TestVerdict(t *testing.T) {
 	tests := []struct {
-		name    string
-		sign    Sign
-		verdict Verdict
+		name     string
+		evidence Sign
+		verdict  Verdict
 	}{
 		{"says nothing", Sign{}, VerdictNone},
 		{"refuses connections", Sign{Refuses: true}, VerdictEnded},
@@ -21,113 +21,112 @@
 		{"another life at its address", Sign{Replaced: true, Accepts: true}, VerdictEnded},
 	}
 	for _, test := range tests {
-		if verdict := test.sign.Judge(); verdict != test.verdict {
-			t.Errorf("%s: %s, not %s", test.name, verdict, test.verdict)
+		if verdict := test.evidence.Judge(); verdict != test.verdict {
+			t.Errorf("%s: got %s, want %s", test.name, verdict, test.verdict)
 		}
 	}
 }
 
-var watchStart = time.Unix(1_000, 0)
+var epoch = time.Unix(1_000, 0)
 
-func runAt(machine string, number int) Run {
+func requestOn(machine string, number int) Run {
 	return Run{Machine: machine, Life: machine, Identity: Identify(Content{Target: fmt.Sprintf("/x/%d", number)})}
 }
 
-func TestWatchHeedsACrashBeforeTheLogDoes(t *testing.T) {
-	watch := NewWatch()
-	culprit := runAt("i-1", 1)
-	if next := watch.Broken(watchStart, culprit); next != NextExamine {
-		t.Fatalf("the first broken run: %d", next)
+func TestTrackerCountsUnrecordedCrashes(t *testing.T) {
+	tracker := NewWatch()
+	culprit := requestOn("i-1", 1)
+	if action := tracker.Broken(epoch, culprit); action != NextExamine {
+		t.Fatalf("the first broken request: got action %d", action)
 	}
-	if next := watch.Broken(watchStart, runAt("i-1", 2)); next != NextNothing {
-		t.Errorf("the second at the same machine: %d", next)
+	if action := tracker.Broken(epoch, requestOn("i-1", 2)); action != NextNothing {
+		t.Errorf("the second on the same machine: got action %d", action)
 	}
-	if runs := watch.Judged(watchStart, "i-1", VerdictEnded); len(runs) != 2 {
-		t.Errorf("%d runs are recorded, not 2", len(runs))
+	if requests := tracker.Judged(epoch, "i-1", VerdictEnded); len(requests) != 2 {
+		t.Errorf("got %d requests to record, want 2", len(requests))
 	}
-	if next := watch.Broken(watchStart, runAt("i-1", 3)); next != NextRecord {
-		t.Errorf("one that is noticed after the verdict: %d", next)
+	if action := tracker.Broken(epoch, requestOn("i-1", 3)); action != NextRecord {
+		t.Errorf("one reported after the verdict: got action %d", action)
 	}
-	if machines, quarantined := watch.Crashed(culprit.Identity, nil); quarantined || fmt.Sprint(machines) != "[i-1]" {
-		t.Errorf("after one crash: %v, quarantined %t", machines, quarantined)
+	if machines, quarantined := tracker.Crashed(culprit.Identity, nil); quarantined || fmt.Sprint(machines) != "[i-1]" {
+		t.Errorf("after one crash: got %v, quarantined %t", machines, quarantined)
 	}
-	// Another router saw another machine end.
-	held := &v1.SuspectSpec{Machines: []string{"i-2"}}
-	if machines, quarantined := watch.Crashed(culprit.Identity, held); !quarantined || len(machines) != 2 {
-		t.Errorf("with the record: %v, quarantined %t", machines, quarantined)
+	// The view contains a crash recorded by another router.
+	recorded := &v1.SuspectSpec{Machines: []string{"i-2"}}
+	if machines, quarantined := tracker.Crashed(culprit.Identity, recorded); !quarantined || len(machines) != 2 {
+		t.Errorf("with the record: got %v, quarantined %t", machines, quarantined)
 	}
-	held.Machines = []string{"i-1"}
-	if machines, quarantined := watch.Crashed(culprit.Identity, held); quarantined || len(machines) != 1 {
-		t.Errorf("one crash counted twice: %v, quarantined %t", machines, quarantined)
+	recorded.Machines = []string{"i-1"}
+	if machines, quarantined := tracker.Crashed(culprit.Identity, recorded); quarantined || len(machines) != 1 {
+		t.Errorf("one crash counted twice: got %v, quarantined %t", machines, quarantined)
 	}
-	watch.Recorded([]Run{culprit, runAt("i-1", 2), runAt("i-1", 3)})
-	if !watch.Settled() {
-		t.Error("recorded, and not settled")
+	tracker.Recorded([]Run{culprit, requestOn("i-1", 2), requestOn("i-1", 3)})
+	if !tracker.Settled() {
+		t.Error("not idle although everything is recorded")
 	}
 }
 
-// TestMachineThatWasAliveIsExaminedAgain: a reset, and a moment later the machine ends.
-func TestMachineThatWasAliveIsExaminedAgain(t *testing.T) {
+func TestMachineIsProbedAgainAfterOtherVerdicts(t *testing.T) {
 	for _, verdict := range []Verdict{VerdictAlive, VerdictPlanned, VerdictUnknown} {
-		watch := NewWatch()
-		watch.Broken(watchStart, runAt("i-1", 1))
-		if runs := watch.Judged(watchStart, "i-1", verdict); len(runs) != 0 {
-			t.Errorf("%s: %d runs are recorded", verdict, len(runs))
+		tracker := NewWatch()
+		tracker.Broken(epoch, requestOn("i-1", 1))
+		if requests := tracker.Judged(epoch, "i-1", verdict); len(requests) != 0 {
+			t.Errorf("%s: got %d requests to record, want none", verdict, len(requests))
 		}
-		if next := watch.Broken(watchStart, runAt("i-1", 2)); next != NextExamine {
-			t.Errorf("%s: what comes next is not examined: %d", verdict, next)
+		if action := tracker.Broken(epoch, requestOn("i-1", 2)); action != NextExamine {
+			t.Errorf("%s: the next broken request: got action %d, want a probe", verdict, action)
 		}
 	}
 }
 
-func TestWatchForgetsMachinesThatEnded(t *testing.T) {
-	watch := NewWatch()
-	watch.Broken(watchStart, runAt("i-1", 1))
-	watch.Judged(watchStart, "i-1", VerdictEnded)
-	if next := watch.Broken(watchStart.Add(endedLifetime), runAt("i-1", 2)); next != NextRecord {
-		t.Errorf("within the verdict's time: %d", next)
+func TestEndedVerdictExpires(t *testing.T) {
+	tracker := NewWatch()
+	tracker.Broken(epoch, requestOn("i-1", 1))
+	tracker.Judged(epoch, "i-1", VerdictEnded)
+	if action := tracker.Broken(epoch.Add(endedRetention), requestOn("i-1", 2)); action != NextRecord {
+		t.Errorf("before the verdict expires: got action %d", action)
 	}
-	if next := watch.Broken(watchStart.Add(endedLifetime+1), runAt("i-1", 3)); next != NextExamine {
-		t.Errorf("after the verdict's time: %d", next)
+	if action := tracker.Broken(epoch.Add(endedRetention+1), requestOn("i-1", 3)); action != NextExamine {
+		t.Errorf("after the verdict expired: got action %d", action)
 	}
 }
 
-func TestWatchIsBounded(t *testing.T) {
-	watch := NewWatch()
-	for number := range maxExamined {
-		watch.Broken(watchStart, runAt(fmt.Sprintf("i-%d", number), number))
+func TestTrackerIsBounded(t *testing.T) {
+	tracker := NewWatch()
+	for number := range maxProbes {
+		tracker.Broken(epoch, requestOn(fmt.Sprintf("i-%d", number), number))
 	}
-	if next := watch.Broken(watchStart, runAt("one-more", 1)); next != NextDropped {
-		t.Errorf("beyond the bound: %d", next)
+	if action := tracker.Broken(epoch, requestOn("one-more", 1)); action != NextDropped {
+		t.Errorf("beyond the bound: got action %d", action)
 	}
-	for number := range 2 * maxRuns {
-		watch.Broken(watchStart, runAt("i-0", number))
+	for number := range 2 * maxRequestsPerProbe {
+		tracker.Broken(epoch, requestOn("i-0", number))
 	}
-	if runs := watch.Judged(watchStart, "i-0", VerdictEnded); len(runs) != maxRuns {
-		t.Errorf("%d runs are remembered of one machine, not %d", len(runs), maxRuns)
+	if requests := tracker.Judged(epoch, "i-0", VerdictEnded); len(requests) != maxRequestsPerProbe {
+		t.Errorf("got %d requests of one machine, want %d", len(requests), maxRequestsPerProbe)
 	}
 }
 
-func TestWholeRunIsClearedOnce(t *testing.T) {
-	watch := NewWatch()
-	identity := runAt("i-1", 1).Identity
-	if watch.Completed(identity, false) {
-		t.Error("a request without a record is cleared")
+func TestCompletedRequestIsClearedOnce(t *testing.T) {
+	tracker := NewWatch()
+	identity := requestOn("i-1", 1).Identity
+	if tracker.Completed(identity, false) {
+		t.Error("a request without a record needs clearing")
 	}
-	if !watch.Completed(identity, true) || watch.Completed(identity, true) {
-		t.Error("one with a record is not cleared once")
+	if !tracker.Completed(identity, true) || tracker.Completed(identity, true) {
+		t.Error("a request with a record is not cleared exactly once")
 	}
-	watch.Cleared(identity)
-	if !watch.Completed(identity, true) {
-		t.Error("one whose record stayed is not cleared again")
+	tracker.Cleared(identity)
+	if !tracker.Completed(identity, true) {
+		t.Error("a request is not cleared again after MarkCleared")
 	}
 }
 
-func TestLifeOf(t *testing.T) {
+func TestInstanceName(t *testing.T) {
 	if registered := LifeOf("i-1", 1); registered != "i-1" {
-		t.Errorf("a machine that registered: %s", registered)
+		t.Errorf("a registered machine: got %s", registered)
 	}
 	if first, second := LifeOf("m", 7), LifeOf("m", 8); first == second || first != "m/7" {
-		t.Errorf("two lives of one machine: %s and %s", first, second)
+		t.Errorf("two incarnations of one machine: got %s and %s", first, second)
 	}
 }
