--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -1,11 +1,8 @@
-// Package crashwatch finds out which machines ended under a router's requests, has that
-// recorded in the replicated log, and tells which requests must not run any more.
+// Package crashwatch detects crashes of machines with broken requests, records them in the
+// replicated log, and refuses quarantined requests.
 //
-// The problem: a request that ends the machines that run it comes again from its caller, at
-// any router. One of four routers that knew only its own crashes let 10 of 12 machines end.
-//
-// The mechanism: package quarantine decides; a Watcher connects to machines whose answers broke
-// off, proposes what it found, and looks up requests in the router's view of the log.
+// It carries out the decisions of package quarantine: a Watcher probes machines, proposes
+// commands, and looks up requests in the router's view of the log.
 package crashwatch
 
 import (
@@ -28,27 +25,24 @@
 )
 
 const (
-	// examineTime is how long a router tries to find out whether a machine ended: longer than
-	// a connection takes whose first packet was lost, and well below the time after which
-	// every router has to refuse.
-	examineTime = 1500 * time.Millisecond
-	// examinePause is between two looks at a machine that says nothing.
-	examinePause = 100 * time.Millisecond
-	// recordTimeout bounds one try to record a crash, and recordPause is before the next one:
-	// a leader changes within a second or two.
-	recordTimeout = time.Second
-	recordPause   = 100 * time.Millisecond
-	// retryAfterDoubt is when a request comes back whose machines are looked at: mostly that is
-	// known within a few round trips.
-	retryAfterDoubt = 150 * time.Millisecond
-	// maxTasks bounds what waits to be found out or recorded.
-	maxTasks = 256
+	// probeTimeout bounds the detection of a crash. It exceeds the time of a connection whose
+	// first packet was lost.
+	probeTimeout  = 1500 * time.Millisecond
+	probeInterval = 100 * time.Millisecond
+	// recordTimeout bounds one attempt to record a crash, and recordRetryInterval separates
+	// attempts; a change of leader takes a second or two.
+	recordTimeout       = time.Second
+	recordRetryInterval = 100 * time.Millisecond
+	// pendingRetryAfter is the Retry-After of requests that wait for probes, which usually take a
+	// few round trips.
+	pendingRetryAfter = 150 * time.Millisecond
+	maxTasks          = 256
 )
 
-// Prober tells whether a machine takes connections (no error), or refuses them.
+// ProbeFunc connects to a machine. refused is set if the machine actively refused the connection.
 type Prober func(ctx context.Context, machine, address string) (refused bool, err error)
 
-// ProbeBy returns a prober that connects by a function.
+// ProbeWithDial returns a probe that uses a dial function.
 func ProbeBy(dial func(ctx context.Context, machine, address string) (net.Conn, error)) Prober {
 	return func(ctx context.Context, machine, address string) (bool, error) {
 		connection, err := dial(ctx, machine, address)
@@ -60,31 +54,31 @@
 	}
 }
 
-// Options are what a Watcher needs.
+// Options configures a Watcher.
 type Options struct {
 	View    *nodeview.View
 	Logger  *slog.Logger
 	Propose feed.ProposeFunc
 	Probe   Prober
-	// Examined is told of each verdict; may be nil.
+	// OnVerdict, if set, is called with each verdict.
 	Examined func(verdict quarantine.Verdict)
 }
 
-// Watcher watches the machines of one router. It is safe for concurrent use.
+// Watcher tracks the machines of one router. It is safe for concurrent use.
 type Watcher struct {
 	options Options
 
-	mutex sync.Mutex
-	watch *quarantine.Watch
-	tasks chan func(ctx context.Context)
+	mutex   sync.Mutex
+	tracker *quarantine.Watch
+	tasks   chan func(ctx context.Context)
 }
 
-// New returns a watcher; Run must be running for it to work.
+// New returns a watcher. It works only while Run is running.
 func New(options Options) *Watcher {
-	return &Watcher{options: options, watch: quarantine.NewWatch(), tasks: make(chan func(ctx context.Context), maxTasks)}
+	return &Watcher{options: options, tracker: quarantine.NewWatch(), tasks: make(chan func(ctx context.Context), maxTasks)}
 }
 
-// Run carries out what requests have asked for until ctx ends.
+// Run carries out tasks until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -98,8 +92,8 @@
 	}
 }
 
-// start has a task carried out. It returns whether there was room.
-func (w *Watcher) start(task func(ctx context.Context)) bool {
+// startTask queues a task and returns whether there was room.
+func (w *Watcher) startTask(task func(ctx context.Context)) bool {
 	select {
 	case w.tasks <- task:
 		return true
@@ -109,128 +103,128 @@
 	}
 }
 
-// Broken takes a request whose answer broke off, or did not come.
-func (w *Watcher) Broken(run quarantine.Run) {
+// ReportBroken reports a request whose response was interrupted or missing.
+func (w *Watcher) Broken(request quarantine.Run) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	switch w.watch.Broken(time.Now(), run) {
+	switch w.tracker.Broken(time.Now(), request) {
 	case quarantine.NextExamine:
-		if !w.start(func(ctx context.Context) { w.examine(ctx, run) }) {
-			w.watch.Forget(run.Life)
+		if !w.startTask(func(ctx context.Context) { w.probeMachine(ctx, request) }) {
+			w.tracker.Forget(request.Life)
 		}
 	case quarantine.NextRecord:
-		w.startRecording([]quarantine.Run{run})
+		w.startRecording([]quarantine.Run{request})
 	case quarantine.NextDropped:
-		w.options.Logger.Warn("crash_not_examined", "machine", run.Machine)
+		w.options.Logger.Warn("crash_not_examined", "machine", request.Machine)
 	case quarantine.NextNothing:
 	}
 }
 
-// examine finds out what has become of a machine, and has a crash recorded.
-func (w *Watcher) examine(ctx context.Context, run quarantine.Run) {
-	verdict := w.judge(ctx, run)
+// probeMachine determines whether a machine crashed, and has the crash recorded.
+func (w *Watcher) probeMachine(ctx context.Context, request quarantine.Run) {
+	verdict := w.awaitVerdict(ctx, request)
 	if w.options.Examined != nil {
 		w.options.Examined(verdict)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	runs := w.watch.Judged(time.Now(), run.Life, verdict)
-	w.options.Logger.Info("machine_examined", "machine", run.Life, "verdict", verdict.String(), "requests", len(runs))
-	if len(runs) > 0 {
-		w.startRecording(runs)
+	requests := w.tracker.Judged(time.Now(), request.Life, verdict)
+	w.options.Logger.Info("machine_examined", "machine", request.Life, "verdict", verdict.String(), "requests", len(requests))
+	if len(requests) > 0 {
+		w.startRecording(requests)
 	}
 }
 
-// judge looks at a machine until it is known what has become of it, or the time is over.
-func (w *Watcher) judge(ctx context.Context, run quarantine.Run) quarantine.Verdict {
-	ctx, cancel := context.WithTimeout(ctx, examineTime)
+// awaitVerdict gathers evidence until there is a verdict, or probeTimeout is over.
+func (w *Watcher) awaitVerdict(ctx context.Context, request quarantine.Run) quarantine.Verdict {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	for {
-		if verdict := w.look(ctx, run).Judge(); verdict != quarantine.VerdictNone {
+		if verdict := w.gatherEvidence(ctx, request).Judge(); verdict != quarantine.VerdictNone {
 			return verdict
 		}
 		select {
 		case <-ctx.Done():
 			return quarantine.VerdictUnknown
-		case <-time.After(examinePause):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
-// look takes what the view tells of a machine, and tries to connect if that does not suffice.
-func (w *Watcher) look(ctx context.Context, run quarantine.Run) quarantine.Sign {
-	sign := quarantine.Sign{}
-	if known, isKnown := w.options.View.Machine(run.Machine); isKnown {
-		sign.Replaced = w.options.View.Replaced(run.Machine, known.Spec.Endpoint) ||
-			quarantine.LifeOf(run.Machine, known.Status.Incarnation) != run.Life
-		sign.Leaving = known.Status.Phase == v1.MachineLeaving || known.Status.Phase == v1.MachineGone
+// gatherEvidence uses the view, and connects to the machine if that is not conclusive.
+func (w *Watcher) gatherEvidence(ctx context.Context, request quarantine.Run) quarantine.Sign {
+	evidence := quarantine.Sign{}
+	if machine, isKnown := w.options.View.Machine(request.Machine); isKnown {
+		evidence.Replaced = w.options.View.Replaced(request.Machine, machine.Spec.Endpoint) ||
+			quarantine.LifeOf(request.Machine, machine.Status.Incarnation) != request.Life
+		evidence.Leaving = machine.Status.Phase == v1.MachineLeaving || machine.Status.Phase == v1.MachineGone
 	}
-	if sign.Judge() != quarantine.VerdictNone {
-		return sign
+	if evidence.Judge() != quarantine.VerdictNone {
+		return evidence
 	}
-	refused, err := w.options.Probe(ctx, run.Machine, run.Address)
-	sign.Accepts, sign.Refuses = err == nil, refused
-	return sign
+	refused, err := w.options.Probe(ctx, request.Machine, request.Address)
+	evidence.Accepts, evidence.Refuses = err == nil, refused
+	return evidence
 }
 
-// startRecording has runs at one life of a machine recorded; the mutex must be held.
-func (w *Watcher) startRecording(runs []quarantine.Run) {
-	w.start(func(ctx context.Context) {
-		w.record(ctx, runs[0].Life, runs)
+// startRecording starts to record requests on a crashed instance. The mutex must be held.
+func (w *Watcher) startRecording(requests []quarantine.Run) {
+	w.startTask(func(ctx context.Context) {
+		w.record(ctx, requests[0].Life, requests)
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.watch.Recorded(runs)
+		w.tracker.Recorded(requests)
 	})
 }
 
-// record proposes a crash until it is in the log, however long there is no leader: what is
-// forgotten costs the machines of the next tries.
-func (w *Watcher) record(ctx context.Context, life string, runs []quarantine.Run) {
-	failed := func(reason string) {
-		w.options.Logger.Warn("crash_not_recorded", "machine", life, "requests", len(runs), "error", reason)
+// record proposes a crash until it is in the log, however long there is no leader. Lost records
+// would cost further machines.
+func (w *Watcher) record(ctx context.Context, instance string, requests []quarantine.Run) {
+	onFailure := func(reason string) {
+		w.options.Logger.Warn("crash_not_recorded", "machine", instance, "requests", len(requests), "error", reason)
 	}
-	if revision, recorded := w.commit(ctx, quarantine.RecordCommand(life, runs), failed); recorded {
-		w.options.Logger.Info("crash_recorded", "machine", life, "requests", len(runs), "revision", revision)
+	if revision, recorded := w.commit(ctx, quarantine.RecordCommand(instance, requests), onFailure); recorded {
+		w.options.Logger.Info("crash_recorded", "machine", instance, "requests", len(requests), "revision", revision)
 		w.awaitRevision(ctx, revision)
-		w.logQuarantined(runs)
+		w.logQuarantined(requests)
 	}
 }
 
-// logQuarantined tells which of the requests just recorded must not run any more.
-func (w *Watcher) logQuarantined(runs []quarantine.Run) {
-	for _, run := range runs {
-		if held := w.options.View.Suspect(run.Identity); held != nil && held.Quarantined {
-			w.options.Logger.Warn("request_quarantined", "identity", run.Identity.String(), "route", run.Route, "tenant", run.Tenant, "machines", held.Machines)
+// logQuarantined logs which of the recorded requests are now quarantined.
+func (w *Watcher) logQuarantined(requests []quarantine.Run) {
+	for _, request := range requests {
+		if suspect := w.options.View.Suspect(request.Identity); suspect != nil && suspect.Quarantined {
+			w.options.Logger.Warn("request_quarantined", "identity", request.Identity.String(), "route", request.Route, "tenant", request.Tenant, "machines", suspect.Machines)
 		}
 	}
 }
 
-// commit proposes a command until there is an answer to it. Failed is told of a refusal, and
-// of the first try without an answer.
-func (w *Watcher) commit(ctx context.Context, command *wirepb.Command, failed func(reason string)) (revision uint64, committed bool) {
-	for tries := 1; ctx.Err() == nil; tries++ {
-		limited, cancel := context.WithTimeout(ctx, recordTimeout)
-		result, err := w.options.Propose(limited, command)
+// commit proposes a command until there is a result. onFailure is called on a refusal, and on the
+// first attempt without a result.
+func (w *Watcher) commit(ctx context.Context, command *wirepb.Command, onFailure func(reason string)) (revision uint64, committed bool) {
+	for attempt := 1; ctx.Err() == nil; attempt++ {
+		attemptCtx, cancel := context.WithTimeout(ctx, recordTimeout)
+		result, err := w.options.Propose(attemptCtx, command)
 		cancel()
 		if err == nil {
 			if result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
-				failed(result.GetMessage())
+				onFailure(result.GetMessage())
 				return 0, false
 			}
 			return result.GetWrite().GetRevision(), true
 		}
-		if tries == 1 {
-			failed(fault.Message(err))
+		if attempt == 1 {
+			onFailure(fault.Message(err))
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(recordPause):
+		case <-time.After(recordRetryInterval):
 		}
 	}
 	return 0, false
 }
 
-// awaitRevision waits until the view holds a revision.
+// awaitRevision waits until the view has reached a revision.
 func (w *Watcher) awaitRevision(ctx context.Context, revision uint64) {
 	for {
 		changed := w.options.View.Changed()
@@ -245,34 +239,34 @@
 	}
 }
 
-// suspects reports whether machines have ended under any request. While there are none, no
-// identity is asked for: it takes a hash of the whole request.
-func (w *Watcher) suspects() bool {
+// hasSuspects reports whether there are any suspect requests. It saves hashing every request while
+// there are none.
+func (w *Watcher) hasSuspects() bool {
 	w.mutex.Lock()
-	own := w.watch.Suspects()
+	local := w.tracker.Suspects()
 	w.mutex.Unlock()
-	return own || w.options.View.HasSuspects()
+	return local || w.options.View.HasSuspects()
 }
 
-// Refusal returns the answer to a request that must not run any more, or not for now, which is to say
-// "not run"; nil for any other.
+// Refusal returns the response to a request that is quarantined or waits for probes, and so is not
+// run; nil for any other.
 func (w *Watcher) Refusal(identityOf func() quarantine.Identity) *problem.Document {
-	if !w.suspects() {
+	if !w.hasSuspects() {
 		return nil
 	}
 	identity := identityOf()
-	held := w.options.View.Suspect(identity)
+	suspect := w.options.View.Suspect(identity)
 	w.mutex.Lock()
-	machines, quarantined := w.watch.Crashed(identity, held)
-	doubted := !quarantined && w.watch.Doubted(identity, held)
+	machines, quarantined := w.tracker.Crashed(identity, suspect)
+	pending := !quarantined && w.tracker.Doubted(identity, suspect)
 	w.mutex.Unlock()
 	switch {
-	case !quarantined && !doubted:
+	case !quarantined && !pending:
 		return nil
 	case !quarantined:
 		detail := "request " + identity.String() + " is not run until it is known what has become of the machines that broke its answers off"
 		document := problem.New(problem.TypeUnavailable, http.StatusServiceUnavailable, detail)
-		document.RetryAfter = retryAfterDoubt
+		document.RetryAfter = pendingRetryAfter
 		return document
 	}
 	detail := "request " + identity.String() + " is not run any more, since these machines ended under it: " + strings.Join(machines, ", ")
@@ -281,39 +275,39 @@
 	return document
 }
 
-// Completed takes a request that a machine has run to the end.
+// ReportCompleted reports a request that ran to completion on a machine.
 func (w *Watcher) Completed(identityOf func() quarantine.Identity) {
-	if !w.suspects() {
+	if !w.hasSuspects() {
 		return
 	}
 	identity := identityOf()
 	recorded := w.options.View.Suspect(identity) != nil
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if !w.watch.Completed(identity, recorded) {
+	if !w.tracker.Completed(identity, recorded) {
 		return
 	}
-	if !w.start(func(ctx context.Context) { w.clear(ctx, identity) }) {
-		w.watch.Cleared(identity)
+	if !w.startTask(func(ctx context.Context) { w.clear(ctx, identity) }) {
+		w.tracker.Cleared(identity)
 	}
 }
 
 func (w *Watcher) clear(ctx context.Context, identity quarantine.Identity) {
-	failed := func(reason string) {
+	onFailure := func(reason string) {
 		w.options.Logger.Warn("suspect_not_cleared", "identity", identity.String(), "error", reason)
 	}
-	if revision, committed := w.commit(ctx, quarantine.ClearCommand(identity), failed); committed {
+	if revision, committed := w.commit(ctx, quarantine.ClearCommand(identity), onFailure); committed {
 		w.options.Logger.Info("suspect_cleared", "identity", identity.String(), "revision", revision)
 		w.awaitRevision(ctx, revision)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.watch.Cleared(identity)
+	w.tracker.Cleared(identity)
 }
 
-// Settled reports whether all that is known of crashes has been recorded.
+// IsIdle reports whether all detected crashes have been recorded.
 func (w *Watcher) Settled() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.watch.Settled() && len(w.tasks) == 0
+	return w.tracker.Settled() && len(w.tasks) == 0
 }
--- a/internal/crashwatch/watcher_test.go
+++ b/internal/crashwatch/watcher_test.go
@@ -14,14 +14,14 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// slowProbe says what becomes of machines once it is told.
-type slowProbe struct {
-	refuses chan bool
+// manualProbe returns the results that the test sends.
+type manualProbe struct {
+	results chan bool
 }
 
-func (p *slowProbe) probe(ctx context.Context, _, _ string) (refused bool, err error) {
+func (p *manualProbe) probe(ctx context.Context, _, _ string) (refused bool, err error) {
 	select {
-	case refuses := <-p.refuses:
+	case refuses := <-p.results:
 		if !refuses {
 			return false, nil
 		}
@@ -31,13 +31,13 @@
 	}
 }
 
-func startWatcher(t *testing.T) (*crashwatch.Watcher, *slowProbe) {
+func startWatcher(t *testing.T) (*crashwatch.Watcher, *manualProbe) {
 	t.Helper()
-	probe := &slowProbe{refuses: make(chan bool)}
+	probe := &manualProbe{results: make(chan bool)}
 	watcher := crashwatch.New(crashwatch.Options{
 		View: nodeview.New(), Logger: slog.New(slog.DiscardHandler), Probe: probe.probe,
 		Propose: func(context.Context, *wirepb.Command) (*wirepb.CommandResult, error) {
-			return nil, fault.Unavailable.New("there is no leader")
+			return nil, fault.Unavailable.New("no leader")
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -61,45 +61,44 @@
 	return document.Kind()
 }
 
-// TestRequestIsHeldBackWhileItsMachinesAreLookedAt: seen was a request that ended three machines instead of
-// the two that convict it, once, beside heavy load: its caller came back before the router had found out
-// what had become of the second. With every look taking 150 ms longer it ended all six machines that there
-// were. So nothing is sent of a request that as many machines may have ended under as convict it; if they
-// turn out to be alive it runs again.
-func TestRequestIsHeldBackWhileItsMachinesAreLookedAt(t *testing.T) {
-	culprit, innocent := quarantine.Identity{1}, quarantine.Identity{2}
-	for _, isEnd := range []bool{true, false} {
+// TestRequestIsHeldWhileItsMachinesAreProbed guards against running a request again while pending
+// probes may quarantine it, which could crash another machine. It runs again if the machines turn
+// out to be alive.
+func TestRequestIsHeldWhileItsMachinesAreProbed(t *testing.T) {
+	suspect, other := quarantine.Identity{1}, quarantine.Identity{2}
+	for _, ended := range []bool{true, false} {
 		watcher, probe := startWatcher(t)
-		run := func(machine string, identity quarantine.Identity) {
+		report := func(machine string, identity quarantine.Identity) {
 			watcher.Broken(quarantine.Run{Machine: machine, Life: machine, Identity: identity})
 		}
-		run("m1", culprit)
-		if kind := refusalOf(watcher, culprit); kind != "" {
-			t.Fatalf("after one machine the request is refused as %s", kind)
+		report("m1", suspect)
+		if kind := refusalOf(watcher, suspect); kind != "" {
+			t.Fatalf("the request is refused as %s after one broken response", kind)
 		}
-		run("m2", culprit)
-		run("m3", innocent)
-		if kind := refusalOf(watcher, culprit); kind != "unavailable" {
-			t.Errorf("while two machines are looked at the request is refused as %q", kind)
+		report("m2", suspect)
+		report("m3", other)
+		if kind := refusalOf(watcher, suspect); kind != "unavailable" {
+			t.Errorf("the request is refused as %q during two probes, want unavailable", kind)
 		}
-		if kind := refusalOf(watcher, innocent); kind != "" {
+		if kind := refusalOf(watcher, other); kind != "" {
 			t.Errorf("another request is refused as %s", kind)
 		}
 		for range 3 {
-			probe.refuses <- isEnd
+			probe.results <- ended
 		}
-		wanted := map[bool]string{true: "quarantined", false: ""}[isEnd]
-		for end := time.Now().Add(10 * time.Second); refusalOf(watcher, culprit) != wanted && time.Now().Before(end); {
+		want := map[bool]string{true: "quarantined", false: ""}[ended]
+		for end := time.Now().Add(10 * time.Second); refusalOf(watcher, suspect) != want && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		if kind := refusalOf(watcher, culprit); kind != wanted {
-			t.Errorf("ended %v: the request is refused as %q", isEnd, kind)
+		if kind := refusalOf(watcher, suspect); kind != want {
+			t.Errorf("machines ended %t: the request is refused as %q", ended, kind)
 		}
 	}
 }
 
-// TestEndOfALookLetsTheRequestRun: nobody can tell what has become of its machines.
-func TestEndOfALookLetsTheRequestRun(t *testing.T) {
+// TestRequestRunsAfterInconclusiveProbes guards against refusing a request for good when its
+// machines neither accept nor refuse connections.
+func TestRequestRunsAfterInconclusiveProbes(t *testing.T) {
 	watcher, _ := startWatcher(t)
 	for _, machine := range []string{"m1", "m2"} {
 		watcher.Broken(quarantine.Run{Machine: machine, Life: machine, Identity: quarantine.Identity{1}})
