--- a/internal/drains/doc.go
+++ b/internal/drains/doc.go
@@ -1,17 +1,6 @@
-// Package drains holds the rules by which orders to drain a zone, or to end that, are taken.
-//
-// The problem: an operator sends an order again to another node when there is no answer for about
-// a second, and may order the opposite once one was acknowledged. No earlier order may take effect
-// after a later one, however long a node, a link or the log held it.
-//
-// The mechanism:
-//
-//   - An order is written on condition of the revision that it read, and every acknowledged order,
-//     also one that changes nothing, makes a new revision. What read before a later order was
-//     acknowledged is refused.
-//   - An order reads the state only within LookTime of its arrival at a process, and a process
-//     that was stalled takes no orders. So it reads while its caller still waits, which is before
-//     any later order of that caller.
-//
-// All here is pure: control nodes carry it out, and the fault simulator drives the same rules.
+// Package drains holds the rules for applying an operator's requests to drain a zone, or to end a
+// drain. Invariant: no earlier request takes effect after a later one was acknowledged. For this,
+// every acknowledged request creates a new revision, each write is conditional on the revision that
+// was read, and a request reads the state only within ReadWindow of its arrival, in a process that
+// has not stalled. The package is pure.
 package drains
--- a/internal/drains/order.go
+++ b/internal/drains/order.go
@@ -12,58 +12,57 @@
 )
 
 const (
-	// LookTime bounds the time from the arrival of an order at a process to its last reading of
-	// the state. Together with StallGap it is below the second after which operators turn to
-	// another node.
+	// ReadWindow bounds the time from the arrival of a request to its last read of the state.
+	// Together with StallThreshold it is below the second after which operators turn to another
+	// node.
 	LookTime = 500 * time.Millisecond
-	// SettleTime is how long an order rests before it is looked at, so that the close of a
-	// connection whose request was sent again by TCP, after its caller had left, is seen: it
-	// follows a round trip behind.
+	// SettleDelay is how long a request waits before it is processed, so that the end of its
+	// connection is noticed if TCP retransmitted the request after the caller had left.
 	SettleTime = 20 * time.Millisecond
 )
 
-// Knowledge is what is known of a zone's name.
+// ZoneStatus is what is known about a zone's name.
 type Knowledge int
 
-// What may be known of a name.
 const (
-	// Unknown: there are zones, and it is none of them.
+	// ZoneUnknown: there are zones, but none of that name.
 	Unknown Knowledge = iota
-	// Known: a zone has the name.
+	// ZoneKnown: there is a zone of that name.
 	Known
-	// NotToldYet: neither the settings nor any machine tell of zones.
+	// ZonesNotReported: neither the settings nor any machine name a zone.
 	NotToldYet
 )
 
-// KnowledgeOf tells what a state and a table of zones say of a name.
-func KnowledgeOf(machine *state.Machine, table []string, zone string) Knowledge {
-	if slices.Contains(table, zone) {
+// ZoneStatusOf looks up a zone in the machines of a state and in the configured zones.
+func KnowledgeOf(machine *state.Machine, configured []string, zone string) Knowledge {
+	if slices.Contains(configured, zone) {
 		return Known
 	}
-	knowledge := Unknown
-	if len(table) == 0 {
-		knowledge = NotToldYet
+	status := Unknown
+	if len(configured) == 0 {
+		status = NotToldYet
 	}
 	machine.Each(func(_ *wirepb.Object, spec v1.Spec) {
-		declared, isMachine := spec.(*v1.MachineSpec)
+		machineSpec, isMachine := spec.(*v1.MachineSpec)
 		switch {
 		case !isMachine:
-		case declared.Zone == zone && zone != "":
-			knowledge = Known
-		case knowledge == NotToldYet:
-			knowledge = Unknown
+		case machineSpec.Zone == zone && zone != "":
+			status = Known
+		case status == NotToldYet:
+			status = Unknown
 		}
 	})
-	return knowledge
+	return status
 }
 
-// Write is the write of an order that has read the zone's object at a revision, 0 for none.
+// NewWrite returns the write for a request that has read the zone's object at a revision, 0 if
+// there is none.
 func Write(zone string, drained bool, revision uint64, now time.Time) (*wirepb.ObjectWrite, error) {
 	spec, err := json.Marshal(v1.ZoneDrainSpec{Drained: drained})
 	if err != nil {
 		return nil, fault.Internal.Wrap(err, "encoding a drain")
 	}
-	// With a status the write always makes a new revision.
+	// The status ensures that the write creates a new revision.
 	status, err := json.Marshal(v1.ZoneDrainStatus{OrderedAt: now.UTC()})
 	if err != nil {
 		return nil, fault.Internal.Wrap(err, "encoding a drain's status")
--- a/internal/drains/order_test.go
+++ b/internal/drains/order_test.go
@@ -12,35 +12,35 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// drainIn returns whether a state holds a zone as drained, and the revision of that.
+// drainIn returns whether a zone is drained, and the revision of that.
 func drainIn(machine *state.Machine, zone string) (drained bool, revision uint64) {
-	spec, held := machine.Spec(v1.KindZoneDrain, zone).(*v1.ZoneDrainSpec)
-	return held && spec.Drained, machine.Get(v1.KindZoneDrain, zone).GetRevision()
+	spec, found := machine.Spec(v1.KindZoneDrain, zone).(*v1.ZoneDrainSpec)
+	return found && spec.Drained, machine.Get(v1.KindZoneDrain, zone).GetRevision()
 }
 
-// TestZoneOfAMachineIsKnown: settings need not list zones, and a node whose settings do not can't
-// call a zone unknown before any machine has come.
-func TestZoneOfAMachineIsKnown(t *testing.T) {
-	empty, held := state.New(), state.New()
+// TestZoneStatusOf: settings need not list zones, and without any machine a node can't call a zone
+// unknown.
+func TestZoneStatusOf(t *testing.T) {
+	empty, registered := state.New(), state.New()
 	spec := []byte(`{"endpoint":"http://10.0.0.1:80","zone":"m","pool":"p","slots":1}`)
 	write := &wirepb.ObjectWrite{Object: &wirepb.Object{Kind: string(v1.KindMachine), Name: "machine", Spec: spec}}
 	pool := &wirepb.ObjectWrite{Object: &wirepb.Object{Kind: string(v1.KindPool), Name: "p", Spec: []byte(`{}`)}}
-	applyWrites(t, held, pool, write)
+	applyWrites(t, registered, pool, write)
 	for _, check := range []struct {
-		machine *state.Machine
-		table   []string
-		zone    string
-		want    Knowledge
+		machine    *state.Machine
+		configured []string
+		zone       string
+		want       Knowledge
 	}{
 		{empty, nil, "m", NotToldYet},
 		{empty, []string{"z"}, "z", Known},
 		{empty, []string{"z"}, "m", Unknown},
-		{held, nil, "m", Known},
-		{held, nil, "z", Unknown},
-		{held, nil, "", Unknown},
+		{registered, nil, "m", Known},
+		{registered, nil, "z", Unknown},
+		{registered, nil, "", Unknown},
 	} {
-		if got := KnowledgeOf(check.machine, check.table, check.zone); got != check.want {
-			t.Errorf("zone %q with the table %v: %d, want %d", check.zone, check.table, got, check.want)
+		if got := KnowledgeOf(check.machine, check.configured, check.zone); got != check.want {
+			t.Errorf("zone %q with configured zones %v: got %d, want %d", check.zone, check.configured, got, check.want)
 		}
 	}
 }
@@ -53,11 +53,9 @@
 	return machine.Apply(data)
 }
 
-// TestLateOrdersChangeNothing: an operator gives orders one after the other and may give any of
-// them up. A write of an order that it gave up, or sent a second time, may be committed at any
-// later moment. Once all of them are, the order acknowledged last is in force, also after a
-// restart from a snapshot, and also in a member that was sent one.
-func TestLateOrdersChangeNothing(t *testing.T) {
+// TestLateWritesChangeNothing checks that writes of abandoned or duplicated requests that are
+// committed late never replace the last acknowledged one, also after restoring a snapshot.
+func TestLateWritesChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := state.New()
 		var late []*wirepb.ObjectWrite
@@ -71,7 +69,7 @@
 				deliver(rapid.IntRange(0, len(late)-1).Draw(t, "which"))
 			}
 		}
-		for range rapid.IntRange(1, 12).Draw(t, "orders") {
+		for range rapid.IntRange(1, 12).Draw(t, "requests") {
 			drained := rapid.Bool().Draw(t, "drained")
 			for {
 				_, revision := drainIn(machine, "z")
@@ -80,24 +78,24 @@
 					t.Fatal(err)
 				}
 				deliverSome("before the write")
-				if rapid.Bool().Draw(t, "given up") {
+				if rapid.Bool().Draw(t, "abandoned") {
 					late = append(late, write)
 					break
 				}
 				if applyWrites(t, machine, write).GetCode() == wirepb.ResultCode_RESULT_CODE_OK {
 					acknowledged, any = drained, true
-					// Sent a second time by the link.
+					// Duplicated by the link.
 					late = append(late, write)
 					checkDrained(t, machine, acknowledged)
 					break
 				}
 			}
-			deliverSome("after the order")
+			deliverSome("after the request")
 			if rapid.Bool().Draw(t, "restart") {
 				machine = restored(t, machine)
 			}
 		}
-		// What the operator orders and waits for in the end.
+		// The last request of the operator, which succeeds.
 		if any {
 			for {
 				_, revision := drainIn(machine, "z")
@@ -120,7 +118,7 @@
 
 func checkDrained(t *rapid.T, machine *state.Machine, want bool) {
 	if drained, _ := drainIn(machine, "z"); drained != want {
-		t.Fatalf("drained is %t after an acknowledged order for %t", drained, want)
+		t.Fatalf("drained is %t after an acknowledged request for %t", drained, want)
 	}
 }
 
--- a/internal/drains/stall.go
+++ b/internal/drains/stall.go
@@ -3,36 +3,36 @@
 import "time"
 
 const (
-	// StallGap is how long a process may go without running before it counts as stalled. A call
-	// that arrived meanwhile is as old at most when it is read.
+	// StallThreshold is how long a process may go without running before it counts as stalled. It
+	// bounds the time that a request may wait unread.
 	StallGap = 400 * time.Millisecond
-	// stallRest is how long after a stall calls are not trusted to be fresh: until then the
-	// sockets have been emptied of what came during the stall, also on a busy machine.
-	stallRest = time.Second
-	// StallLook is how often the process notes that it runs.
+	// stallRecovery is how long after a stall requests may still be old ones from the socket
+	// buffers.
+	stallRecovery = time.Second
+	// StallCheckInterval is how often Tick should be called.
 	StallLook = 50 * time.Millisecond
 )
 
-// StallWatch tells whether this process was stopped, or its machine frozen or asleep, until a
-// moment ago. It is told of each time that the process runs, by a clock that counts sleep.
+// StallDetector detects that the process was stopped, or its machine suspended, by a clock that
+// counts suspensions.
 //
-// Invariant: while it reports no stall, every moment of the last stallRest was less than
-// StallGap away from one at which the process ran.
+// Invariant: while it reports no stall, every moment of the last stallRecovery was less than
+// StallThreshold away from one at which the process ran.
 type StallWatch struct {
-	lastRun      time.Duration
-	doubtedUntil time.Duration
+	lastTick     time.Duration
+	stalledUntil time.Duration
 }
 
-// Run notes that the process runs now.
+// Tick records that the process runs now.
 func (s *StallWatch) Run(now time.Duration) {
-	if now-s.lastRun > StallGap {
-		s.doubtedUntil = now + stallRest
+	if now-s.lastTick > StallGap {
+		s.stalledUntil = now + stallRecovery
 	}
-	s.lastRun = now
+	s.lastTick = now
 }
 
-// Stalled reports whether calls may have waited unread. The process may run again before Run
-// has been called.
+// Stalled reports whether requests may have waited unread. It is accurate even before the first
+// Tick after a stall.
 func (s *StallWatch) Stalled(now time.Duration) bool {
-	return now-s.lastRun > StallGap || now < s.doubtedUntil
+	return now-s.lastTick > StallGap || now < s.stalledUntil
 }
--- a/internal/drains/stall_test.go
+++ b/internal/drains/stall_test.go
@@ -7,44 +7,44 @@
 	"pgregory.net/rapid"
 )
 
-// TestStallIsSeenBeforeAndAfterTheProcessNotesThatItRuns: a thawed process may read calls before
-// its ticker has run, and while it empties its sockets.
-func TestStallIsSeenBeforeAndAfterTheProcessNotesThatItRuns(t *testing.T) {
-	watch := StallWatch{lastRun: time.Second}
-	if watch.Stalled(time.Second + StallGap) {
-		t.Error("a process that ran within the gap counts as stalled")
+// TestStallIsDetectedBeforeAndAfterTick: a resumed process may read requests before its ticker has
+// run, and while it empties its sockets.
+func TestStallIsDetectedBeforeAndAfterTick(t *testing.T) {
+	detector := StallWatch{lastTick: time.Second}
+	if detector.Stalled(time.Second + StallGap) {
+		t.Error("stalled within the threshold")
 	}
-	thawed := time.Second + StallGap + time.Millisecond
-	if !watch.Stalled(thawed) {
-		t.Error("a process that did not run for longer than the gap does not count as stalled")
+	resumed := time.Second + StallGap + time.Millisecond
+	if !detector.Stalled(resumed) {
+		t.Error("not stalled beyond the threshold")
 	}
-	watch.Run(thawed)
-	if !watch.Stalled(thawed + stallRest - 1) {
-		t.Error("the stall is forgotten at once")
+	detector.Run(resumed)
+	if !detector.Stalled(resumed + stallRecovery - 1) {
+		t.Error("the stall ends before the recovery time")
 	}
-	for now := thawed; now <= thawed+stallRest; now += StallLook {
-		watch.Run(now)
+	for now := resumed; now <= resumed+stallRecovery; now += StallLook {
+		detector.Run(now)
 	}
-	if watch.Stalled(thawed + stallRest) {
-		t.Error("a process that has run since counts as stalled for ever")
+	if detector.Stalled(resumed + stallRecovery) {
+		t.Error("still stalled after the recovery time")
 	}
 }
 
-// TestStallWatch checks the invariant for any times at which the process runs.
-func TestStallWatch(t *testing.T) {
+// TestStallDetector checks the invariant for random run times.
+func TestStallDetector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var watch StallWatch
-		now, longGapEnded := time.Duration(0), -stallRest
-		for range rapid.IntRange(1, 50).Draw(t, "looks") {
+		var detector StallWatch
+		now, longGapEnded := time.Duration(0), -stallRecovery
+		for range rapid.IntRange(1, 50).Draw(t, "ticks") {
 			step := time.Duration(rapid.Int64Range(0, int64(2*StallGap)).Draw(t, "step"))
 			now += step
 			if step > StallGap {
 				longGapEnded = now
 			}
-			if expected := now < longGapEnded+stallRest; watch.Stalled(now) != expected {
-				t.Fatalf("at %s, with a gap that ended at %s: stalled is %t", now, longGapEnded, !expected)
+			if expected := now < longGapEnded+stallRecovery; detector.Stalled(now) != expected {
+				t.Fatalf("at %s, after a gap that ended at %s: stalled is %t", now, longGapEnded, !expected)
 			}
-			watch.Run(now)
+			detector.Run(now)
 		}
 	})
 }
