--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -38,7 +38,7 @@
 // countResponse records how a request ended on a machine. Refusals, failed connections and
 // timeouts are not counted: they say nothing about the error rate, and moving the traffic of an
 // overloaded machine would overload its peers.
-func (s *Core) countResponse(machine string, result Result) {
+func (s *Scheduler) countResponse(machine string, result Result) {
 	counts := s.ownResponses[machine]
 	switch result {
 	case ResultOK:
@@ -53,12 +53,12 @@
 }
 
 // ResponseCounts returns the responses of each machine to this router since it started.
-func (s *Core) Answers() map[string]Answers {
+func (s *Scheduler) Answers() map[string]Answers {
 	return maps.Clone(s.ownResponses)
 }
 
 // pruneResponseCounts drops the counts of machines without targets.
-func (s *Core) pruneResponseCounts() {
+func (s *Scheduler) pruneResponseCounts() {
 	listed := map[string]bool{}
 	for _, candidate := range s.targets {
 		listed[candidate.Machine] = true
@@ -67,14 +67,14 @@
 }
 
 // SetResponseCounts replaces the recent responses of machines to all routers.
-func (s *Core) SetAnswers(now time.Time, answers map[string]Answers) {
+func (s *Scheduler) SetAnswers(now time.Time, answers map[string]Answers) {
 	s.fleetResponses, s.responsesAt = answers, now
 }
 
 // excludeFailing drops the targets of machines with a significantly higher error rate than their
 // peers, each for a fraction of requests that follows from its error rate. If no target would be
 // left, it returns all of them.
-func (s *Core) excludeFailing(now time.Time, request *Request, targets []*target) []*target {
+func (s *Scheduler) excludeFailing(now time.Time, request *Request, targets []*target) []*target {
 	if len(s.fleetResponses) == 0 || len(targets) < 2 || now.Sub(s.responsesAt) > responseCountsMaxAge {
 		return targets
 	}
--- a/internal/dispatch/answers_test.go
+++ b/internal/dispatch/answers_test.go
@@ -38,7 +38,7 @@
 type failingFleet struct {
 	now        time.Time
 	random     *rand.Rand
-	routers    []*Core
+	routers    []*Scheduler
 	errorRates []float64
 	counts     map[string]Answers
 	nextID     uint64
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -26,7 +26,7 @@
 }
 
 // Scheduler is the dispatch state of one router. It is not safe for concurrent use.
-type Core struct {
+type Scheduler struct {
 	config   Config
 	targets  map[string]*target
 	versions map[string]*versionState
@@ -84,8 +84,8 @@
 	turn int
 }
 
-func New(config Config) *Core {
-	return &Core{
+func New(config Config) *Scheduler {
+	return &Scheduler{
 		config: config, targets: map[string]*target{}, versions: map[string]*versionState{},
 		waiters: map[uint64]*waiter{}, othersLoad: map[string]int{}, ownLoad: map[string]int{},
 		ownWork: map[string]float64{}, othersWork: map[string]float64{}, routers: 1,
@@ -94,7 +94,7 @@
 	}
 }
 
-func (s *Core) version(name string) *versionState {
+func (s *Scheduler) version(name string) *versionState {
 	version := s.versions[name]
 	if version == nil {
 		version = &versionState{}
@@ -104,13 +104,13 @@
 }
 
 // Loads returns the requests in flight by machine.
-func (s *Core) Loads() map[string]int {
+func (s *Scheduler) Loads() map[string]int {
 	return maps.Clone(s.ownLoad)
 }
 
 // Tick refuses requests whose time is up, and grants capacity that became available through the
 // passage of time, for example when an ejection ends.
-func (s *Core) Tick(now time.Time) Outcome {
+func (s *Scheduler) Tick(now time.Time) Outcome {
 	var outcome Outcome
 	for _, entry := range s.waiters {
 		if !now.Before(entry.request.Deadline) || entry.request.isQueueExpired(now) {
@@ -128,7 +128,7 @@
 }
 
 // expiryRefusal refuses a request that was not granted in time.
-func (s *Core) expiryRefusal(now time.Time, request *Request) Refusal {
+func (s *Scheduler) expiryRefusal(now time.Time, request *Request) Refusal {
 	refusal := Refusal{
 		Request: request, Reason: RefusedDeadline, Detail: "no replica was ready before the deadline", RetryAfter: shedRetryAfter,
 	}
@@ -147,7 +147,7 @@
 
 // dispatchAll dispatches all versions with waiting requests, in order of name so that the outcome
 // is deterministic.
-func (s *Core) dispatchAll(now time.Time, outcome *Outcome) {
+func (s *Scheduler) dispatchAll(now time.Time, outcome *Outcome) {
 	var waiting []string
 	for name, version := range s.versions {
 		if len(version.queue.waiting) > 0 {
@@ -161,6 +161,6 @@
 }
 
 // Waiting returns the number of waiting requests.
-func (s *Core) Waiting() int {
+func (s *Scheduler) Waiting() int {
 	return len(s.waiters)
 }
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -17,7 +17,7 @@
 // are key=value pairs, and times are seconds since the epoch.
 type schedulerTest struct {
 	t         *testing.T
-	scheduler *Core
+	scheduler *Scheduler
 	now       time.Time
 	requests  map[uint64]*Request
 	grants    map[uint64]Grant
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -66,7 +66,7 @@
 }
 
 // Demand returns the demand for each version, sorted by name.
-func (s *Core) Demand(now time.Time) []Demand {
+func (s *Scheduler) Demand(now time.Time) []Demand {
 	var demands []Demand
 	for name, version := range s.versions {
 		if version.arrivals == 0 && version.running == 0 {
--- a/internal/dispatch/drained.go
+++ b/internal/dispatch/drained.go
@@ -16,7 +16,7 @@
 const drainRetryAfter = 2 * time.Second
 
 // setDrained moves a target to the drained ones, which get no requests.
-func (s *Core) setDrained(target Target) {
+func (s *Scheduler) setDrained(target Target) {
 	s.removeTarget(target.Replica)
 	s.unsetDrained(target.Replica)
 	s.drainedTargets[target.Replica] = target
@@ -25,7 +25,7 @@
 	version.fixed = target.Fixed
 }
 
-func (s *Core) unsetDrained(replica string) {
+func (s *Scheduler) unsetDrained(replica string) {
 	existing, known := s.drainedTargets[replica]
 	if !known {
 		return
@@ -34,7 +34,7 @@
 	s.version(existing.Version).drained--
 }
 
-func (s *Core) replaceDrained(targets []Target) {
+func (s *Scheduler) replaceDrained(targets []Target) {
 	for replica := range s.drainedTargets {
 		s.unsetDrained(replica)
 	}
@@ -51,7 +51,7 @@
 
 // refuseDrained refuses a request whose version has targets in drained zones only, unless another
 // replica is expected in time.
-func (s *Core) refuseDrained(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+func (s *Scheduler) refuseDrained(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	refusal := Refusal{Request: request, Reason: RefusedZoneDrained, RetryAfter: drainRetryAfter}
 	estimate := version.estimate
 	switch {
@@ -72,7 +72,7 @@
 
 // refuseWaitingForDrained applies refuseDrained to the waiting requests, with versions sorted by
 // name.
-func (s *Core) refuseWaitingForDrained(now time.Time, outcome *Outcome) {
+func (s *Scheduler) refuseWaitingForDrained(now time.Time, outcome *Outcome) {
 	var names []string
 	for name, version := range s.versions {
 		if len(version.queue.waiting) > 0 && version.drained > 0 {
--- a/internal/dispatch/leaving.go
+++ b/internal/dispatch/leaving.go
@@ -13,7 +13,7 @@
 // MarkLeaving excludes a machine that announced its shutdown, regardless of the targets set later.
 // Waiting requests that can't be served in time because of it are refused. changed is false if the
 // machine was excluded already.
-func (s *Core) Leave(now time.Time, machine string) (outcome Outcome, changed bool) {
+func (s *Scheduler) Leave(now time.Time, machine string) (outcome Outcome, changed bool) {
 	_, alreadyLeaving := s.leaving[machine]
 	s.leaving[machine] = now
 	if alreadyLeaving {
@@ -29,12 +29,12 @@
 }
 
 // LeavingMachines returns the machines that announced their shutdown, sorted by name.
-func (s *Core) Leaving() []string {
+func (s *Scheduler) Leaving() []string {
 	return slices.Sorted(maps.Keys(s.leaving))
 }
 
 // RetainLeaving forgets machines that have not been listed for leavingRetention.
-func (s *Core) RetainLeaving(now time.Time, isListed func(machine string) bool) {
+func (s *Scheduler) RetainLeaving(now time.Time, isListed func(machine string) bool) {
 	maps.DeleteFunc(s.leaving, func(machine string, lastSeen time.Time) bool {
 		if isListed(machine) {
 			s.leaving[machine] = now
--- a/internal/dispatch/limited.go
+++ b/internal/dispatch/limited.go
@@ -9,7 +9,7 @@
 // refuseBeyondLimits refuses a request that can't be served in time because all its machines are
 // rate-limited, even if this router got all their capacity. It does not refuse a request for which
 // another replica may be ready in time.
-func (s *Core) refuseBeyondLimits(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+func (s *Scheduler) refuseBeyondLimits(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	perSecond, isLimited := s.rateLimitOf(version, request)
 	until := request.queuedUntil()
 	if !isLimited || version.mayBeReadyElsewhere(until) {
@@ -34,7 +34,7 @@
 
 // rateLimitOf returns the sum of the rate limits of the machines that could serve a request.
 // isLimited is false if one of them is unlimited, or there are none.
-func (s *Core) rateLimitOf(version *versionState, request *Request) (perSecond float64, isLimited bool) {
+func (s *Scheduler) rateLimitOf(version *versionState, request *Request) (perSecond float64, isLimited bool) {
 	if len(s.limited) == 0 {
 		return 0, false // Fast path: avoids visiting the targets.
 	}
--- a/internal/dispatch/near_test.go
+++ b/internal/dispatch/near_test.go
@@ -9,7 +9,7 @@
 )
 
 // localityScheduler has one target at each of the given distances.
-func localityScheduler(config Config, distances ...places.Nearness) (*Core, time.Time) {
+func localityScheduler(config Config, distances ...places.Nearness) (*Scheduler, time.Time) {
 	now := time.Unix(1000, 0)
 	config.MaxWaiting, config.SharedSlots, config.ByWork = 100, true, true
 	scheduler := New(config)
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -18,7 +18,7 @@
 )
 
 // pick returns the best target with capacity, or nil.
-func (s *Core) pick(now time.Time, version *versionState, request *Request) *target {
+func (s *Scheduler) pick(now time.Time, version *versionState, request *Request) *target {
 	if s.config.RoundRobin {
 		return s.pickRoundRobin(now, version, request)
 	}
@@ -41,7 +41,7 @@
 
 // pickEjected returns the target whose ejection ends first, if all that could serve the request
 // are ejected: trying one is better than waiting.
-func (s *Core) pickEjected(now time.Time, version *versionState, request *Request, onlySuspectWarming bool) *target {
+func (s *Scheduler) pickEjected(now time.Time, version *versionState, request *Request, onlySuspectWarming bool) *target {
 	var best *target
 	for _, candidate := range version.targets {
 		if !s.hasCapacity(now, candidate, request) || !onlySuspectWarming && s.tierOf(candidate) == tierSuspectWarming {
@@ -55,7 +55,7 @@
 }
 
 // pickFromTier returns the best target of one tier.
-func (s *Core) pickFromTier(now time.Time, version *versionState, request *Request, wanted tier) *target {
+func (s *Scheduler) pickFromTier(now time.Time, version *versionState, request *Request, wanted tier) *target {
 	if s.config.ByWork {
 		return s.pickLeastWork(now, version, request, wanted)
 	}
@@ -87,7 +87,7 @@
 	return best
 }
 
-func (s *Core) pickRoundRobin(now time.Time, version *versionState, request *Request) *target {
+func (s *Scheduler) pickRoundRobin(now time.Time, version *versionState, request *Request) *target {
 	hasAlternatives := version.hasAlternatives(request)
 	for range version.targets {
 		version.turn++
@@ -99,19 +99,19 @@
 	return nil
 }
 
-func (s *Core) load(candidate *target) float64 {
+func (s *Scheduler) load(candidate *target) float64 {
 	return float64(s.inFlightOn(candidate) + s.othersLoad[candidate.Machine])
 }
 
 // inFlightOn counts this router's requests that share slots with a candidate's.
-func (s *Core) inFlightOn(candidate *target) int {
+func (s *Scheduler) inFlightOn(candidate *target) int {
 	if s.config.SharedSlots {
 		return s.ownLoad[candidate.Machine]
 	}
 	return candidate.inFlight
 }
 
-func (s *Core) usable(now time.Time, candidate *target, request *Request, hasAlternatives bool) bool {
+func (s *Scheduler) usable(now time.Time, candidate *target, request *Request, hasAlternatives bool) bool {
 	if !s.hasCapacity(now, candidate, request) {
 		return false
 	}
@@ -138,13 +138,13 @@
 }
 
 // hasCapacity reports whether a target could take a request, regardless of its health.
-func (s *Core) hasCapacity(now time.Time, candidate *target, request *Request) bool {
+func (s *Scheduler) hasCapacity(now time.Time, candidate *target, request *Request) bool {
 	return s.hasSlot(candidate) && !s.isHeld(now, candidate.Machine) && s.allowsGrant(now, candidate.Machine) && !s.isExcluded(candidate, request)
 }
 
 // isExcluded reports whether a target must not serve a request, regardless of its load. Every
 // selection path checks it, so that none leaves the allowed regions.
-func (s *Core) isExcluded(candidate *target, request *Request) bool {
+func (s *Scheduler) isExcluded(candidate *target, request *Request) bool {
 	if !request.Allowed.Allows(candidate.Region) {
 		return true
 	}
@@ -156,7 +156,7 @@
 
 // HasAlternative reports whether another machine than the given one, which the request has not
 // been sent to yet, could serve it. Otherwise a retry would only delay the response.
-func (s *Core) HasAlternative(now time.Time, request *Request, machine string) bool {
+func (s *Scheduler) HasAlternative(now time.Time, request *Request, machine string) bool {
 	for _, candidate := range s.version(request.Version).targets {
 		if candidate.Machine != machine && s.allowsGrant(now, candidate.Machine) && !s.isExcluded(candidate, request) {
 			return true
@@ -169,7 +169,7 @@
 // according to the lagged reports, this router still gets its equal share of the slots, up to
 // maxOvercommit times the slots in total. Beyond that, requests wait in the router, which orders
 // them by priority and can refuse them as not run.
-func (s *Core) hasSlot(candidate *target) bool {
+func (s *Scheduler) hasSlot(candidate *target) bool {
 	own := s.inFlightOn(candidate)
 	if own >= candidate.Max {
 		return false
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refuse.go
@@ -4,7 +4,7 @@
 
 // refuseEarly refuses a request that can't be served before its deadline, so that the caller
 // learns it at once.
-func (s *Core) refuseEarly(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+func (s *Scheduler) refuseEarly(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	if !now.Before(request.Deadline) {
 		return Refusal{Request: request, Reason: RefusedDeadline, Detail: "the deadline has passed"}, true
 	}
@@ -48,7 +48,7 @@
 const shedRetryAfter = time.Second
 
 // shed refuses the requests that would be served last while there are more than MaxWaiting.
-func (s *Core) shed(outcome *Outcome) {
+func (s *Scheduler) shed(outcome *Outcome) {
 	for len(s.waiters) > s.config.MaxWaiting {
 		var last *Request
 		for _, entry := range s.waiters {
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -31,7 +31,7 @@
 // regionModel drives a scheduler with random events and checks the region of each grant.
 type regionModel struct {
 	t         *rapid.T
-	scheduler *Core
+	scheduler *Scheduler
 	now       time.Time
 	nextID    uint64
 	running   []Grant
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -31,7 +31,7 @@
 var unacceptedResults = []Result{ResultNotRun, ResultRejected, ResultNotSent}
 
 // Release ends a grant and dispatches waiting requests to the freed slot.
-func (s *Core) Release(now time.Time, grant Grant, result Result) Outcome {
+func (s *Scheduler) Release(now time.Time, grant Grant, result Result) Outcome {
 	var outcome Outcome
 	version := s.version(grant.Target.Version)
 	version.running--
@@ -53,7 +53,7 @@
 	return outcome
 }
 
-func (s *Core) decrementLoad(machine string) {
+func (s *Scheduler) decrementLoad(machine string) {
 	s.ownLoad[machine]--
 	if s.ownLoad[machine] <= 0 {
 		delete(s.ownLoad, machine)
@@ -61,7 +61,7 @@
 }
 
 // UnreachableMachines returns the machines with a recent failed connection, sorted by name.
-func (s *Core) Unreachable(now time.Time) []string {
+func (s *Scheduler) Unreachable(now time.Time) []string {
 	var names []string
 	for _, candidate := range s.targets {
 		if now.Before(candidate.health.unreachableUntil) && !slices.Contains(names, candidate.Machine) {
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -4,7 +4,7 @@
 
 // SetLoads replaces the lagged loads of machines, in running requests of all routers, and the
 // number of routers.
-func (s *Core) SetLoads(now time.Time, loads map[string]int, routers int) Outcome {
+func (s *Scheduler) SetLoads(now time.Time, loads map[string]int, routers int) Outcome {
 	s.routers = max(1, routers)
 	s.othersLoad = map[string]int{}
 	for machine, running := range loads {
@@ -17,7 +17,7 @@
 
 // SetEstimates replaces the leader's estimates and refuses waiting requests that can't be served
 // in time.
-func (s *Core) SetEstimates(now time.Time, estimates map[string]*Estimate) Outcome {
+func (s *Scheduler) SetEstimates(now time.Time, estimates map[string]*Estimate) Outcome {
 	var outcome Outcome
 	for name, version := range s.versions {
 		version.estimate = estimates[name]
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -34,7 +34,7 @@
 
 // BackOff withholds requests from a machine for a duration plus jitter. It never shortens a
 // backoff in force. Waiting requests that can't be served in time because of it are refused.
-func (s *Core) Rest(now time.Time, machine string, duration time.Duration) Outcome {
+func (s *Scheduler) Rest(now time.Time, machine string, duration time.Duration) Outcome {
 	var outcome Outcome
 	until := now.Add(duration + s.jitter(now, machine, duration))
 	if existing := s.backoffs[machine]; existing != nil && until.Before(existing.until) {
@@ -46,7 +46,7 @@
 }
 
 // jitter is the random extension of a backoff. It shrinks with the number of routers.
-func (s *Core) jitter(now time.Time, machine string, duration time.Duration) time.Duration {
+func (s *Scheduler) jitter(now time.Time, machine string, duration time.Duration) time.Duration {
 	spread := 1 - 1/float64(max(1, s.routers))
 	maxJitter := min(maxBackoffJitter.Seconds(), duration.Seconds()*backoffJitter) * spread
 	return time.Duration(uniform(s.config.Seed+uint64(now.UnixNano()), machine) * maxJitter * float64(time.Second))
@@ -54,7 +54,7 @@
 
 // MayWrite reports whether a granted request may still be written to its machine, which may have
 // requested a backoff or announced its shutdown since the grant.
-func (s *Core) MayWrite(now time.Time, grant Grant) bool {
+func (s *Scheduler) MayWrite(now time.Time, grant Grant) bool {
 	existing := s.backoffs[grant.Target.Machine]
 	isBackedOff := existing != nil && now.Before(existing.until)
 	_, isLeaving := s.leaving[grant.Target.Machine]
@@ -62,7 +62,7 @@
 }
 
 // BackoffCount returns how many machines have a backoff in force.
-func (s *Core) RestingMachines(now time.Time) int {
+func (s *Scheduler) RestingMachines(now time.Time) int {
 	count := 0
 	for _, existing := range s.backoffs {
 		if now.Before(existing.until) {
@@ -72,14 +72,14 @@
 	return count
 }
 
-func (s *Core) allowsGrant(now time.Time, machine string) bool {
+func (s *Scheduler) allowsGrant(now time.Time, machine string) bool {
 	existing := s.backoffs[machine]
 	return existing == nil || existing.allowsGrant(now)
 }
 
 // recordGrant makes the first request after a backoff its probe, and ends a backoff whose probe
 // timed out without a rejection.
-func (s *Core) recordGrant(now time.Time, machine string, request *Request) {
+func (s *Scheduler) recordGrant(now time.Time, machine string, request *Request) {
 	existing := s.backoffs[machine]
 	if existing == nil {
 		return
@@ -93,7 +93,7 @@
 
 // recordProbe records how a probe ended. If it was rejected or not sent, the next request becomes
 // the probe; any other end shows that the machine accepts requests, or is handled by its health.
-func (s *Core) recordProbe(grant Grant, accepted bool) {
+func (s *Scheduler) recordProbe(grant Grant, accepted bool) {
 	existing := s.backoffs[grant.Target.Machine]
 	if existing == nil || existing.probe != grant.Request.ID {
 		return
@@ -109,7 +109,7 @@
 // ends its backoff, up to maxRetryAfter. It includes machines that the request was already sent
 // to, since a retry of the caller is a new request. allBackedOff is false if one of the machines
 // accepts requests, or there are none.
-func (s *Core) RetryAfterRest(now time.Time, request *Request) (retryAfter time.Duration, allBackedOff bool) {
+func (s *Scheduler) RetryAfterRest(now time.Time, request *Request) (retryAfter time.Duration, allBackedOff bool) {
 	if len(s.backoffs) == 0 {
 		return 0, false // Fast path: avoids visiting the targets.
 	}
@@ -121,7 +121,7 @@
 
 // untilBackoffEnds returns how long it takes until the first machine that could serve a request
 // ends its backoff, if all of them have one.
-func (s *Core) untilBackoffEnds(now time.Time, version *versionState, request *Request) (wait time.Duration, allBackedOff bool) {
+func (s *Scheduler) untilBackoffEnds(now time.Time, version *versionState, request *Request) (wait time.Duration, allBackedOff bool) {
 	for _, candidate := range version.targets {
 		if s.isExcluded(candidate, request) {
 			continue
@@ -139,7 +139,7 @@
 
 // refuseBackedOff refuses a request if all machines that could serve it back off beyond its time
 // in the queue, or have already rejected it.
-func (s *Core) refuseBackedOff(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+func (s *Scheduler) refuseBackedOff(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	retryAfter, allBackedOff := s.RetryAfterRest(now, request)
 	until := request.queuedUntil()
 	if !allBackedOff || version.mayBeReadyElsewhere(until) {
@@ -153,7 +153,7 @@
 
 // refuseWaitingOn refuses the waiting requests for the versions of a machine that can't be served
 // in time any more.
-func (s *Core) refuseWaitingOn(now time.Time, machine string, outcome *Outcome) {
+func (s *Scheduler) refuseWaitingOn(now time.Time, machine string, outcome *Outcome) {
 	for _, name := range s.waitingVersionsOn(machine) {
 		version := s.versions[name]
 		for _, request := range version.queue.sorted() {
@@ -167,7 +167,7 @@
 
 // waitingVersionsOn returns the versions with waiting requests and a target on a machine, sorted
 // by name.
-func (s *Core) waitingVersionsOn(machine string) []string {
+func (s *Scheduler) waitingVersionsOn(machine string) []string {
 	found := map[string]bool{}
 	for _, candidate := range s.targets {
 		if candidate.Machine == machine && len(s.version(candidate.Version).queue.waiting) > 0 {
@@ -178,7 +178,7 @@
 }
 
 // RetainBackoffs forgets the ended backoffs of unlisted machines.
-func (s *Core) RetainRests(now time.Time, isListed func(machine string) bool) {
+func (s *Scheduler) RetainRests(now time.Time, isListed func(machine string) bool) {
 	maps.DeleteFunc(s.backoffs, func(machine string, existing *backoff) bool {
 		return !now.Before(existing.until) && !isListed(machine)
 	})
--- a/internal/dispatch/rest_sim_test.go
+++ b/internal/dispatch/rest_sim_test.go
@@ -10,7 +10,7 @@
 // requests at once, rejects the others and asks the sending router to back off.
 type overloadSim struct {
 	now     time.Time
-	routers []*Core
+	routers []*Scheduler
 	nextID  uint64
 	running int
 	// events are the pending events by time.
@@ -46,19 +46,19 @@
 	o.events[at] = append(o.events[at], event)
 }
 
-func (o *overloadSim) submit(scheduler *Core) {
+func (o *overloadSim) submit(scheduler *Scheduler) {
 	o.nextID++
 	request := &Request{ID: o.nextID, Version: "v", Work: 100, Arrived: o.now, Deadline: o.now.Add(5 * time.Second), Patience: o.now.Add(2 * time.Second)}
 	o.apply(scheduler, scheduler.Submit(o.now, request))
 }
 
-func (o *overloadSim) apply(scheduler *Core, outcome Outcome) {
+func (o *overloadSim) apply(scheduler *Scheduler, outcome Outcome) {
 	for _, grant := range outcome.Grants {
 		o.after(latency, func() { o.arrive(scheduler, grant) })
 	}
 }
 
-func (o *overloadSim) arrive(scheduler *Core, grant Grant) {
+func (o *overloadSim) arrive(scheduler *Scheduler, grant Grant) {
 	if o.running >= overloadSlots {
 		o.rejected++
 		o.after(latency, func() {
--- a/internal/dispatch/stale.go
+++ b/internal/dispatch/stale.go
@@ -38,7 +38,7 @@
 }
 
 // updateStaleness averages the interval between digests.
-func (s *Core) updateStaleness(now time.Time) {
+func (s *Scheduler) updateStaleness(now time.Time) {
 	if !s.digestAt.IsZero() {
 		interval := min(maxStaleness, now.Sub(s.digestAt))
 		s.staleness += time.Duration(stalenessGain * float64(interval-s.staleness))
@@ -46,13 +46,13 @@
 	s.digestAt = now
 }
 
-func (s *Core) totalWork(candidate *target) float64 {
+func (s *Scheduler) totalWork(candidate *target) float64 {
 	return s.ownWork[candidate.Machine] + s.othersWork[candidate.Machine]
 }
 
 // fillLevelOfOthers is the estimated work up to which other routers have filled the least busy
 // targets since the last report; 0 for a single router.
-func (s *Core) fillLevelOfOthers(now time.Time, version *versionState, targets []*target) float64 {
+func (s *Scheduler) fillLevelOfOthers(now time.Time, version *versionState, targets []*target) float64 {
 	sent := float64(s.routers-1) * version.rate.at(now) * s.staleness.Seconds()
 	if sent <= 0 || len(targets) < 2 {
 		return 0
--- a/internal/dispatch/stale_test.go
+++ b/internal/dispatch/stale_test.go
@@ -9,7 +9,7 @@
 
 // herdSim simulates routers that know of each other's requests by digests only.
 type herdSim struct {
-	routers []*Core
+	routers []*Scheduler
 	random  *rand.Rand
 	now     time.Time
 	// backlog is the outstanding work of each machine, in tokens; sent are the grants that a
@@ -22,7 +22,7 @@
 }
 
 type sentGrant struct {
-	router    *Core
+	router    *Scheduler
 	grant     Grant
 	remaining float64
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-func (h *herdSim) arrive(router *Core) {
+func (h *herdSim) arrive(router *Scheduler) {
 	nextRequest++
 	outcome := router.Submit(h.now, &Request{
 		ID: nextRequest, Version: "v", Arrived: h.now, Deadline: h.now.Add(time.Minute), Work: herdWork,
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -7,7 +7,7 @@
 )
 
 // Submit grants, refuses or queues a request.
-func (s *Core) Submit(now time.Time, request *Request) Outcome {
+func (s *Scheduler) Submit(now time.Time, request *Request) Outcome {
 	version := s.version(request.Version)
 	version.arrivals++
 	version.work += request.Work
@@ -23,11 +23,11 @@
 }
 
 // Resubmit submits a request again that its target did not run.
-func (s *Core) Resubmit(now time.Time, request *Request) Outcome {
+func (s *Scheduler) Resubmit(now time.Time, request *Request) Outcome {
 	return s.enqueue(now, s.version(request.Version), request)
 }
 
-func (s *Core) enqueue(now time.Time, version *versionState, request *Request) Outcome {
+func (s *Scheduler) enqueue(now time.Time, version *versionState, request *Request) Outcome {
 	var outcome Outcome
 	s.waiters[request.ID] = version.queue.push(request)
 	s.dispatch(now, version, &outcome, request)
@@ -45,7 +45,7 @@
 
 // dispatch grants waiting requests of a version in serving order while there is capacity. fresh is
 // the request just submitted, or nil.
-func (s *Core) dispatch(now time.Time, version *versionState, outcome *Outcome, fresh *Request) {
+func (s *Scheduler) dispatch(now time.Time, version *versionState, outcome *Outcome, fresh *Request) {
 	for {
 		request, chosen := s.nextGrant(now, version)
 		if chosen == nil {
@@ -66,7 +66,7 @@
 
 // nextGrant returns the first request that can be granted. Requests that wait for a placed adapter
 // or for their regions don't block the others.
-func (s *Core) nextGrant(now time.Time, version *versionState) (*Request, *target) {
+func (s *Scheduler) nextGrant(now time.Time, version *versionState) (*Request, *target) {
 	first := version.queue.first()
 	if first == nil {
 		return nil, nil
@@ -85,7 +85,7 @@
 	return nil, nil
 }
 
-func (s *Core) dequeue(request *Request) {
+func (s *Scheduler) dequeue(request *Request) {
 	entry := s.waiters[request.ID]
 	if entry == nil {
 		return
@@ -95,12 +95,12 @@
 }
 
 // Cancel removes a waiting request from its queue.
-func (s *Core) Cancel(request *Request) {
+func (s *Scheduler) Cancel(request *Request) {
 	s.dequeue(request)
 }
 
 // SetConstraint changes the region constraint of a waiting request.
-func (s *Core) Rebind(now time.Time, request *Request, allowed places.Constraint) Outcome {
+func (s *Scheduler) Rebind(now time.Time, request *Request, allowed places.Constraint) Outcome {
 	var outcome Outcome
 	if s.waiters[request.ID] == nil {
 		return outcome
--- a/internal/dispatch/targets.go
+++ b/internal/dispatch/targets.go
@@ -16,7 +16,7 @@
 }
 
 // SetTargets replaces all targets.
-func (s *Core) SetTargets(now time.Time, targets []Target) Outcome {
+func (s *Scheduler) SetTargets(now time.Time, targets []Target) Outcome {
 	var outcome Outcome
 	listed := make(map[string]bool, len(targets))
 	for _, updated := range targets {
@@ -34,7 +34,7 @@
 }
 
 // replaceTargets is SetTargets including the targets in drained zones.
-func (s *Core) replaceTargets(now time.Time, changes TargetChanges) Outcome {
+func (s *Scheduler) replaceTargets(now time.Time, changes TargetChanges) Outcome {
 	s.replaceDrained(changes.Drained)
 	outcome := s.SetTargets(now, changes.Targets)
 	s.refuseWaitingForDrained(now, &outcome)
@@ -43,7 +43,7 @@
 
 // ChangeTargets applies changes to the targets. Its cost depends on the number of changes, that of
 // SetTargets on the number of targets.
-func (s *Core) ChangeTargets(now time.Time, changes TargetChanges) Outcome {
+func (s *Scheduler) ChangeTargets(now time.Time, changes TargetChanges) Outcome {
 	if changes.Full {
 		return s.replaceTargets(now, changes)
 	}
@@ -66,13 +66,13 @@
 	return outcome
 }
 
-func (s *Core) removeTarget(name string) {
+func (s *Scheduler) removeTarget(name string) {
 	if existing := s.targets[name]; existing != nil {
 		s.retire(existing)
 	}
 }
 
-func (s *Core) putTarget(updated Target) {
+func (s *Scheduler) putTarget(updated Target) {
 	s.unsetDrained(updated.Replica)
 	if existing := s.targets[updated.Replica]; existing != nil {
 		existing.Target = updated
@@ -87,14 +87,14 @@
 }
 
 // retire stops new requests to a target; it is removed once it is idle.
-func (s *Core) retire(existing *target) {
+func (s *Scheduler) retire(existing *target) {
 	existing.retired = true
 	if existing.inFlight == 0 {
 		s.remove(existing)
 	}
 }
 
-func (s *Core) remove(removed *target) {
+func (s *Scheduler) remove(removed *target) {
 	delete(s.targets, removed.Replica)
 	version := s.version(removed.Version)
 	for position, candidate := range version.targets {
--- a/internal/dispatch/targets_test.go
+++ b/internal/dispatch/targets_test.go
@@ -12,7 +12,7 @@
 
 // snapshot returns a scheduler's targets by replica, whether they are retired, and the replicas by
 // version.
-func snapshot(scheduler *Core) (targets map[string]Target, retired map[string]bool, versions map[string][]string) {
+func snapshot(scheduler *Scheduler) (targets map[string]Target, retired map[string]bool, versions map[string][]string) {
 	targets, retired, versions = map[string]Target{}, map[string]bool{}, map[string][]string{}
 	for name, entry := range scheduler.targets {
 		targets[name], retired[name] = entry.Target, entry.retired
@@ -75,10 +75,10 @@
 				full.Release(now, ended[0], ResultOK)
 				incremental.Release(now, ended[1], ResultOK)
 			}
-			for _, compare := range []func(*Core) any{
-				func(scheduler *Core) any { targets, _, _ := snapshot(scheduler); return targets },
-				func(scheduler *Core) any { _, retired, _ := snapshot(scheduler); return retired },
-				func(scheduler *Core) any { _, _, versions := snapshot(scheduler); return versions },
+			for _, compare := range []func(*Scheduler) any{
+				func(scheduler *Scheduler) any { targets, _, _ := snapshot(scheduler); return targets },
+				func(scheduler *Scheduler) any { _, retired, _ := snapshot(scheduler); return retired },
+				func(scheduler *Scheduler) any { _, _, versions := snapshot(scheduler); return versions },
 			} {
 				if left, right := compare(full), compare(incremental); !reflect.DeepEqual(left, right) {
 					t.Fatalf("seed %d, step %d: got %v and %v", seed, step, left, right)
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -26,7 +26,7 @@
 	tierSuspectWarming
 )
 
-func (s *Core) tierOf(candidate *target) tier {
+func (s *Scheduler) tierOf(candidate *target) tier {
 	switch {
 	case candidate.Suspect && s.warming[candidate.Machine]:
 		return tierSuspectWarming
@@ -40,7 +40,7 @@
 
 // allSuspectWarming reports whether all targets that could serve a request, regardless of their
 // load, are in tierSuspectWarming.
-func (s *Core) allSuspectWarming(version *versionState, request *Request) bool {
+func (s *Scheduler) allSuspectWarming(version *versionState, request *Request) bool {
 	for _, candidate := range version.targets {
 		if s.tierOf(candidate) != tierSuspectWarming && !s.isExcluded(candidate, request) {
 			return false
@@ -50,13 +50,13 @@
 }
 
 // SetWarming replaces the set of machines that are warming up.
-func (s *Core) SetWarming(warming map[string]bool) {
+func (s *Scheduler) SetWarming(warming map[string]bool) {
 	s.warming = warming
 }
 
 // SetLimited replaces the rate limits of machines. The hold of a machine ends if its limit ended
 // or grew.
-func (s *Core) SetLimited(limited map[string]ratelimit.Limit) {
+func (s *Scheduler) SetLimited(limited map[string]ratelimit.Limit) {
 	for machine, before := range s.limited {
 		after := limited[machine]
 		if !after.IsSet || after.PerSecond > before.PerSecond {
@@ -67,29 +67,29 @@
 }
 
 // needsPermit reports whether requests to a machine need permits.
-func (s *Core) needsPermit(machine string) bool {
+func (s *Scheduler) needsPermit(machine string) bool {
 	return s.warming[machine] || s.limited[machine].IsSet
 }
 
 // Hold withholds requests from a machine until a time. Tick grants its capacity afterwards.
-func (s *Core) Hold(now time.Time, machine string, until time.Time) {
+func (s *Scheduler) Hold(now time.Time, machine string, until time.Time) {
 	maps.DeleteFunc(s.holds, func(_ string, expiry time.Time) bool { return !now.Before(expiry) })
 	s.holds[machine] = until
 }
 
 // HoldPermitMachines withholds requests from all machines that need permits until a time. A request
 // would otherwise try each of them in turn.
-func (s *Core) HoldPaced(until time.Time) {
+func (s *Scheduler) HoldPaced(until time.Time) {
 	s.permitHoldUntil = until
 }
 
-func (s *Core) isHeld(now time.Time, machine string) bool {
+func (s *Scheduler) isHeld(now time.Time, machine string) bool {
 	return now.Before(s.holds[machine]) || now.Before(s.permitHoldUntil) && s.needsPermit(machine)
 }
 
 // throttledBy returns the reason for which a request waits, if its machines are on hold or busy
 // because they are warming up or limited.
-func (s *Core) throttledBy(now time.Time, request *Request) (reason RefusalReason, isThrottled bool) {
+func (s *Scheduler) throttledBy(now time.Time, request *Request) (reason RefusalReason, isThrottled bool) {
 	version := s.version(request.Version)
 	onlySuspectWarming := s.allSuspectWarming(version, request)
 	for _, candidate := range version.targets {
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -23,13 +23,13 @@
 )
 
 // addWork adds a request's work to a machine.
-func (s *Core) addWork(machine string, request *Request) {
+func (s *Scheduler) addWork(machine string, request *Request) {
 	request.outstandingWork = request.Work
 	s.ownWork[machine] += request.Work
 }
 
 // finishWork lowers the outstanding work of a request to the remaining one.
-func (s *Core) finishWork(machine string, request *Request, remaining float64) {
+func (s *Scheduler) finishWork(machine string, request *Request, remaining float64) {
 	done := request.outstandingWork - remaining
 	if done <= 0 {
 		return
@@ -42,7 +42,7 @@
 }
 
 // MarkStarted records that the machine accepted a granted request and its response has started.
-func (s *Core) Started(grant Grant) {
+func (s *Scheduler) Started(grant Grant) {
 	s.finishWork(grant.Target.Machine, grant.Request, grant.Request.Work*startedWorkShare)
 	s.recordProbe(grant, true)
 	if existing := s.targets[grant.Target.Replica]; existing != nil {
@@ -51,12 +51,12 @@
 }
 
 // Work returns the outstanding work by machine.
-func (s *Core) Work() map[string]float64 {
+func (s *Scheduler) Work() map[string]float64 {
 	return maps.Clone(s.ownWork)
 }
 
 // SetWork replaces the lagged work of machines, in total over all routers.
-func (s *Core) SetWork(now time.Time, total map[string]float64) {
+func (s *Scheduler) SetWork(now time.Time, total map[string]float64) {
 	s.updateStaleness(now)
 	s.othersWork = make(map[string]float64, len(total))
 	for machine, work := range total {
@@ -68,7 +68,7 @@
 // the request's own, less what a cached prefix saves. All routers prefer the same targets for a
 // prefix, by rendezvous hashing, so that few machines cache it. A busy preferred target loses to
 // another as soon as processing the prefix again costs less than waiting.
-func (s *Core) pickLeastWork(now time.Time, version *versionState, request *Request, wanted tier) *target {
+func (s *Scheduler) pickLeastWork(now time.Time, version *versionState, request *Request, wanted tier) *target {
 	hasAlternatives := version.hasAlternatives(request)
 	var usable []*target
 	for _, candidate := range version.targets {
--- a/internal/dispatch/work_test.go
+++ b/internal/dispatch/work_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func newWorkScheduler(machines int) (*Core, time.Time) {
+func newWorkScheduler(machines int) (*Scheduler, time.Time) {
 	now := time.Unix(1000, 0)
 	scheduler := New(Config{MaxWaiting: 100, SharedSlots: true, PlacedAdapters: true, ByWork: true})
 	var targets []Target
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -23,7 +23,7 @@
 // Dispatcher is safe for concurrent use.
 type Dispatcher struct {
 	mutex   sync.Mutex
-	core    *dispatch.Core
+	core    *dispatch.Scheduler
 	waiting map[uint64]chan verdict
 	nextID  uint64
 	nudge   func()
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -30,7 +30,7 @@
 	requests    uint64
 	view        *nodeview.View
 	news        *nodeview.DemandNews
-	core        *dispatch.Core
+	core        *dispatch.Scheduler
 	waiting     map[uint64]*inference
 	watches     map[string]*machineWatch
 	upstream    int
