--- a/internal/dispatch/answers_test.go
+++ b/internal/dispatch/answers_test.go
@@ -51,10 +51,10 @@
 	var targets []Target
 	for position := range errorRates {
 		name := strconv.Itoa(position)
-		targets = append(targets, Target{Replica: name, Version: "v", Machine: name, Max: 100})
+		targets = append(targets, Target{Replica: name, Version: "v", Machine: name, MaxConcurrent: 100})
 	}
 	for position := range routers {
-		scheduler := New(Config{MaxWaiting: 10, SharedSlots: true, ByWork: true, Seed: uint64(position) << 32})
+		scheduler := New(Config{MaxWaiting: 10, SharedSlots: true, LeastWork: true, Seed: uint64(position) << 32})
 		scheduler.SetTargets(fleet.now, targets)
 		fleet.routers = append(fleet.routers, scheduler)
 	}
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -18,7 +18,7 @@
 	SharedSlots bool
 	// LeastWork selects targets by the outstanding work of their machines, instead of by requests
 	// in flight.
-	ByWork bool
+	LeastWork bool
 	// Seed makes routers choose differently among equal targets.
 	Seed uint64
 	// PlacedAdapters is set if a request for an adapter can run only where the adapter is loaded.
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -39,7 +39,7 @@
 		config := Config{MaxWaiting: 100}
 		data.MaybeScanArgs(t, "max", &config.MaxWaiting)
 		data.MaybeScanArgs(t, "round-robin", &config.RoundRobin)
-		config.ByWork = data.HasArg("by-work")
+		config.LeastWork = data.HasArg("by-work")
 		s.scheduler, s.now = New(config), epoch
 		s.requests, s.grants = map[uint64]*Request{}, map[uint64]Grant{}
 	case "at":
@@ -85,10 +85,10 @@
 	case "submit":
 		request := &Request{
 			ID: id, Version: values["version"], Adapter: values["adapter"], Priority: int32(number("priority")),
-			Prefix: uint64(number("prefix")), Arrived: s.now, Deadline: seconds("deadline"),
+			PrefixHash: uint64(number("prefix")), Arrived: s.now, Deadline: seconds("deadline"),
 		}
 		if values["patience"] != "" {
-			request.Patience = seconds("patience")
+			request.QueueDeadline = seconds("patience")
 		}
 		s.requests[id] = request
 		s.report(out, s.scheduler.Submit(s.now, request))
@@ -152,7 +152,7 @@
 		}
 		limit, _ := strconv.Atoi(fields[3])
 		target := Target{
-			Replica: fields[0], Version: fields[1], Machine: fields[2], Max: limit, Fixed: slices.Contains(fields, "fixed"),
+			Replica: fields[0], Version: fields[1], Machine: fields[2], MaxConcurrent: limit, Fixed: slices.Contains(fields, "fixed"),
 			Suspect: slices.Contains(fields, "suspect"),
 		}
 		if slices.Contains(fields, "drained") {
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -74,7 +74,7 @@
 		}
 		demand := Demand{
 			Version: name, Running: version.running, Arrivals: version.arrivals,
-			Work: uint64(version.work), Target: version.ttftTarget,
+			Work: uint64(version.work), TTFTTarget: version.ttftTarget,
 		}
 		for _, entry := range version.queue.waiting {
 			demand.addWaiting(now, entry.request)
--- a/internal/dispatch/limited.go
+++ b/internal/dispatch/limited.go
@@ -53,10 +53,10 @@
 
 // queuedUntil is the end of the request's time in the queue.
 func (r *Request) queuedUntil() time.Time {
-	if r.Patience.IsZero() || r.Deadline.Before(r.Patience) {
+	if r.QueueDeadline.IsZero() || r.Deadline.Before(r.QueueDeadline) {
 		return r.Deadline
 	}
-	return r.Patience
+	return r.QueueDeadline
 }
 
 // mayBeReadyElsewhere reports whether another replica may be ready by a time.
--- a/internal/dispatch/near_test.go
+++ b/internal/dispatch/near_test.go
@@ -11,12 +11,12 @@
 // localityScheduler has one target at each of the given distances.
 func localityScheduler(config Config, distances ...places.Nearness) (*Scheduler, time.Time) {
 	now := time.Unix(1000, 0)
-	config.MaxWaiting, config.SharedSlots, config.ByWork = 100, true, true
+	config.MaxWaiting, config.SharedSlots, config.LeastWork = 100, true, true
 	scheduler := New(config)
 	var targets []Target
 	for position, nearness := range distances {
 		name := "m" + strconv.Itoa(position)
-		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 64, Nearness: nearness})
+		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 64, Nearness: nearness})
 	}
 	scheduler.SetTargets(now, targets)
 	return scheduler, now
@@ -42,7 +42,7 @@
 		scheduler, now := localityScheduler(Config{}, places.Further, places.SameRegion, places.SameZone)
 		scheduler.SetWork(now, map[string]float64{"m0": test.further, "m1": test.region, "m2": test.zone})
 		submitted := request(now, 1000, 0, 0)
-		submitted.Detour = penalty
+		submitted.CrossRegionPenalty = penalty
 		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Machine != test.machine {
 			t.Errorf("%s: got %s, want %s", test.name, granted.Target.Machine, test.machine)
 		}
@@ -55,7 +55,7 @@
 	for prefix := uint64(1); prefix <= 20; prefix++ {
 		scheduler, now := localityScheduler(Config{}, places.Further, places.Further, places.Further, places.SameRegion, places.SameRegion)
 		submitted := request(now, 1000, 900, prefix)
-		submitted.Detour = 1
+		submitted.CrossRegionPenalty = 1
 		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Nearness == places.Further {
 			t.Errorf("prefix %d is sent to another region", prefix)
 		}
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -33,7 +33,7 @@
 			return chosen
 		}
 	}
-	if !s.config.ByWork {
+	if !s.config.LeastWork {
 		return nil
 	}
 	return s.pickEjected(now, version, request, onlySuspectWarming)
@@ -56,7 +56,7 @@
 
 // pickFromTier returns the best target of one tier.
 func (s *Scheduler) pickFromTier(now time.Time, version *versionState, request *Request, wanted tier) *target {
-	if s.config.ByWork {
+	if s.config.LeastWork {
 		return s.pickLeastWork(now, version, request, wanted)
 	}
 	hasAlternatives := version.hasAlternatives(request)
@@ -148,7 +148,7 @@
 	if !request.Allowed.Allows(candidate.Region) {
 		return true
 	}
-	if candidate.retired || candidate.leaving || slices.Contains(request.Tried, candidate.Machine) {
+	if candidate.retired || candidate.leaving || slices.Contains(request.TriedMachines, candidate.Machine) {
 		return true
 	}
 	return s.config.PlacedAdapters && request.Adapter != "" && !slices.Contains(candidate.Adapters, request.Adapter)
@@ -171,12 +171,12 @@
 // them by priority and can refuse them as not run.
 func (s *Scheduler) hasSlot(candidate *target) bool {
 	own := s.inFlightOn(candidate)
-	if own >= candidate.Max {
+	if own >= candidate.MaxConcurrent {
 		return false
 	}
 	total := own + s.othersLoad[candidate.Machine]
-	share := (candidate.Max + s.routers - 1) / s.routers
-	return total < candidate.Max || own < share && total < maxOvercommit*candidate.Max
+	share := (candidate.MaxConcurrent + s.routers - 1) / s.routers
+	return total < candidate.MaxConcurrent || own < share && total < maxOvercommit*candidate.MaxConcurrent
 }
 
 func (t *target) affinity(now time.Time, request *Request) float64 {
@@ -184,7 +184,7 @@
 	if request.Adapter != "" && !t.adapters[request.Adapter].IsZero() {
 		bonus += affinityBonus
 	}
-	if request.Prefix != 0 && t.prefixes.contains(now, request.Prefix) {
+	if request.PrefixHash != 0 && t.prefixes.contains(now, request.PrefixHash) {
 		bonus += affinityBonus
 	}
 	return bonus
@@ -195,8 +195,8 @@
 	if request.Adapter != "" {
 		t.adapters[request.Adapter] = now
 	}
-	if request.Prefix != 0 {
-		t.prefixes.add(now, request.Prefix)
+	if request.PrefixHash != 0 {
+		t.prefixes.add(now, request.PrefixHash)
 	}
 }
 
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -82,7 +82,7 @@
 
 // isQueueExpired reports whether the request's time in the queue is over.
 func (r *Request) isQueueExpired(now time.Time) bool {
-	return !r.Patience.IsZero() && !now.Before(r.Patience)
+	return !r.QueueDeadline.IsZero() && !now.Before(r.QueueDeadline)
 }
 
 func (q *queue) remove(entry *waiter) {
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -41,7 +41,7 @@
 func newRegionModel(t *rapid.T) *regionModel {
 	config := Config{
 		MaxWaiting: 6, RoundRobin: rapid.Bool().Draw(t, "round robin"), SharedSlots: rapid.Bool().Draw(t, "shared slots"),
-		ByWork: rapid.Bool().Draw(t, "by work"), PlacedAdapters: rapid.Bool().Draw(t, "placed adapters"),
+		LeastWork: rapid.Bool().Draw(t, "by work"), PlacedAdapters: rapid.Bool().Draw(t, "placed adapters"),
 	}
 	return &regionModel{t: t, scheduler: New(config), now: epoch.Add(time.Hour), waiting: map[uint64]*Request{}}
 }
@@ -67,7 +67,7 @@
 	var targets []Target
 	for number := range rapid.IntRange(0, 6).Draw(r.t, "targets") {
 		targets = append(targets, Target{
-			Replica: "r" + strconv.Itoa(number), Version: "v", Machine: "m" + strconv.Itoa(number%4), Max: 1 + number%2,
+			Replica: "r" + strconv.Itoa(number), Version: "v", Machine: "m" + strconv.Itoa(number%4), MaxConcurrent: 1 + number%2,
 			Region: rapid.SampledFrom(regionNames).Draw(r.t, "region"), Suspect: rapid.Bool().Draw(r.t, "suspect"),
 		})
 	}
@@ -78,7 +78,7 @@
 	r.nextID++
 	request := &Request{
 		ID: r.nextID, Version: "v", Priority: int32(r.nextID % 2), Arrived: r.now, Deadline: r.now.Add(time.Minute), Work: 100,
-		Prefix: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").And(r.constraint("tenant")),
+		PrefixHash: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").And(r.constraint("tenant")),
 	}
 	r.waiting[request.ID] = request
 	r.apply(r.scheduler.Submit(r.now, request))
@@ -99,7 +99,7 @@
 	request := ended.Request
 	request.Avoid = ended.Target.Replica
 	if rapid.Bool().Draw(r.t, "tried") {
-		request.Tried = append(request.Tried, ended.Target.Machine)
+		request.TriedMachines = append(request.TriedMachines, ended.Target.Machine)
 	}
 	request.Allowed = request.Allowed.And(r.constraint("narrower"))
 	r.waiting[request.ID] = request
@@ -181,8 +181,8 @@
 	scheduler := New(Config{MaxWaiting: 10})
 	now := epoch.Add(time.Hour)
 	scheduler.SetTargets(now, []Target{
-		{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"},
-		{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"},
+		{Replica: "r-a", Version: "v", Machine: "m-a", MaxConcurrent: 1, Region: "a"},
+		{Replica: "r-b", Version: "v", Machine: "m-b", MaxConcurrent: 1, Region: "b"},
 	})
 	first := constrained(1, "a")
 	first.Deadline = now.Add(time.Minute)
@@ -203,8 +203,8 @@
 func TestNoAlternativeOutsideAllowedRegions(t *testing.T) {
 	scheduler := New(Config{MaxWaiting: 10})
 	scheduler.SetTargets(epoch, []Target{
-		{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"},
-		{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"},
+		{Replica: "r-a", Version: "v", Machine: "m-a", MaxConcurrent: 1, Region: "a"},
+		{Replica: "r-b", Version: "v", Machine: "m-b", MaxConcurrent: 1, Region: "b"},
 	})
 	if scheduler.HasAlternative(epoch, constrained(1, "a"), "m-a") {
 		t.Error("a machine outside the allowed regions counts as an alternative")
@@ -225,7 +225,7 @@
 	if len(outcome.Refusals) != 0 {
 		t.Errorf("refused by an estimate for other regions: %+v", outcome.Refusals)
 	}
-	scheduler.SetTargets(epoch, []Target{{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"}})
+	scheduler.SetTargets(epoch, []Target{{Replica: "r-b", Version: "v", Machine: "m-b", MaxConcurrent: 1, Region: "b"}})
 	outcome = scheduler.SetEstimates(epoch, map[string]*Estimate{"v": {Refused: true, Reason: "too large"}})
 	if len(outcome.Refusals) != 1 || outcome.Refusals[0].Reason != RefusedNotLoadable {
 		t.Errorf("kept for a replica outside its regions: %+v", outcome)
@@ -236,7 +236,7 @@
 // again by constraint; a resubmitted request waits under its new constraint.
 func TestDemandByConstraint(t *testing.T) {
 	scheduler := New(Config{MaxWaiting: 10})
-	scheduler.SetTargets(epoch, []Target{{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"}})
+	scheduler.SetTargets(epoch, []Target{{Replica: "r-a", Version: "v", Machine: "m-a", MaxConcurrent: 1, Region: "a"}})
 	running := scheduler.Submit(epoch, constrained(1, "a", "b")).Grants[0]
 	scheduler.Submit(epoch, constrained(2, "c"))
 	scheduler.Submit(epoch, &Request{ID: 3, Version: "v", Arrived: epoch, Deadline: epoch.Add(time.Minute)})
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -114,7 +114,7 @@
 		return 0, false // Fast path: avoids visiting the targets.
 	}
 	retry := *request
-	retry.Tried = nil
+	retry.TriedMachines = nil
 	wait, allBackedOff := s.untilBackoffEnds(now, s.version(request.Version), &retry)
 	return min(wait, maxRetryAfter), allBackedOff
 }
--- a/internal/dispatch/rest_sim_test.go
+++ b/internal/dispatch/rest_sim_test.go
@@ -33,9 +33,9 @@
 func newOverloadSim() *overloadSim {
 	created := &overloadSim{now: epoch, events: map[time.Time][]func(){}}
 	for number := range overloadRouters {
-		scheduler := New(Config{MaxWaiting: 100, SharedSlots: true, ByWork: true, Seed: uint64(number)})
+		scheduler := New(Config{MaxWaiting: 100, SharedSlots: true, LeastWork: true, Seed: uint64(number)})
 		scheduler.SetLoads(created.now, nil, overloadRouters)
-		scheduler.SetTargets(created.now, []Target{{Replica: "r", Version: "v", Machine: "m", Max: 2 * overloadSlots}})
+		scheduler.SetTargets(created.now, []Target{{Replica: "r", Version: "v", Machine: "m", MaxConcurrent: 2 * overloadSlots}})
 		created.routers = append(created.routers, scheduler)
 	}
 	return created
@@ -48,7 +48,7 @@
 
 func (o *overloadSim) submit(scheduler *Scheduler) {
 	o.nextID++
-	request := &Request{ID: o.nextID, Version: "v", Work: 100, Arrived: o.now, Deadline: o.now.Add(5 * time.Second), Patience: o.now.Add(2 * time.Second)}
+	request := &Request{ID: o.nextID, Version: "v", Work: 100, Arrived: o.now, Deadline: o.now.Add(5 * time.Second), QueueDeadline: o.now.Add(2 * time.Second)}
 	o.apply(scheduler, scheduler.Submit(o.now, request))
 }
 
--- a/internal/dispatch/stale_test.go
+++ b/internal/dispatch/stale_test.go
@@ -41,11 +41,11 @@
 		random: rand.New(rand.NewPCG(11, 13)), now: time.Unix(1000, 0), backlog: map[string]float64{}, sent: map[string][]sentGrant{},
 	}
 	for number := range routers {
-		scheduler := New(Config{MaxWaiting: 10000, SharedSlots: true, ByWork: true, Seed: uint64(number)})
+		scheduler := New(Config{MaxWaiting: 10000, SharedSlots: true, LeastWork: true, Seed: uint64(number)})
 		var targets []Target
 		for machine := range herdMachines {
 			name := "m" + strconv.Itoa(machine)
-			targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 1000})
+			targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 1000})
 		}
 		scheduler.SetTargets(created.now, targets)
 		created.routers = append(created.routers, scheduler)
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -12,8 +12,8 @@
 	version.arrivals++
 	version.work += request.Work
 	version.rate.add(now, request.Work)
-	if request.Target > 0 && (version.ttftTarget == 0 || request.Target < version.ttftTarget) {
-		version.ttftTarget = request.Target
+	if request.TTFTTarget > 0 && (version.ttftTarget == 0 || request.TTFTTarget < version.ttftTarget) {
+		version.ttftTarget = request.TTFTTarget
 	}
 	if request.Adapter != "" && s.config.PlacedAdapters {
 		version.countAdapter(request.Adapter)
--- a/internal/dispatch/targets_test.go
+++ b/internal/dispatch/targets_test.go
@@ -46,7 +46,7 @@
 					continue
 				}
 				present[name] = Target{
-					Replica: name, Version: "v" + strconv.Itoa(number%3), Machine: "m" + strconv.Itoa(number%4), Max: 2 + random.IntN(2),
+					Replica: name, Version: "v" + strconv.Itoa(number%3), Machine: "m" + strconv.Itoa(number%4), MaxConcurrent: 2 + random.IntN(2),
 				}
 				changes.Targets = append(changes.Targets, present[name])
 				changes.Removed = slices.DeleteFunc(changes.Removed, func(removed string) bool { return removed == name })
@@ -95,9 +95,9 @@
 	scheduler := New(Config{MaxWaiting: 100})
 	var targets []Target
 	for _, machine := range []string{"stays", "shrinks", "drained", "removed"} {
-		targets = append(targets, Target{Replica: machine + "-1", Version: machine, Machine: machine, Max: 1})
+		targets = append(targets, Target{Replica: machine + "-1", Version: machine, Machine: machine, MaxConcurrent: 1})
 	}
-	targets = append(targets, Target{Replica: "shrinks-2", Version: "other", Machine: "shrinks", Max: 1})
+	targets = append(targets, Target{Replica: "shrinks-2", Version: "other", Machine: "shrinks", MaxConcurrent: 1})
 	scheduler.SetTargets(now, targets)
 	for number, target := range targets[:4] {
 		request := Request{ID: uint64(number + 1), Version: target.Version, Arrived: now, Deadline: now.Add(time.Hour)}
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -16,35 +16,35 @@
 	Arrived  time.Time
 	Deadline time.Time
 	// PrefixHash is a hash of the beginning of the prompt; 0 if there is none.
-	Prefix uint64
+	PrefixHash uint64
 	// Avoid is a replica that just failed the request.
 	Avoid string
 	// TriedMachines must not get the request again.
-	Tried []string
+	TriedMachines []string
 	// Work is the request's processing cost in tokens; PrefixWork is the part that a cached prompt
 	// prefix saves.
-	Work, Shared float64
+	Work, PrefixWork float64
 	// CrossRegionPenalty is how much less outstanding work a target in another region must have to
 	// be preferred, in tokens; 0 if distance is ignored.
-	Detour float64
+	CrossRegionPenalty float64
 	// TTFTTarget is the targeted time to first token; 0 if there is none.
-	Target time.Duration
+	TTFTTarget time.Duration
 	// Allowed constrains the regions that may serve the request.
 	Allowed places.Constraint
 	// outstandingWork is the work that the machine has not processed yet.
 	outstandingWork float64
 	// QueueDeadline ends the request's time in the queue before its Deadline; zero if Deadline
 	// applies.
-	Patience time.Time
+	QueueDeadline time.Time
 }
 
 // Target is a replica that may get requests.
 type Target struct {
-	Replica  string
-	Version  string
-	Machine  string
-	Endpoint string
-	Max      int
+	Replica       string
+	Version       string
+	Machine       string
+	Endpoint      string
+	MaxConcurrent int
 	// Adapters are those loaded on the replica, if adapters are placed like models.
 	Adapters []string
 	Zone     string
@@ -148,7 +148,7 @@
 	// Work is the total work of all requests so far, in tokens.
 	Work uint64
 	// TTFTTarget is the shortest one requested; 0 if there is none.
-	Target time.Duration
+	TTFTTarget time.Duration
 	// OldestWait is the age of the longest-waiting request.
 	OldestWait time.Duration
 	Priority   int32
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -77,14 +77,14 @@
 		}
 	}
 	usable = s.excludeFailing(now, request, usable)
-	first, second := preferredTargets(request.inRegion(usable), request.Prefix)
+	first, second := preferredTargets(request.inRegion(usable), request.PrefixHash)
 	level := s.fillLevelOfOthers(now, version, usable)
 	var best *target
 	var bestCost, bestTie float64
 	for _, candidate := range usable {
 		load := s.totalWork(candidate)
 		cost := max(load, level) + request.distancePenalty(candidate.Nearness)
-		cost += request.Shared * (1 - candidate.hitProbability(now, request, first, second))
+		cost += request.PrefixWork * (1 - candidate.hitProbability(now, request, first, second))
 		tie := weightedRank(s.config.Seed+request.ID, candidate.Machine, level-load)
 		if best == nil || cost < bestCost || cost == bestCost && tie > bestTie {
 			best, bestCost, bestTie = candidate, cost, tie
@@ -96,9 +96,9 @@
 // hitProbability is the estimated probability that a target has the request's prefix cached.
 func (t *target) hitProbability(now time.Time, request *Request, first, second *target) float64 {
 	switch {
-	case request.Prefix == 0:
+	case request.PrefixHash == 0:
 		return 0
-	case t.prefixes.contains(now, request.Prefix):
+	case t.prefixes.contains(now, request.PrefixHash):
 		return 1
 	case t == first:
 		return firstHitProbability
@@ -114,15 +114,15 @@
 	case places.SameZone:
 		return 0
 	case places.SameRegion:
-		return r.Detour * crossZoneShare
+		return r.CrossRegionPenalty * crossZoneShare
 	}
-	return r.Detour
+	return r.CrossRegionPenalty
 }
 
 // inRegion returns the targets in the router's region, so that prefixes are cached in each region.
 // It returns all targets if there are none, or distance is ignored.
 func (r *Request) inRegion(targets []*target) []*target {
-	if r.Detour == 0 {
+	if r.CrossRegionPenalty == 0 {
 		return targets
 	}
 	var local []*target
--- a/internal/dispatch/work_test.go
+++ b/internal/dispatch/work_test.go
@@ -8,11 +8,11 @@
 
 func newWorkScheduler(machines int) (*Scheduler, time.Time) {
 	now := time.Unix(1000, 0)
-	scheduler := New(Config{MaxWaiting: 100, SharedSlots: true, PlacedAdapters: true, ByWork: true})
+	scheduler := New(Config{MaxWaiting: 100, SharedSlots: true, PlacedAdapters: true, LeastWork: true})
 	var targets []Target
 	for position := range machines {
 		name := "m" + strconv.Itoa(position)
-		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 64, Adapters: []string{"a1"}})
+		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 64, Adapters: []string{"a1"}})
 	}
 	scheduler.SetTargets(now, targets)
 	return scheduler, now
@@ -23,7 +23,7 @@
 func request(now time.Time, work, shared float64, prefix uint64) *Request {
 	nextRequest++
 	return &Request{
-		ID: nextRequest, Version: "v", Arrived: now, Deadline: now.Add(time.Minute), Work: work, Shared: shared, Prefix: prefix,
+		ID: nextRequest, Version: "v", Arrived: now, Deadline: now.Add(time.Minute), Work: work, PrefixWork: shared, PrefixHash: prefix,
 	}
 }
 
@@ -140,7 +140,7 @@
 	last := request(now, 100, 0, 0)
 	for _, machine := range []string{"m0", "m1"} {
 		if machine != unreachable.Target.Machine {
-			last.Tried = append(last.Tried, machine)
+			last.TriedMachines = append(last.TriedMachines, machine)
 		}
 	}
 	if granted := grantOf(t, scheduler.Submit(now, last)); granted.Target.Machine != unreachable.Target.Machine {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -96,7 +96,7 @@
 
 // New returns an ingress; Run must be running for it to work.
 func New(options Options) *Ingress {
-	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, ByWork: true, Seed: rand.Uint64()}
+	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, LeastWork: true, Seed: rand.Uint64()}
 	ending, end := context.WithCancel(context.Background())
 	if options.Slept == nil {
 		options.Slept = clock.Slept
--- a/internal/nodeview/targets.go
+++ b/internal/nodeview/targets.go
@@ -26,7 +26,7 @@
 	all := dispatch.TargetChanges{Full: true}
 	v.eachReady(func(replica Replica, machine Machine) {
 		target := v.targetOn(replica.Spec.Machine, machine)
-		target.Replica, target.Version, target.Max = replica.Object.GetName(), replica.Spec.Version, replica.Spec.MaxConcurrent
+		target.Replica, target.Version, target.MaxConcurrent = replica.Object.GetName(), replica.Spec.Version, replica.Spec.MaxConcurrent
 		if v.isDrained(machine) {
 			all.Drained = append(all.Drained, target)
 			return
@@ -49,7 +49,7 @@
 		for _, endpoint := range service.Backend.Endpoints {
 			targets = append(targets, dispatch.Target{
 				Replica: name + "|" + endpoint, Version: name, Machine: name + "|" + endpoint,
-				Endpoint: endpoint, Max: maxPerBackend,
+				Endpoint: endpoint, MaxConcurrent: maxPerBackend,
 			})
 		}
 	})
@@ -174,7 +174,7 @@
 	return &wirepb.ModelDemand{
 		Version: demand.Version, Adapter: demand.Adapter, Waiting: uint32(demand.Waiting), Running: uint32(demand.Running),
 		Arrivals: demand.Arrivals, Work: demand.Work,
-		TargetMs: uint32(demand.Target.Milliseconds()), OldestWaitMs: uint32(demand.OldestWait.Milliseconds()), Priority: demand.Priority,
+		TargetMs: uint32(demand.TTFTTarget.Milliseconds()), OldestWaitMs: uint32(demand.OldestWait.Milliseconds()), Priority: demand.Priority,
 		Regions: demand.Allowed.Regions(),
 	}
 }
