--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -29,10 +29,10 @@
 )
 
 // ResponseCounts counts the responses of a machine.
-type Answers struct {
+type ResponseCounts struct {
 	// Errors counts the responses, out of Total, that were failures of the machine or were
 	// incomplete.
-	Answered, Errors float64
+	Total, Errors float64
 }
 
 // countResponse records how a request ended on a machine. Refusals, failed connections and
@@ -42,9 +42,9 @@
 	counts := s.ownResponses[machine]
 	switch result {
 	case ResultOK:
-		counts.Answered++
+		counts.Total++
 	case ResultError, ResultFailed:
-		counts.Answered++
+		counts.Total++
 		counts.Errors++
 	default:
 		return
@@ -53,7 +53,7 @@
 }
 
 // ResponseCounts returns the responses of each machine to this router since it started.
-func (s *Scheduler) Answers() map[string]Answers {
+func (s *Scheduler) ResponseCounts() map[string]ResponseCounts {
 	return maps.Clone(s.ownResponses)
 }
 
@@ -63,11 +63,11 @@
 	for _, candidate := range s.targets {
 		listed[candidate.Machine] = true
 	}
-	maps.DeleteFunc(s.ownResponses, func(machine string, _ Answers) bool { return !listed[machine] })
+	maps.DeleteFunc(s.ownResponses, func(machine string, _ ResponseCounts) bool { return !listed[machine] })
 }
 
 // SetResponseCounts replaces the recent responses of machines to all routers.
-func (s *Scheduler) SetAnswers(now time.Time, answers map[string]Answers) {
+func (s *Scheduler) SetResponseCounts(now time.Time, answers map[string]ResponseCounts) {
 	s.fleetResponses, s.responsesAt = answers, now
 }
 
@@ -78,7 +78,7 @@
 	if len(s.fleetResponses) == 0 || len(targets) < 2 || now.Sub(s.responsesAt) > responseCountsMaxAge {
 		return targets
 	}
-	total := Answers{}
+	total := ResponseCounts{}
 	for _, candidate := range targets {
 		total = total.plus(s.fleetResponses[candidate.Machine])
 	}
@@ -99,25 +99,25 @@
 	return kept
 }
 
-func (r Answers) plus(other Answers) Answers {
-	return Answers{Answered: r.Answered + other.Answered, Errors: r.Errors + other.Errors}
+func (r ResponseCounts) plus(other ResponseCounts) ResponseCounts {
+	return ResponseCounts{Total: r.Total + other.Total, Errors: r.Errors + other.Errors}
 }
 
-func (r Answers) minus(other Answers) Answers {
-	return Answers{Answered: r.Answered - other.Answered, Errors: r.Errors - other.Errors}
+func (r ResponseCounts) minus(other ResponseCounts) ResponseCounts {
+	return ResponseCounts{Total: r.Total - other.Total, Errors: r.Errors - other.Errors}
 }
 
 // trafficShare is the share of its traffic that a machine keeps, given the responses of its peers.
-func (r Answers) trafficShare(peers Answers) float64 {
+func (r ResponseCounts) trafficShare(peers ResponseCounts) float64 {
 	baseline := minBaselineErrorRate
-	if peers.Answered > 0 {
-		baseline = max(baseline, peers.Errors/peers.Answered)
+	if peers.Total > 0 {
+		baseline = max(baseline, peers.Errors/peers.Total)
 	}
 	ratio := r.logLikelihoodRatio(baseline)
 	if ratio <= avoidanceStart {
 		return 1
 	}
-	errorRate := r.Errors / r.Answered
+	errorRate := r.Errors / r.Total
 	deservedShare := max(minTrafficShare, math.Pow((1-errorRate)/(1-baseline), avoidanceExponent))
 	confidence := min(1, (ratio-avoidanceStart)/(avoidanceFull-avoidanceStart))
 	return 1 - confidence*(1-deservedShare)
@@ -125,17 +125,17 @@
 
 // logLikelihoodRatio compares the likelihood of the errors at the machine's own error rate with
 // that at the baseline rate. It is 0 if the machine's rate is not above the baseline.
-func (r Answers) logLikelihoodRatio(baseline float64) float64 {
-	if r.Answered <= 0 || baseline >= 1 {
+func (r ResponseCounts) logLikelihoodRatio(baseline float64) float64 {
+	if r.Total <= 0 || baseline >= 1 {
 		return 0
 	}
-	errorRate := min(1, r.Errors/r.Answered)
+	errorRate := min(1, r.Errors/r.Total)
 	if errorRate <= baseline {
 		return 0
 	}
 	ratio := r.Errors * math.Log(errorRate/baseline)
 	if errorRate < 1 {
-		ratio += (r.Answered - r.Errors) * math.Log((1-errorRate)/(1-baseline))
+		ratio += (r.Total - r.Errors) * math.Log((1-errorRate)/(1-baseline))
 	}
 	return ratio
 }
--- a/internal/dispatch/answers_test.go
+++ b/internal/dispatch/answers_test.go
@@ -11,20 +11,20 @@
 func TestTrafficShare(t *testing.T) {
 	tests := []struct {
 		name       string
-		own, peers Answers
+		own, peers ResponseCounts
 		min, max   float64
 	}{
-		{"nothing is known", Answers{}, Answers{}, 1, 1},
-		{"no errors", Answers{20, 0}, Answers{100, 5}, 1, 1},
-		{"one error is chance", Answers{20, 1}, Answers{100, 1}, 1, 1},
-		{"all errors", Answers{4, 4}, Answers{100, 1}, 0.04, 0.06},
-		{"the first two are errors", Answers{2, 2}, Answers{20, 0}, 0.04, 0.06},
-		{"20 in 100, few seen", Answers{10, 2}, Answers{100, 2}, 0.5, 0.9},
-		{"40 in 100, many seen", Answers{50, 20}, Answers{200, 4}, 0.1, 0.2},
-		{"5 in 100 beside 2", Answers{40, 2}, Answers{200, 4}, 1, 1},
-		{"as bad as the others", Answers{50, 7}, Answers{200, 28}, 1, 1},
-		{"40 in 100 where 14 are usual", Answers{40, 16}, Answers{200, 28}, 0.2, 0.4},
-		{"all are bad", Answers{20, 20}, Answers{100, 100}, 1, 1},
+		{"nothing is known", ResponseCounts{}, ResponseCounts{}, 1, 1},
+		{"no errors", ResponseCounts{20, 0}, ResponseCounts{100, 5}, 1, 1},
+		{"one error is chance", ResponseCounts{20, 1}, ResponseCounts{100, 1}, 1, 1},
+		{"all errors", ResponseCounts{4, 4}, ResponseCounts{100, 1}, 0.04, 0.06},
+		{"the first two are errors", ResponseCounts{2, 2}, ResponseCounts{20, 0}, 0.04, 0.06},
+		{"20 in 100, few seen", ResponseCounts{10, 2}, ResponseCounts{100, 2}, 0.5, 0.9},
+		{"40 in 100, many seen", ResponseCounts{50, 20}, ResponseCounts{200, 4}, 0.1, 0.2},
+		{"5 in 100 beside 2", ResponseCounts{40, 2}, ResponseCounts{200, 4}, 1, 1},
+		{"as bad as the others", ResponseCounts{50, 7}, ResponseCounts{200, 28}, 1, 1},
+		{"40 in 100 where 14 are usual", ResponseCounts{40, 16}, ResponseCounts{200, 28}, 0.2, 0.4},
+		{"all are bad", ResponseCounts{20, 20}, ResponseCounts{100, 100}, 1, 1},
 	}
 	for _, test := range tests {
 		if share := test.own.trafficShare(test.peers); share < test.min || share > test.max {
@@ -40,14 +40,14 @@
 	random     *rand.Rand
 	routers    []*Scheduler
 	errorRates []float64
-	counts     map[string]Answers
+	counts     map[string]ResponseCounts
 	nextID     uint64
 }
 
 const digestInterval = 500 * time.Millisecond
 
 func newFailingFleet(routers int, errorRates ...float64) *failingFleet {
-	fleet := &failingFleet{now: time.Unix(0, 0), random: rand.New(rand.NewPCG(7, uint64(routers))), errorRates: errorRates, counts: map[string]Answers{}}
+	fleet := &failingFleet{now: time.Unix(0, 0), random: rand.New(rand.NewPCG(7, uint64(routers))), errorRates: errorRates, counts: map[string]ResponseCounts{}}
 	var targets []Target
 	for position := range errorRates {
 		name := strconv.Itoa(position)
@@ -81,7 +81,7 @@
 		shares[position] += 1 / float64(requests)
 		result := ResultOK
 		entry := f.counts[grant.Target.Machine]
-		entry.Answered++
+		entry.Total++
 		if f.random.Float64() < f.errorRates[position] {
 			result = ResultError
 			entry.Errors++
@@ -96,13 +96,13 @@
 }
 
 func (f *failingFleet) sendDigest(decay float64) {
-	digest := map[string]Answers{}
+	digest := map[string]ResponseCounts{}
 	for machine, entry := range f.counts {
-		digest[machine] = Answers{Answered: math.Round(entry.Answered), Errors: math.Round(entry.Errors)}
-		f.counts[machine] = Answers{Answered: entry.Answered * decay, Errors: entry.Errors * decay}
+		digest[machine] = ResponseCounts{Total: math.Round(entry.Total), Errors: math.Round(entry.Errors)}
+		f.counts[machine] = ResponseCounts{Total: entry.Total * decay, Errors: entry.Errors * decay}
 	}
 	for _, router := range f.routers {
-		router.SetAnswers(f.now, digest)
+		router.SetResponseCounts(f.now, digest)
 	}
 }
 
@@ -145,7 +145,7 @@
 func TestStaleResponseCountsAreIgnored(t *testing.T) {
 	fleet := newFailingFleet(1, 0, 0)
 	scheduler := fleet.routers[0]
-	scheduler.SetAnswers(fleet.now, map[string]Answers{"0": {20, 20}, "1": {20, 0}})
+	scheduler.SetResponseCounts(fleet.now, map[string]ResponseCounts{"0": {20, 20}, "1": {20, 0}})
 	targets := scheduler.version("v").targets
 	if kept := scheduler.excludeFailing(fleet.now.Add(responseCountsMaxAge), &Request{ID: 1}, targets); len(kept) == len(targets) {
 		t.Error("current counts are ignored")
@@ -168,7 +168,7 @@
 	if !scheduler.targets["0"].health.ejected(now) {
 		t.Error("a machine that timed out is not ejected")
 	}
-	if counted := scheduler.Answers(); len(counted) != 0 {
+	if counted := scheduler.ResponseCounts(); len(counted) != 0 {
 		t.Errorf("timeouts were counted: %v", counted)
 	}
 }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -47,8 +47,8 @@
 	staleness time.Duration
 	// ownResponses are the responses to this router; fleetResponses those to all routers, from the
 	// digest received at responsesAt.
-	ownResponses   map[string]Answers
-	fleetResponses map[string]Answers
+	ownResponses   map[string]ResponseCounts
+	fleetResponses map[string]ResponseCounts
 	responsesAt    time.Time
 	// warming and limited are the machines that need permits. holds withholds requests from single
 	// machines until a time, permitHoldUntil from all that need permits.
@@ -89,7 +89,7 @@
 		config: config, targets: map[string]*target{}, versions: map[string]*versionState{},
 		waiters: map[uint64]*waiter{}, othersLoad: map[string]int{}, ownLoad: map[string]int{},
 		ownWork: map[string]float64{}, othersWork: map[string]float64{}, routers: 1,
-		staleness: initialStaleness, ownResponses: map[string]Answers{}, drainedTargets: map[string]Target{},
+		staleness: initialStaleness, ownResponses: map[string]ResponseCounts{}, drainedTargets: map[string]Target{},
 		holds: map[string]time.Time{}, backoffs: map[string]*backoff{}, leaving: map[string]time.Time{},
 	}
 }
--- a/internal/dispatch/targets_test.go
+++ b/internal/dispatch/targets_test.go
@@ -104,7 +104,7 @@
 		scheduler.Release(now, scheduler.Submit(now, &request).Grants[0], ResultOK)
 	}
 	scheduler.ChangeTargets(now, TargetChanges{Removed: []string{"removed-1", "shrinks-1"}, Drained: targets[2:3]})
-	kept := slices.Sorted(maps.Keys(scheduler.Answers()))
+	kept := slices.Sorted(maps.Keys(scheduler.ResponseCounts()))
 	if !slices.Equal(kept, []string{"shrinks", "stays"}) {
 		t.Errorf("response counts are kept for %v", kept)
 	}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -250,10 +250,10 @@
 }
 
 // Answers counts how machines have answered this router.
-func (d *Dispatcher) Answers() map[string]dispatch.Answers {
+func (d *Dispatcher) Answers() map[string]dispatch.ResponseCounts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Answers()
+	return d.core.ResponseCounts()
 }
 
 // SetTargets replaces the targets.
@@ -275,7 +275,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.SetWork(now, nodeview.WorkOf(digest))
-	d.core.SetAnswers(now, nodeview.AnswersOf(digest))
+	d.core.SetResponseCounts(now, nodeview.AnswersOf(digest))
 	d.deliver(d.core.SetLoads(now, nodeview.LoadsOf(digest), int(digest.GetRouters())))
 	d.deliver(d.core.SetEstimates(now, nodeview.EstimatesOf(digest, now)))
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -261,7 +261,7 @@
 }
 
 // Answers counts how machines have answered this node, for reports.
-func (i *Ingress) Answers() map[string]dispatch.Answers {
+func (i *Ingress) Answers() map[string]dispatch.ResponseCounts {
 	return i.dispatcher.Answers()
 }
 
--- a/internal/nodeview/targets.go
+++ b/internal/nodeview/targets.go
@@ -98,13 +98,13 @@
 
 // AnswersOf returns how machines answered all routers lately, by a digest; nil if none
 // of them failed.
-func AnswersOf(digest *wirepb.ClusterDigest) map[string]dispatch.Answers {
+func AnswersOf(digest *wirepb.ClusterDigest) map[string]dispatch.ResponseCounts {
 	if len(digest.GetMachineErrors()) == 0 {
 		return nil
 	}
-	answers := make(map[string]dispatch.Answers, len(digest.GetMachineAnswers()))
+	answers := make(map[string]dispatch.ResponseCounts, len(digest.GetMachineAnswers()))
 	eachPacked(digest, digest.GetMachineAnswers(), func(machine string, answered byte) {
-		answers[machine] = dispatch.Answers{Answered: float64(answered)}
+		answers[machine] = dispatch.ResponseCounts{Total: float64(answered)}
 	})
 	eachPacked(digest, digest.GetMachineErrors(), func(machine string, errors byte) {
 		if entry, answered := answers[machine]; answered {
@@ -118,22 +118,22 @@
 // AnswerNews turns a router's counts of answers into report entries and leaves out
 // machines that have not answered it since the last report.
 type AnswerNews struct {
-	reported map[string]dispatch.Answers
+	reported map[string]dispatch.ResponseCounts
 }
 
 // NewAnswerNews returns an AnswerNews that has reported nothing.
 func NewAnswerNews() *AnswerNews {
-	return &AnswerNews{reported: map[string]dispatch.Answers{}}
+	return &AnswerNews{reported: map[string]dispatch.ResponseCounts{}}
 }
 
 // Messages returns the entries of the next report, by name.
-func (n *AnswerNews) Messages(counts map[string]dispatch.Answers) []*wirepb.MachineAnswers {
+func (n *AnswerNews) Messages(counts map[string]dispatch.ResponseCounts) []*wirepb.MachineAnswers {
 	var messages []*wirepb.MachineAnswers
 	for machine, entry := range counts {
 		if n.reported[machine] == entry {
 			continue
 		}
-		messages = append(messages, &wirepb.MachineAnswers{Machine: machine, Answered: uint64(entry.Answered), Errors: uint64(entry.Errors)})
+		messages = append(messages, &wirepb.MachineAnswers{Machine: machine, Answered: uint64(entry.Total), Errors: uint64(entry.Errors)})
 	}
 	n.reported = counts
 	slices.SortFunc(messages, func(left, right *wirepb.MachineAnswers) int {
