--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -136,8 +136,8 @@
 		refusal.Reason, refusal.Detail = reason, throttlingDetails[reason]
 	}
 	version := s.version(request.Version)
-	if retryAfter, allBackedOff := s.RetryAfterRest(now, request); allBackedOff {
-		refusal.Reason, refusal.Detail, refusal.RetryAfter = RefusedResting, throttlingDetails[RefusedResting], retryAfter
+	if retryAfter, allBackedOff := s.RetryAfterBackoff(now, request); allBackedOff {
+		refusal.Reason, refusal.Detail, refusal.RetryAfter = RefusedBackoff, throttlingDetails[RefusedBackoff], retryAfter
 	}
 	if perSecond, isLimited := s.rateLimitOf(version, request); isLimited {
 		refusal.RetryAfter = max(refusal.RetryAfter, retryAfterLimit(version.queue.countAhead(request)+1, perSecond))
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -119,14 +119,14 @@
 	case "hold-warming":
 		s.scheduler.HoldPaced(seconds("until"))
 	case "rest":
-		s.report(out, s.scheduler.Rest(s.now, name, time.Duration(number("s")*float64(time.Second))))
+		s.report(out, s.scheduler.BackOff(s.now, name, time.Duration(number("s")*float64(time.Second))))
 	case "leave":
 		outcome, changed := s.scheduler.Leave(s.now, name)
 		fmt.Fprintf(out, "changed=%t\n", changed)
 		s.report(out, outcome)
 	case "retain":
 		isListed := func(machine string) bool { return machine == name }
-		s.scheduler.RetainRests(s.now, isListed)
+		s.scheduler.RetainBackoffs(s.now, isListed)
 		s.scheduler.RetainLeaving(s.now, isListed)
 		fmt.Fprintf(out, "leaving: %s\n", strings.Join(s.scheduler.Leaving(), " "))
 	case "started":
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -34,7 +34,7 @@
 
 // BackOff withholds requests from a machine for a duration plus jitter. It never shortens a
 // backoff in force. Waiting requests that can't be served in time because of it are refused.
-func (s *Scheduler) Rest(now time.Time, machine string, duration time.Duration) Outcome {
+func (s *Scheduler) BackOff(now time.Time, machine string, duration time.Duration) Outcome {
 	var outcome Outcome
 	until := now.Add(duration + s.jitter(now, machine, duration))
 	if existing := s.backoffs[machine]; existing != nil && until.Before(existing.until) {
@@ -62,7 +62,7 @@
 }
 
 // BackoffCount returns how many machines have a backoff in force.
-func (s *Scheduler) RestingMachines(now time.Time) int {
+func (s *Scheduler) BackoffCount(now time.Time) int {
 	count := 0
 	for _, existing := range s.backoffs {
 		if now.Before(existing.until) {
@@ -109,7 +109,7 @@
 // ends its backoff, up to maxRetryAfter. It includes machines that the request was already sent
 // to, since a retry of the caller is a new request. allBackedOff is false if one of the machines
 // accepts requests, or there are none.
-func (s *Scheduler) RetryAfterRest(now time.Time, request *Request) (retryAfter time.Duration, allBackedOff bool) {
+func (s *Scheduler) RetryAfterBackoff(now time.Time, request *Request) (retryAfter time.Duration, allBackedOff bool) {
 	if len(s.backoffs) == 0 {
 		return 0, false // Fast path: avoids visiting the targets.
 	}
@@ -140,7 +140,7 @@
 // refuseBackedOff refuses a request if all machines that could serve it back off beyond its time
 // in the queue, or have already rejected it.
 func (s *Scheduler) refuseBackedOff(now time.Time, version *versionState, request *Request) (Refusal, bool) {
-	retryAfter, allBackedOff := s.RetryAfterRest(now, request)
+	retryAfter, allBackedOff := s.RetryAfterBackoff(now, request)
 	until := request.queuedUntil()
 	if !allBackedOff || version.mayBeReadyElsewhere(until) {
 		return Refusal{}, false
@@ -148,7 +148,7 @@
 	if wait, isTemporary := s.untilBackoffEnds(now, version, request); isTemporary && !now.Add(wait).After(until) {
 		return Refusal{}, false
 	}
-	return Refusal{Request: request, Reason: RefusedResting, Detail: throttlingDetails[RefusedResting], RetryAfter: retryAfter}, true
+	return Refusal{Request: request, Reason: RefusedBackoff, Detail: throttlingDetails[RefusedBackoff], RetryAfter: retryAfter}, true
 }
 
 // refuseWaitingOn refuses the waiting requests for the versions of a machine that can't be served
@@ -178,7 +178,7 @@
 }
 
 // RetainBackoffs forgets the ended backoffs of unlisted machines.
-func (s *Scheduler) RetainRests(now time.Time, isListed func(machine string) bool) {
+func (s *Scheduler) RetainBackoffs(now time.Time, isListed func(machine string) bool) {
 	maps.DeleteFunc(s.backoffs, func(machine string, existing *backoff) bool {
 		return !now.Before(existing.until) && !isListed(machine)
 	})
--- a/internal/dispatch/rest_sim_test.go
+++ b/internal/dispatch/rest_sim_test.go
@@ -62,7 +62,7 @@
 	if o.running >= overloadSlots {
 		o.rejected++
 		o.after(latency, func() {
-			o.apply(scheduler, scheduler.Rest(o.now, "m", overloadBackoff))
+			o.apply(scheduler, scheduler.BackOff(o.now, "m", overloadBackoff))
 			o.apply(scheduler, scheduler.Release(o.now, grant, ResultNotRun))
 		})
 		return
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -85,7 +85,7 @@
 	// RefusedLimited: the machines have rate limits and get no more requests for now.
 	RefusedLimited RefusalReason = "limited"
 	// RefusedBackoff: the machines asked this router to back off.
-	RefusedResting RefusalReason = "resting"
+	RefusedBackoff RefusalReason = "resting"
 	// RefusedRegion: no machine in the allowed regions may serve the request any more.
 	RefusedRegion RefusalReason = "no-allowed-region"
 )
@@ -95,7 +95,7 @@
 var throttlingDetails = map[RefusalReason]string{
 	RefusedWarming: "the machines that could take it warm up",
 	RefusedLimited: "the machines that could take it limit how many requests they take",
-	RefusedResting: "the machines that could take it are overloaded and asked for a rest",
+	RefusedBackoff: "the machines that could take it are overloaded and asked for a rest",
 }
 
 // Refusal ends a waiting request.
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -165,7 +165,7 @@
 func (d *Dispatcher) Rest(machine string, span time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.Rest(time.Now(), machine, span))
+	d.deliver(d.core.BackOff(time.Now(), machine, span))
 }
 
 // Leave gives a machine nothing more, as it said that it is leaving. It reports whether that was not known.
@@ -188,14 +188,14 @@
 func (d *Dispatcher) RestingMachines() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.RestingMachines(time.Now())
+	return d.core.BackoffCount(time.Now())
 }
 
 // RetryAfterRest returns when a caller may try again, if all machines that could take a request rest.
 func (d *Dispatcher) RetryAfterRest(request *dispatch.Request) (retryAfter time.Duration, allRest bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.RetryAfterRest(time.Now(), request)
+	return d.core.RetryAfterBackoff(time.Now(), request)
 }
 
 // MayWrite reports whether a granted request may still be written to its machine.
@@ -210,7 +210,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.core.RetainRests(now, isListed)
+	d.core.RetainBackoffs(now, isListed)
 	d.core.RetainLeaving(now, isListed)
 }
 
