--- a/internal/dispatch/answers_test.go
+++ b/internal/dispatch/answers_test.go
@@ -163,7 +163,7 @@
 	for id := uint64(1); id <= ejectionThreshold; id++ {
 		target := scheduler.targets["0"]
 		target.inFlight++
-		scheduler.Release(now, Grant{Request: &Request{ID: id, Version: "v"}, Target: target.Target}, ResultSilent)
+		scheduler.Release(now, Grant{Request: &Request{ID: id, Version: "v"}, Target: target.Target}, ResultTimedOut)
 	}
 	if !scheduler.targets["0"].health.ejected(now) {
 		t.Error("a machine that timed out is not ejected")
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -117,20 +117,20 @@
 		}
 		s.scheduler.SetLimited(limited)
 	case "hold-warming":
-		s.scheduler.HoldPaced(seconds("until"))
+		s.scheduler.HoldPermitMachines(seconds("until"))
 	case "rest":
 		s.report(out, s.scheduler.BackOff(s.now, name, time.Duration(number("s")*float64(time.Second))))
 	case "leave":
-		outcome, changed := s.scheduler.Leave(s.now, name)
+		outcome, changed := s.scheduler.MarkLeaving(s.now, name)
 		fmt.Fprintf(out, "changed=%t\n", changed)
 		s.report(out, outcome)
 	case "retain":
 		isListed := func(machine string) bool { return machine == name }
 		s.scheduler.RetainBackoffs(s.now, isListed)
 		s.scheduler.RetainLeaving(s.now, isListed)
-		fmt.Fprintf(out, "leaving: %s\n", strings.Join(s.scheduler.Leaving(), " "))
+		fmt.Fprintf(out, "leaving: %s\n", strings.Join(s.scheduler.LeavingMachines(), " "))
 	case "started":
-		s.scheduler.Started(s.grants[id])
+		s.scheduler.MarkStarted(s.grants[id])
 	case "may-write":
 		fmt.Fprintf(out, "%t\n", s.scheduler.MayWrite(s.now, s.grants[id]))
 	case "hold":
--- a/internal/dispatch/leaving.go
+++ b/internal/dispatch/leaving.go
@@ -13,7 +13,7 @@
 // MarkLeaving excludes a machine that announced its shutdown, regardless of the targets set later.
 // Waiting requests that can't be served in time because of it are refused. changed is false if the
 // machine was excluded already.
-func (s *Scheduler) Leave(now time.Time, machine string) (outcome Outcome, changed bool) {
+func (s *Scheduler) MarkLeaving(now time.Time, machine string) (outcome Outcome, changed bool) {
 	_, alreadyLeaving := s.leaving[machine]
 	s.leaving[machine] = now
 	if alreadyLeaving {
@@ -29,7 +29,7 @@
 }
 
 // LeavingMachines returns the machines that announced their shutdown, sorted by name.
-func (s *Scheduler) Leaving() []string {
+func (s *Scheduler) LeavingMachines() []string {
 	return slices.Sorted(maps.Keys(s.leaving))
 }
 
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -112,7 +112,7 @@
 		return
 	}
 	request := r.waiting[rapid.SampledFrom(ids).Draw(r.t, "constrained request")]
-	r.apply(r.scheduler.Rebind(r.now, request, r.constraint("constraint")))
+	r.apply(r.scheduler.SetConstraint(r.now, request, r.constraint("constraint")))
 }
 
 func (r *regionModel) advance() {
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -20,7 +20,7 @@
 	// ResultFailed: the engine failed or the connection broke.
 	ResultFailed
 	// ResultTimedOut: there was no complete response in time. The engine may be overloaded.
-	ResultSilent
+	ResultTimedOut
 	// ResultUnreachable: connecting failed.
 	ResultUnreachable
 	// ResultNotSent: the router did not send the request. It says nothing about the target.
@@ -61,7 +61,7 @@
 }
 
 // UnreachableMachines returns the machines with a recent failed connection, sorted by name.
-func (s *Scheduler) Unreachable(now time.Time) []string {
+func (s *Scheduler) UnreachableMachines(now time.Time) []string {
 	var names []string
 	for _, candidate := range s.targets {
 		if now.Before(candidate.health.unreachableUntil) && !slices.Contains(names, candidate.Machine) {
--- a/internal/dispatch/rest_sim_test.go
+++ b/internal/dispatch/rest_sim_test.go
@@ -68,7 +68,7 @@
 		return
 	}
 	o.running++
-	o.after(firstByte, func() { scheduler.Started(grant) })
+	o.after(firstByte, func() { scheduler.MarkStarted(grant) })
 	o.after(serviceTime, func() {
 		o.running--
 		o.served++
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -100,7 +100,7 @@
 }
 
 // SetConstraint changes the region constraint of a waiting request.
-func (s *Scheduler) Rebind(now time.Time, request *Request, allowed places.Constraint) Outcome {
+func (s *Scheduler) SetConstraint(now time.Time, request *Request, allowed places.Constraint) Outcome {
 	var outcome Outcome
 	if s.waiters[request.ID] == nil {
 		return outcome
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -79,7 +79,7 @@
 
 // HoldPermitMachines withholds requests from all machines that need permits until a time. A request
 // would otherwise try each of them in turn.
-func (s *Scheduler) HoldPaced(until time.Time) {
+func (s *Scheduler) HoldPermitMachines(until time.Time) {
 	s.permitHoldUntil = until
 }
 
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -42,7 +42,7 @@
 }
 
 // MarkStarted records that the machine accepted a granted request and its response has started.
-func (s *Scheduler) Started(grant Grant) {
+func (s *Scheduler) MarkStarted(grant Grant) {
 	s.finishWork(grant.Target.Machine, grant.Request, grant.Request.Work*startedWorkShare)
 	s.recordProbe(grant, true)
 	if existing := s.targets[grant.Target.Replica]; existing != nil {
--- a/internal/dispatch/work_test.go
+++ b/internal/dispatch/work_test.go
@@ -44,7 +44,7 @@
 			t.Error("a short request is queued behind the long one")
 		}
 	}
-	scheduler.Started(long)
+	scheduler.MarkStarted(long)
 	if next := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); next.Target.Machine != long.Target.Machine {
 		t.Error("a machine is avoided after its prompt was processed")
 	}
@@ -128,7 +128,7 @@
 	scheduler, now := newWorkScheduler(2)
 	unreachable := grantOf(t, scheduler.Submit(now, request(now, 100, 0, 0)))
 	scheduler.Release(now, unreachable, ResultUnreachable)
-	if names := scheduler.Unreachable(now); len(names) != 1 || names[0] != unreachable.Target.Machine {
+	if names := scheduler.UnreachableMachines(now); len(names) != 1 || names[0] != unreachable.Target.Machine {
 		t.Errorf("unreachable machines: %v", names)
 	}
 	for range 5 {
@@ -146,7 +146,7 @@
 	if granted := grantOf(t, scheduler.Submit(now, last)); granted.Target.Machine != unreachable.Target.Machine {
 		t.Error("a request is not sent to the only remaining machine")
 	}
-	if names := scheduler.Unreachable(now.Add(time.Minute)); len(names) != 0 {
+	if names := scheduler.UnreachableMachines(now.Add(time.Minute)); len(names) != 0 {
 		t.Errorf("still reported as unreachable: %v", names)
 	}
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -125,7 +125,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.waiting[request.ID] != nil {
-		d.deliver(d.core.Rebind(time.Now(), request, allowed))
+		d.deliver(d.core.SetConstraint(time.Now(), request, allowed))
 	}
 }
 
@@ -158,7 +158,7 @@
 func (d *Dispatcher) HoldPaced(span time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.HoldPaced(time.Now().Add(span))
+	d.core.HoldPermitMachines(time.Now().Add(span))
 }
 
 // Rest gives a machine nothing for a span that it asked for.
@@ -172,7 +172,7 @@
 func (d *Dispatcher) Leave(machine string) (changed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	outcome, changed := d.core.Leave(time.Now(), machine)
+	outcome, changed := d.core.MarkLeaving(time.Now(), machine)
 	d.deliver(outcome)
 	return changed
 }
@@ -181,7 +181,7 @@
 func (d *Dispatcher) Leaving() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Leaving()
+	return d.core.LeavingMachines()
 }
 
 // RestingMachines returns how many machines rest.
@@ -232,14 +232,14 @@
 func (d *Dispatcher) Started(grant *dispatch.Grant) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.Started(*grant)
+	d.core.MarkStarted(*grant)
 }
 
 // Unreachable returns the machines that no connection came about to lately.
 func (d *Dispatcher) Unreachable(now time.Time) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Unreachable(now)
+	return d.core.UnreachableMachines(now)
 }
 
 // Work returns the outstanding work by machine.
--- a/internal/faultsim/limits.go
+++ b/internal/faultsim/limits.go
@@ -80,7 +80,7 @@
 		switch {
 		case !answered || answer.GetUnavailable():
 			r.silentUntil = r.clock() + permits.Lifetime
-			r.core.HoldPaced(r.wall().Add(permits.Lifetime))
+			r.core.HoldPermitMachines(r.wall().Add(permits.Lifetime))
 			r.withhold(entry, grant, permits.Lifetime)
 		case !answer.GetGranted():
 			r.withhold(entry, grant, max(dispatchTick, time.Duration(answer.GetRetryAfterMs())*time.Millisecond))
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -61,7 +61,7 @@
 	case endError, endErrorAnswered:
 		return dispatch.ResultError
 	case endSilent:
-		return dispatch.ResultSilent
+		return dispatch.ResultTimedOut
 	case endNotRun:
 		return dispatch.ResultRejected
 	case endNotConnected:
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -319,7 +319,7 @@
 	case j.request.Context().Err() != nil:
 		return dispatch.ResultNotRun
 	case end == endBroken && ctx.Err() != nil:
-		return dispatch.ResultSilent
+		return dispatch.ResultTimedOut
 	}
 	return end.health()
 }
