--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -28,7 +28,7 @@
 	Body   []byte
 	// NewConnection disables the use of idle connections, which the machine may close at the same
 	// moment.
-	Fresh bool
+	NewConnection bool
 	// Prepare, if set, is called with a connection at hand, just before anything is written. An
 	// error ends the exchange as not sent.
 	Prepare func(header http.Header) error
@@ -41,14 +41,14 @@
 
 const (
 	// FailureNone: there is a response.
-	FailedNone Failure = iota
+	FailureNone Failure = iota
 	// FailureConnect: nothing was written.
-	FailedConnect
+	FailureConnect
 	// FailureStale: a reused connection broke before any byte of a response. The request may have
 	// run.
-	FailedStale
+	FailureStale
 	// FailureBroken: the request may have run.
-	FailedBroken
+	FailureBroken
 )
 
 func (f Failure) String() string {
@@ -56,12 +56,12 @@
 }
 
 // Response is the head of a response and its unread body. Close must be called.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// ContentLength is -1 if unknown.
-	Length int64
-	Body   io.Reader
+	ContentLength int64
+	Body          io.Reader
 
 	pool         *Pool
 	conn         *conn
@@ -77,15 +77,15 @@
 
 // Do sends a request and reads the head of its response. The end of ctx closes the connection,
 // which tells the machine to stop.
-func (p *Pool) Do(ctx context.Context, request *Request) (*Answer, Failure, error) {
-	connection, err := p.acquire(ctx, request.Machine, request.Address, request.Fresh)
+func (p *Pool) Do(ctx context.Context, request *Request) (*Response, Failure, error) {
+	connection, err := p.acquire(ctx, request.Machine, request.Address, request.NewConnection)
 	if err != nil {
-		return nil, FailedConnect, err
+		return nil, FailureConnect, err
 	}
 	if request.Prepare != nil {
 		if err := request.Prepare(request.Header); err != nil {
 			p.putUnused(connection)
-			return nil, FailedConnect, err
+			return nil, FailureConnect, err
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.network.Close() })
@@ -94,12 +94,12 @@
 		stop()
 		_ = connection.network.Close()
 		if connection.reused {
-			return nil, FailedStale, err
+			return nil, FailureStale, err
 		}
-		return nil, FailedBroken, err
+		return nil, FailureBroken, err
 	}
 	response.pool, response.stopWatching = p, stop
-	return response, FailedNone, nil
+	return response, FailureNone, nil
 }
 
 // putUnused returns a connection on which nothing was written.
@@ -113,7 +113,7 @@
 
 // exchange writes a long request concurrently with reading the response, since a machine may
 // respond before it has read the body.
-func (c *conn) exchange(request *Request) (*Answer, error) {
+func (c *conn) exchange(request *Request) (*Response, error) {
 	sent := &atomic.Bool{}
 	if len(request.Body) <= maxInlineBodyBytes {
 		err := c.write(request)
@@ -130,8 +130,8 @@
 			return nil, fault.Unavailable.Wrap(err, "reading a response from machine %s", c.machine)
 		}
 		if request.Matches == nil || request.Matches(response.Header) {
-			return &Answer{
-				Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
+			return &Response{
+				Status: response.StatusCode, Header: response.Header, ContentLength: response.ContentLength,
 				Body: response.Body, conn: c, httpResponse: response, requestSent: sent,
 			}, nil
 		}
@@ -180,7 +180,7 @@
 }
 
 // Read reads the body.
-func (r *Answer) Read(buffer []byte) (int, error) {
+func (r *Response) Read(buffer []byte) (int, error) {
 	count, err := r.Body.Read(buffer)
 	if err == io.EOF {
 		r.complete = true
@@ -190,10 +190,10 @@
 
 // Close ends the exchange. The connection is kept only if the request and the response are
 // complete and the connection may be reused.
-func (r *Answer) Close() {
+func (r *Response) Close() {
 	intact := r.stopWatching()
 	lifetime, reusable := keepAlive(r.Header)
-	framed := r.Length >= 0 || len(r.httpResponse.TransferEncoding) > 0
+	framed := r.ContentLength >= 0 || len(r.httpResponse.TransferEncoding) > 0
 	if !intact || !r.complete || !r.requestSent.Load() || r.httpResponse.Close || !framed || !reusable || r.conn.reader.Buffered() > 0 {
 		_ = r.conn.network.Close()
 		return
@@ -226,7 +226,7 @@
 }
 
 // EndToEndHeaders copies the headers that are not hop-by-hop.
-func EndToEnd(header http.Header) http.Header {
+func EndToEndHeaders(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -27,7 +27,7 @@
 }
 
 // FixedMaxIdle allows the same number of idle connections to every machine.
-func KeepAtMost(limit int) func(machine string) int {
+func FixedMaxIdle(limit int) func(machine string) int {
 	return func(string) int { return limit }
 }
 
@@ -80,7 +80,7 @@
 }
 
 // Preconnect opens an idle connection to a machine, for a request that is expected.
-func (p *Pool) Open(ctx context.Context, machine, address string) error {
+func (p *Pool) Preconnect(ctx context.Context, machine, address string) error {
 	opened, err := p.acquire(ctx, machine, address, true)
 	if err != nil {
 		return err
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -36,9 +36,9 @@
 // another address to the process at the old one.
 func TestIdleConnectionsMatchTheAddress(t *testing.T) {
 	const machine = "machine-1"
-	pool := NewPool(Config{DialTimeout: 5 * time.Second, MaxIdle: KeepAtMost(1), IdleTimeout: time.Hour})
+	pool := NewPool(Config{DialTimeout: 5 * time.Second, MaxIdle: FixedMaxIdle(1), IdleTimeout: time.Hour})
 	before, after := listen(t), listen(t)
-	if err := pool.Open(t.Context(), machine, before); err != nil {
+	if err := pool.Preconnect(t.Context(), machine, before); err != nil {
 		t.Fatal(err)
 	}
 	moved, err := pool.acquire(t.Context(), machine, after, false)
@@ -63,7 +63,7 @@
 	address := listen(t)
 	for _, machine := range []string{"one", "two"} {
 		for range 3 {
-			if err := pool.Open(t.Context(), machine, address); err != nil {
+			if err := pool.Preconnect(t.Context(), machine, address); err != nil {
 				t.Fatal(err)
 			}
 		}
