--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -46,7 +46,7 @@
 	stalls drains.StallWatch
 	// limits are the stated limits that the node knows; permits are those of its term as leader.
 	limits  *ratelimit.Limits
-	permits *permits.Permits
+	permits *permits.Buckets
 	// muted drops what the node says to other control nodes.
 	muted bool
 }
--- a/internal/faultsim/limits.go
+++ b/internal/faultsim/limits.go
@@ -143,7 +143,7 @@
 	if !limit.IsSet {
 		return &wirepb.PermitReply{Granted: true}
 	}
-	decision := c.permits.Take(c.clock(), request.GetMachine(), limit.Pace())
+	decision := c.permits.Take(c.clock(), request.GetMachine(), limit.BucketConfig())
 	if !c.leads() || !c.member.Raft.Status().LeadsIn(c.decider.Term()) {
 		return &wirepb.PermitReply{Unavailable: true}
 	}
--- a/internal/permits/permits.go
+++ b/internal/permits/permits.go
@@ -11,7 +11,7 @@
 //
 // The buckets are empty at the start of a term. The previous leader's permits were all granted
 // before, while it held its lease, so both terms together never exceed one bucket.
-type Permits struct {
+type Buckets struct {
 	termStart time.Duration
 	sweptAt   time.Duration
 	buckets   map[string]*bucket
@@ -19,7 +19,7 @@
 
 type bucket struct {
 	// config is the one last used.
-	config    Pace
+	config    BucketConfig
 	tokens    float64
 	updatedAt time.Duration
 	// nextRetry is the retry time given to the last refused router.
@@ -34,16 +34,16 @@
 }
 
 // New returns the buckets of a term that starts now.
-func New(now time.Duration) *Permits {
-	return &Permits{termStart: now, sweptAt: now, buckets: map[string]*bucket{}}
+func New(now time.Duration) *Buckets {
+	return &Buckets{termStart: now, sweptAt: now, buckets: map[string]*bucket{}}
 }
 
 // Take requests a token for a machine. Refused routers get increasing retry times, each for a
 // token of its own.
-func (p *Permits) Take(now time.Duration, machine string, config Pace) Decision {
+func (p *Buckets) Take(now time.Duration, machine string, config BucketConfig) Decision {
 	p.sweep(now)
 	if config.Rate <= 0 {
-		return Decision{RetryAfter: LongestRetry}
+		return Decision{RetryAfter: MaxRetryAfter}
 	}
 	entry := p.bucket(machine)
 	entry.config = config
@@ -54,12 +54,12 @@
 	}
 	tokenInterval := time.Duration(float64(time.Second) / config.Rate)
 	nextToken := now + time.Duration((1-entry.tokens)*float64(tokenInterval))
-	entry.nextRetry = min(max(nextToken, entry.nextRetry+tokenInterval), now+LongestRetry)
+	entry.nextRetry = min(max(nextToken, entry.nextRetry+tokenInterval), now+MaxRetryAfter)
 	return Decision{RetryAfter: entry.nextRetry - now}
 }
 
 // Empty removes a machine's tokens, for a machine that got requests without permits until now.
-func (p *Permits) Empty(now time.Duration, machine string) {
+func (p *Buckets) Empty(now time.Duration, machine string) {
 	entry := p.bucket(machine)
 	entry.tokens = min(entry.tokens, 0)
 	entry.updatedAt = max(entry.updatedAt, now)
@@ -67,7 +67,7 @@
 
 // bucket returns a machine's bucket. A new one has filled since the start of the term, so dropping
 // full buckets has no effect on decisions.
-func (p *Permits) bucket(machine string) *bucket {
+func (p *Buckets) bucket(machine string) *bucket {
 	entry := p.buckets[machine]
 	if entry == nil {
 		entry = &bucket{updatedAt: p.termStart}
@@ -86,7 +86,7 @@
 
 // sweep drops full buckets, since most machines need permits only once. An emptied bucket that has
 // not been used since is kept for sweepInterval.
-func (p *Permits) sweep(now time.Duration) {
+func (p *Buckets) sweep(now time.Duration) {
 	if now-p.sweptAt < sweepInterval {
 		return
 	}
--- a/internal/permits/permits_test.go
+++ b/internal/permits/permits_test.go
@@ -7,7 +7,7 @@
 
 // TestSweepDropsOnlyFullBuckets guards against refilling a recently used bucket by dropping it.
 func TestSweepDropsOnlyFullBuckets(t *testing.T) {
-	buckets, config := New(0), Pace{Rate: 5, Burst: 5}
+	buckets, config := New(0), BucketConfig{Rate: 5, Burst: 5}
 	for buckets.Take(sweepInterval-time.Millisecond, "used", config).Granted {
 	}
 	buckets.Take(sweepInterval, "another", config)
--- a/internal/ratelimit/pace_test.go
+++ b/internal/ratelimit/pace_test.go
@@ -46,7 +46,7 @@
 			buckets := permits.New(now)
 			for range rapid.IntRange(0, 300).Draw(t, "requests") {
 				now += time.Duration(rapid.SampledFrom([]int{0, 0, 1, 5, 60, 400, 12000}).Draw(t, "pause")) * time.Millisecond
-				if buckets.Take(now, "m", limit.Pace()).Granted {
+				if buckets.Take(now, "m", limit.BucketConfig()).Granted {
 					sends = append(sends, now+time.Duration(rapid.Int64Range(0, int64(permits.Lifetime)).Draw(t, "used")))
 				}
 			}
@@ -64,8 +64,8 @@
 
 // localBuckets gives every router a token bucket of its own.
 type localBuckets struct {
-	config  permits.Pace
-	buckets *permits.Permits
+	config  permits.BucketConfig
+	buckets *permits.Buckets
 }
 
 func (s *localBuckets) maySend(now time.Duration, router int) bool {
@@ -74,8 +74,8 @@
 
 // leaderPermits makes routers request permits from the leader and wait for its retry time.
 type leaderPermits struct {
-	config  permits.Pace
-	buckets *permits.Permits
+	config  permits.BucketConfig
+	buckets *permits.Buckets
 	retryAt map[int]time.Duration
 }
 
@@ -141,14 +141,14 @@
 			}
 		}
 		limit := Of(perSecond)
-		share := permits.Pace{Rate: perSecond / float64(routers), Burst: max(1, perSecond/float64(routers))}
+		share := permits.BucketConfig{Rate: perSecond / float64(routers), Burst: max(1, perSecond/float64(routers))}
 		strategies := []struct {
 			name     string
 			strategy strategy
 		}{
-			{"each alone", &localBuckets{limit.Pace(), permits.New(0)}},
+			{"each alone", &localBuckets{limit.BucketConfig(), permits.New(0)}},
 			{"equal shares", &localBuckets{share, permits.New(0)}},
-			{"permits", &leaderPermits{config: limit.Pace(), buckets: permits.New(0), retryAt: map[int]time.Duration{}}},
+			{"permits", &leaderPermits{config: limit.BucketConfig(), buckets: permits.New(0), retryAt: map[int]time.Duration{}}},
 		}
 		var lines strings.Builder
 		for _, each := range strategies {
--- a/internal/ratelimit/statement.go
+++ b/internal/ratelimit/statement.go
@@ -27,9 +27,9 @@
 
 // BucketConfig returns the token bucket for permits of a limited machine. The burst is one
 // second's worth, and at least a single request.
-func (l Limit) Pace() permits.Pace {
+func (l Limit) BucketConfig() permits.BucketConfig {
 	rate := max(minPerSecond, l.PerSecond)
-	return permits.Pace{Rate: rate, Burst: max(1, rate)}
+	return permits.BucketConfig{Rate: rate, Burst: max(1, rate)}
 }
 
 // isStricter reports whether a limit allows fewer requests than another.
--- a/internal/warming/bound.go
+++ b/internal/warming/bound.go
@@ -30,12 +30,12 @@
 // window + permits.Lifetime, in which a bucket grants burst + rate * span. This must not exceed
 // MaxRequests. If the bound leaves no room for a single token, the rate is reduced; if it leaves
 // none at all, nothing is permitted.
-func (b Bound) Pace(perSecond float64) permits.Pace {
+func (b Bound) BucketConfig(perSecond float64) permits.BucketConfig {
 	allowed := b.Allows(perSecond) * (1 - margin)
 	span := (window + permits.Lifetime).Seconds()
 	rate := min(perSecond, (allowed-1)/span)
 	if rate <= 0 {
-		return permits.Pace{}
+		return permits.BucketConfig{}
 	}
-	return permits.Pace{Rate: rate, Burst: max(1, min(perSecond, allowed-rate*span))}
+	return permits.BucketConfig{Rate: rate, Burst: max(1, min(perSecond, allowed-rate*span))}
 }
--- a/internal/warming/permits_test.go
+++ b/internal/warming/permits_test.go
@@ -22,7 +22,7 @@
 // run simulates successive leaders without overlapping leases. A permit is used at any moment
 // between its grant and the end of its lifetime.
 func (s *simulation) run(t *rapid.T) {
-	var buckets *permits.Permits
+	var buckets *permits.Buckets
 	now := time.Duration(0)
 	for range rapid.IntRange(1, 4).Draw(t, "leaders") {
 		now += time.Duration(rapid.IntRange(0, 300).Draw(t, "leaderless gap")) * time.Millisecond
@@ -30,7 +30,7 @@
 		for range rapid.IntRange(0, 200).Draw(t, "requests") {
 			now += time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 5, 60, 400, 12000}).Draw(t, "pause")) * time.Millisecond
 			requested := now - time.Duration(rapid.IntRange(0, 200).Draw(t, "delay"))*time.Millisecond
-			if !buckets.Take(now, "m", s.bound.Pace(s.perSecond)).Granted {
+			if !buckets.Take(now, "m", s.bound.BucketConfig(s.perSecond)).Granted {
 				continue
 			}
 			expires := requested + permits.Lifetime
@@ -81,7 +81,7 @@
 		seconds   = 20
 		step      = time.Millisecond
 	)
-	buckets, config := permits.New(0), Bound{Factor: 1.5, Slack: 5}.Pace(perSecond)
+	buckets, config := permits.New(0), Bound{Factor: 1.5, Slack: 5}.BucketConfig(perSecond)
 	next := make([]time.Duration, routers)
 	granted := 0
 	for now := time.Second; now < (seconds+1)*time.Second; now += step {
@@ -117,7 +117,7 @@
 		buckets := permits.New(0)
 		granted := 0
 		for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
-			if buckets.Take(now, "m", test.bound.Pace(test.perSecond)).Granted {
+			if buckets.Take(now, "m", test.bound.BucketConfig(test.perSecond)).Granted {
 				granted++
 			}
 		}
@@ -131,7 +131,7 @@
 // without permits just before.
 func TestMachineThatStartsWarmingAgain(t *testing.T) {
 	const full = time.Minute
-	buckets, config := permits.New(0), Bound{Factor: 1.5, Slack: 5}.Pace(5)
+	buckets, config := permits.New(0), Bound{Factor: 1.5, Slack: 5}.BucketConfig(5)
 	buckets.Empty(full, "m")
 	granted := 0
 	for now := full; now < full+time.Second; now += time.Millisecond {
@@ -147,7 +147,7 @@
 // TestNewTermStartsEmpty guards against adding a full bucket to the unused permits of the previous
 // term.
 func TestNewTermStartsEmpty(t *testing.T) {
-	buckets, config := permits.New(time.Minute), Bound{Factor: 1.5, Slack: 5}.Pace(5)
+	buckets, config := permits.New(time.Minute), Bound{Factor: 1.5, Slack: 5}.BucketConfig(5)
 	decision := buckets.Take(time.Minute, "m", config)
 	if decision.Granted || decision.RetryAfter <= 0 {
 		t.Errorf("the first decision of a new term is %+v", decision)
@@ -164,7 +164,7 @@
 	for _, bound := range []Bound{{Factor: 2}, {Factor: 1.5, Slack: 5}, {Factor: 1, Slack: 4}} {
 		for _, perSecond := range []float64{1, 5.5, 10, 40} {
 			sim := &simulation{bound: bound, perSecond: perSecond}
-			buckets, config := permits.New(0), bound.Pace(perSecond)
+			buckets, config := permits.New(0), bound.BucketConfig(perSecond)
 			for now := full; now < full+3*time.Second; now += time.Millisecond {
 				if buckets.Take(now, "m", config).Granted {
 					sim.sends = append(sim.sends, max(now, full+permits.Lifetime))
