--- a/internal/control/limits_test.go
+++ b/internal/control/limits_test.go
@@ -80,7 +80,7 @@
 			return isAnswered && isGranted
 		})
 	}
-	if told := node.limitSnapshot(); len(told) != 1 || told[0].Limit.IsSet || told[0].HeardAge < 2*time.Second {
+	if told := node.limitSnapshot(); len(told) != 1 || told[0].Limit.IsSet || told[0].ReceivedAge < 2*time.Second {
 		t.Errorf("the others are told %v", told)
 	}
 }
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -113,7 +113,7 @@
 	case "limited":
 		limited := map[string]ratelimit.Limit{}
 		if values["limit"] != "" {
-			limited[name] = ratelimit.Of(number("limit"))
+			limited[name] = ratelimit.NewLimit(number("limit"))
 		}
 		s.scheduler.SetLimited(limited)
 	case "hold-warming":
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -49,7 +49,7 @@
 	Limit   Limit
 	// SentAge and ReceivedAge are the ages of the request and of the response that stated the
 	// limit.
-	SentAge, HeardAge time.Duration
+	SentAge, ReceivedAge time.Duration
 }
 
 func New() *Limits {
@@ -73,20 +73,20 @@
 // replaces the current one only if it is certainly newer. Otherwise nodes would renew for each
 // other a limit that the machine no longer states.
 func (l *Limits) Merge(now time.Duration, observed Observation) Change {
-	stated := Statement{Limit: observed.Limit, Sent: now - observed.SentAge - maxExchangeDelay, Heard: now - observed.HeardAge}
-	if current, known := l.statements[observed.Machine]; known && current.Limit == stated.Limit && stated.Sent < current.Heard {
+	stated := Statement{Limit: observed.Limit, Sent: now - observed.SentAge - maxExchangeDelay, Received: now - observed.ReceivedAge}
+	if current, known := l.statements[observed.Machine]; known && current.Limit == stated.Limit && stated.Sent < current.Received {
 		return Change{Machine: observed.Machine, Before: current.Limit, After: current.Limit}
 	}
 	return l.Observe(observed.Machine, stated)
 }
 
 // Get returns the limit of a machine, or Unlimited.
-func (l *Limits) Of(machine string) Limit {
+func (l *Limits) Get(machine string) Limit {
 	return l.statements[machine].Limit
 }
 
 // Active returns the limits in force, by machine.
-func (l *Limits) Set() map[string]Limit {
+func (l *Limits) Active() map[string]Limit {
 	set := map[string]Limit{}
 	for machine, stated := range l.statements {
 		if stated.Limit.IsSet {
@@ -102,14 +102,14 @@
 	if !known {
 		return Observation{}, false
 	}
-	return Observation{Machine: machine, Limit: stated.Limit, SentAge: now - stated.Sent, HeardAge: now - stated.Heard}, true
+	return Observation{Machine: machine, Limit: stated.Limit, SentAge: now - stated.Sent, ReceivedAge: now - stated.Received}, true
 }
 
 // Snapshot returns the observations to send to other nodes, sorted by machine. It forgets ended
 // limits after endRetention.
 func (l *Limits) Snapshot(now time.Duration) []Observation {
 	maps.DeleteFunc(l.statements, func(_ string, stated Statement) bool {
-		return !stated.Limit.IsSet && now-stated.Heard > endRetention
+		return !stated.Limit.IsSet && now-stated.Received > endRetention
 	})
 	all := make([]Observation, 0, len(l.statements))
 	for machine := range l.statements {
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -54,13 +54,13 @@
 }
 
 func (n *nodes) recordResponse(t *testing.T, d *datadriven.TestData) string {
-	stated := Statement{Sent: timeOf(t, d, "sent"), Heard: timeOf(t, d, "heard")}
+	stated := Statement{Sent: timeOf(t, d, "sent"), Received: timeOf(t, d, "heard")}
 	if d.HasArg("limit") {
 		var perSecond float64
 		if _, err := fmt.Sscan(nameOf(t, d, "limit"), &perSecond); err != nil {
 			t.Fatal(err)
 		}
-		stated.Limit = Of(perSecond)
+		stated.Limit = NewLimit(perSecond)
 	}
 	return describe(n.of(nameOf(t, d, "node")).Observe(machineUnderTest, stated))
 }
@@ -85,7 +85,7 @@
 func (n *nodes) String() string {
 	var lines strings.Builder
 	for _, name := range n.names {
-		lines.WriteString(name + ": " + formatLimit(n.limits[name].Of(machineUnderTest)) + "\n")
+		lines.WriteString(name + ": " + formatLimit(n.limits[name].Get(machineUnderTest)) + "\n")
 	}
 	return lines.String()
 }
--- a/internal/ratelimit/pace_test.go
+++ b/internal/ratelimit/pace_test.go
@@ -38,7 +38,7 @@
 // leader and delays in the use of permits.
 func TestPermitsKeepTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Of(rapid.SampledFrom([]float64{0, 0.05, 0.2, 0.5, 1, 1.7, 2, 10, 100}).Draw(t, "per second"))
+		limit := NewLimit(rapid.SampledFrom([]float64{0, 0.05, 0.2, 0.5, 1, 1.7, 2, 10, 100}).Draw(t, "per second"))
 		var sends []time.Duration
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 4).Draw(t, "leaders") {
@@ -140,7 +140,7 @@
 				t.Fatal(err)
 			}
 		}
-		limit := Of(perSecond)
+		limit := NewLimit(perSecond)
 		share := permits.BucketConfig{Rate: perSecond / float64(routers), Burst: max(1, perSecond/float64(routers))}
 		strategies := []struct {
 			name     string
--- a/internal/ratelimit/statement.go
+++ b/internal/ratelimit/statement.go
@@ -19,9 +19,9 @@
 }
 
 // Unlimited is the absence of a limit.
-var None = Limit{}
+var Unlimited = Limit{}
 
-func Of(perSecond float64) Limit {
+func NewLimit(perSecond float64) Limit {
 	return Limit{IsSet: true, PerSecond: perSecond}
 }
 
@@ -45,18 +45,18 @@
 	Limit Limit
 	// Sent and Received are when the request was sent and when the head of its response was
 	// received: the limit was stated in between.
-	Sent, Heard time.Duration
+	Sent, Received time.Duration
 }
 
 // supersedes reports whether a statement replaces the current one.
 func (s Statement) supersedes(current Statement) bool {
 	switch {
-	case s.Sent >= current.Heard:
+	case s.Sent >= current.Received:
 		return true
-	case current.Sent >= s.Heard:
+	case current.Sent >= s.Received:
 		return false
 	case s.Limit != current.Limit:
 		return s.Limit.isStricter(current.Limit)
 	}
-	return s.Heard > current.Heard
+	return s.Received > current.Received
 }
