--- a/internal/warming/bound.go
+++ b/internal/warming/bound.go
@@ -21,7 +21,7 @@
 }
 
 // MaxRequests returns the number of requests allowed in one second at a declared rate.
-func (b Bound) Allows(perSecond float64) float64 {
+func (b Bound) MaxRequests(perSecond float64) float64 {
 	return perSecond*b.Factor + b.Slack
 }
 
@@ -31,7 +31,7 @@
 // MaxRequests. If the bound leaves no room for a single token, the rate is reduced; if it leaves
 // none at all, nothing is permitted.
 func (b Bound) BucketConfig(perSecond float64) permits.BucketConfig {
-	allowed := b.Allows(perSecond) * (1 - margin)
+	allowed := b.MaxRequests(perSecond) * (1 - margin)
 	span := (window + permits.Lifetime).Seconds()
 	rate := min(perSecond, (allowed-1)/span)
 	if rate <= 0 {
--- a/internal/warming/permits_test.go
+++ b/internal/warming/permits_test.go
@@ -66,7 +66,7 @@
 			perSecond: rapid.Float64Range(0.1, 40).Draw(t, "per second"),
 		}
 		sim.run(t)
-		if most, allowed := sim.maxPerSecond(), sim.bound.Allows(sim.perSecond); float64(most) > allowed {
+		if most, allowed := sim.maxPerSecond(), sim.bound.MaxRequests(sim.perSecond); float64(most) > allowed {
 			t.Fatalf("got %d requests in one second, want at most %.2f", most, allowed)
 		}
 	})
@@ -170,7 +170,7 @@
 					sim.sends = append(sim.sends, max(now, full+permits.Lifetime))
 				}
 			}
-			if most, allowed := sim.maxPerSecond(), bound.Allows(perSecond); float64(most) > allowed {
+			if most, allowed := sim.maxPerSecond(), bound.MaxRequests(perSecond); float64(most) > allowed {
 				t.Errorf("%+v at %.1f per second: got %d requests in one second, want at most %.2f", bound, perSecond, most, allowed)
 			}
 		}
--- a/internal/warming/state.go
+++ b/internal/warming/state.go
@@ -8,9 +8,9 @@
 
 const (
 	// DigestUnit is the unit of the remaining times in digests.
-	Unit = 100 * time.Millisecond
+	DigestUnit = 100 * time.Millisecond
 	// UnitsUnknown is the digest value of a machine with unknown status.
-	Unsaid = math.MaxUint8
+	UnitsUnknown = math.MaxUint8
 	// failureHoldTime is how long after a failed connection digests are ignored for a machine,
 	// which may have restarted before the leader noticed. It exceeds the machines' report
 	// interval.
@@ -18,12 +18,12 @@
 )
 
 // UncoveredRevision is the revision of a change that no digest covers.
-const InDoubt = math.MaxUint64
+const UncoveredRevision = math.MaxUint64
 
 // ToUnits converts a time to digest units, rounded up.
-func Units(remaining time.Duration) uint8 {
-	units := (max(0, remaining) + Unit - 1) / Unit
-	return uint8(min(units, Unsaid-1))
+func ToUnits(remaining time.Duration) uint8 {
+	units := (max(0, remaining) + DigestUnit - 1) / DigestUnit
+	return uint8(min(units, UnitsUnknown-1))
 }
 
 // Digest is the part of a leader's digest about machines that are warming up.
@@ -66,14 +66,14 @@
 // A new leader has received no reports yet. Where its digest states an unknown status, the
 // statement of an earlier term stays in force; otherwise each change of the leader would restrict
 // the whole fleet until machines report.
-func (s *State) TakeDigest(now time.Duration, digest Digest) {
+func (s *State) ApplyDigest(now time.Duration, digest Digest) {
 	s.pruneFailures(now)
 	next := make(map[string]statement, len(digest.Machines))
 	for position, machine := range digest.Machines {
 		stated := statement{term: digest.Term, revision: digest.Revision, warmAt: now}
 		if position < len(digest.Units) {
-			stated.unknown = digest.Units[position] == Unsaid
-			stated.warmAt = now + time.Duration(digest.Units[position])*Unit
+			stated.unknown = digest.Units[position] == UnitsUnknown
+			stated.warmAt = now + time.Duration(digest.Units[position])*DigestUnit
 		}
 		if previous, known := s.statements[machine]; stated.unknown && known && previous.term < digest.Term {
 			stated = previous
@@ -91,7 +91,7 @@
 }
 
 // RecordFailure records a failed connection to a machine.
-func (s *State) NoteFailure(now time.Duration, machine string) {
+func (s *State) RecordFailure(now time.Duration, machine string) {
 	s.failed[machine] = now
 	stated := s.statements[machine]
 	stated.unknown = true
@@ -100,7 +100,7 @@
 
 // IsWarming reports whether a machine must be taken to be warming up. changed is the revision of
 // the newest change in the log that may require it to warm up again.
-func (s *State) Warms(now time.Duration, machine string, changed uint64) bool {
+func (s *State) IsWarming(now time.Duration, machine string, changed uint64) bool {
 	stated, known := s.statements[machine]
 	return !known || stated.unknown || stated.revision < changed || now < stated.warmAt
 }
--- a/internal/warming/state_test.go
+++ b/internal/warming/state_test.go
@@ -27,13 +27,13 @@
 				d.ScanArgs(t, "ms", &milliseconds)
 				now = time.Duration(milliseconds) * time.Millisecond
 			case "digest":
-				state.TakeDigest(now, readDigest(t, d))
+				state.ApplyDigest(now, readDigest(t, d))
 			case "failure":
-				state.NoteFailure(now, machineOf(t, d))
+				state.RecordFailure(now, machineOf(t, d))
 			case "warms":
 				var changed uint64
 				d.ScanArgs(t, "changed", &changed)
-				return fmt.Sprintln(state.Warms(now, machineOf(t, d), changed))
+				return fmt.Sprintln(state.IsWarming(now, machineOf(t, d), changed))
 			default:
 				t.Fatalf("unknown command %s", d.Cmd)
 			}
@@ -70,13 +70,13 @@
 // go.
 func TestFailuresOfRemovedMachinesAreForgotten(t *testing.T) {
 	state := NewState()
-	state.NoteFailure(0, "gone")
-	state.NoteFailure(failureHoldTime, "new")
-	state.TakeDigest(failureHoldTime, Digest{Machines: []string{"new"}, Units: []byte{0}})
+	state.RecordFailure(0, "gone")
+	state.RecordFailure(failureHoldTime, "new")
+	state.ApplyDigest(failureHoldTime, Digest{Machines: []string{"new"}, Units: []byte{0}})
 	if _, found := state.failed["new"]; !found || len(state.failed) != 1 {
 		t.Errorf("got failures %v, want one of new", state.failed)
 	}
-	if len(state.statements) != 1 || !state.Warms(failureHoldTime, "new", 0) {
+	if len(state.statements) != 1 || !state.IsWarming(failureHoldTime, "new", 0) {
 		t.Errorf("got statements %v, want one of new, which is warming", state.statements)
 	}
 }
--- a/internal/warming/watch.go
+++ b/internal/warming/watch.go
@@ -18,7 +18,7 @@
 type Machine struct {
 	Zone string
 	// DeclaredWarming is set if the machine's pool declares that its machines warm up.
-	Declared bool
+	DeclaredWarming bool
 	// Lost is set while the machine is silent.
 	Lost bool
 	// Report is nil if there is none.
@@ -39,11 +39,11 @@
 }
 
 // Transitions are the results of an update.
-type News struct {
+type Transitions struct {
 	// Changes are the machines that reported to be warming up, or became warm, sorted by name.
 	Changes []Change
 	// LeftWarm are the machines that were warm, and got requests without permits, sorted by name.
-	Doubted []string
+	LeftWarm []string
 	// Urgent is set if routers should get a digest at once.
 	Urgent bool
 }
@@ -53,7 +53,7 @@
 //
 // The status of a machine is known by a report received in this term and after the latest drain
 // setting of its zone was seen: a machine whose drain has ended may have restarted.
-type Watch struct {
+type Tracker struct {
 	termStart time.Duration
 	drains    map[string]seenDrain
 	machines  map[string]Machine
@@ -75,19 +75,19 @@
 )
 
 // NewTracker returns the tracker of a term that starts now.
-func NewWatch(now time.Duration) *Watch {
-	return &Watch{termStart: now, drains: map[string]seenDrain{}, statuses: map[string]status{}}
+func NewTracker(now time.Duration) *Tracker {
+	return &Tracker{termStart: now, drains: map[string]seenDrain{}, statuses: map[string]status{}}
 }
 
 // Update applies the leader's current knowledge. The maps must not be modified afterwards.
-func (t *Watch) Update(now time.Duration, drains map[string]Drain, machines map[string]Machine) News {
+func (t *Tracker) Update(now time.Duration, drains map[string]Drain, machines map[string]Machine) Transitions {
 	t.machines = machines
 	for zone, drain := range drains {
 		if seen, known := t.drains[zone]; !known || seen.Revision != drain.Revision {
 			t.drains[zone] = seenDrain{Drain: drain, seenAt: now}
 		}
 	}
-	var transitions News
+	var transitions Transitions
 	statuses := make(map[string]status, len(machines))
 	for name, machine := range machines {
 		remaining, known := t.remaining(now, machine)
@@ -96,12 +96,12 @@
 	}
 	t.statuses = statuses
 	slices.SortFunc(transitions.Changes, func(left, right Change) int { return cmp.Compare(left.Machine, right.Machine) })
-	slices.Sort(transitions.Doubted)
+	slices.Sort(transitions.LeftWarm)
 	return transitions
 }
 
 // add records the transition of a machine.
-func (t *News) add(change Change, before, after status) {
+func (t *Transitions) add(change Change, before, after status) {
 	if before == after {
 		return
 	}
@@ -110,7 +110,7 @@
 		t.Changes = append(t.Changes, change)
 	}
 	if before == statusWarm {
-		t.Doubted = append(t.Doubted, change.Machine)
+		t.LeftWarm = append(t.LeftWarm, change.Machine)
 	}
 }
 
@@ -125,22 +125,22 @@
 }
 
 // DigestUnits returns the digest values of the machines that are not warm.
-func (t *Watch) Units(now time.Duration) map[string]uint32 {
+func (t *Tracker) DigestUnits(now time.Duration) map[string]uint32 {
 	units := map[string]uint32{}
 	for name, machine := range t.machines {
 		remaining, known := t.remaining(now, machine)
 		switch statusOf(remaining, known) {
 		case statusUnknown:
-			units[name] = Unsaid
+			units[name] = UnitsUnknown
 		case statusWarming:
-			units[name] = uint32(Units(remaining))
+			units[name] = uint32(ToUnits(remaining))
 		}
 	}
 	return units
 }
 
 // Remaining returns the warm-up time left of the machines that reported to be warming up.
-func (t *Watch) Remaining(now time.Duration) map[string]time.Duration {
+func (t *Tracker) Remaining(now time.Duration) map[string]time.Duration {
 	found := map[string]time.Duration{}
 	for name, machine := range t.machines {
 		if remaining, known := t.remaining(now, machine); known && remaining > 0 {
@@ -152,12 +152,12 @@
 
 // remaining returns the warm-up time left of a machine. known is false if its status is unknown. A
 // machine without DeclaredWarming is warm unless it reports otherwise.
-func (t *Watch) remaining(now time.Duration, machine Machine) (remaining time.Duration, known bool) {
+func (t *Tracker) remaining(now time.Duration, machine Machine) (remaining time.Duration, known bool) {
 	drain := t.drains[machine.Zone]
 	since := max(t.termStart, drain.seenAt)
 	isHeard := machine.Report != nil && machine.Report.Received >= since
 	if !isHeard || machine.Lost || drain.Drained {
-		return 0, !machine.Declared
+		return 0, !machine.DeclaredWarming
 	}
 	return max(0, machine.Report.Remaining-(now-machine.Report.Received)), true
 }
--- a/internal/warming/watch_test.go
+++ b/internal/warming/watch_test.go
@@ -9,7 +9,7 @@
 const termStart = 10 * time.Second
 
 func reported(received, remaining time.Duration) Machine {
-	return Machine{Zone: "z", Declared: true, Report: &Report{Received: received, Remaining: remaining}}
+	return Machine{Zone: "z", DeclaredWarming: true, Report: &Report{Received: received, Remaining: remaining}}
 }
 
 // TestTrackerTrustsOnlyCurrentReports: the status of a machine is known only from a report of this
@@ -21,24 +21,24 @@
 		drains  map[string]Drain
 		units   uint32
 	}{
-		{"said nothing", Machine{Declared: true}, nil, Unsaid},
+		{"said nothing", Machine{DeclaredWarming: true}, nil, UnitsUnknown},
 		{"said nothing, and can't warm up", Machine{}, nil, 0},
 		{"warm", reported(termStart, 0), nil, 0},
 		{"warms up", reported(termStart, 3*time.Second), nil, 20},
 		{"warms up for a part of a unit", reported(termStart, 1001*time.Millisecond), nil, 1},
-		{"warms up for very long", reported(termStart, time.Hour), nil, Unsaid - 1},
+		{"warms up for very long", reported(termStart, time.Hour), nil, UnitsUnknown - 1},
 		{"was warm by now", reported(termStart, time.Second), nil, 0},
-		{"told the leader before", reported(termStart-1, 0), nil, Unsaid},
-		{"lost", Machine{Declared: true, Lost: true, Report: &Report{Received: termStart}}, nil, Unsaid},
-		{"drained", reported(termStart+time.Second, 0), map[string]Drain{"z": {Revision: 4, Drained: true}}, Unsaid},
-		{"heard before the drain's end was seen", reported(termStart+999*time.Millisecond, 0), map[string]Drain{"z": {Revision: 5}}, Unsaid},
+		{"told the leader before", reported(termStart-1, 0), nil, UnitsUnknown},
+		{"lost", Machine{DeclaredWarming: true, Lost: true, Report: &Report{Received: termStart}}, nil, UnitsUnknown},
+		{"drained", reported(termStart+time.Second, 0), map[string]Drain{"z": {Revision: 4, Drained: true}}, UnitsUnknown},
+		{"heard before the drain's end was seen", reported(termStart+999*time.Millisecond, 0), map[string]Drain{"z": {Revision: 5}}, UnitsUnknown},
 		{"heard since", reported(termStart+time.Second, 0), map[string]Drain{"z": {Revision: 5}}, 0},
 		{"another zone's drain", reported(termStart, 0), map[string]Drain{"y": {Revision: 5}}, 0},
 	} {
-		tracker := NewWatch(termStart)
+		tracker := NewTracker(termStart)
 		now := termStart + time.Second
 		tracker.Update(now, test.drains, map[string]Machine{"m": test.machine})
-		if units := tracker.Units(now)["m"]; units != test.units {
+		if units := tracker.DigestUnits(now)["m"]; units != test.units {
 			t.Errorf("%s: got %d units, want %d", test.name, units, test.units)
 		}
 	}
@@ -47,25 +47,25 @@
 // TestTrackerReportsTransitions: transitions are urgent, and only reported ones are listed; the
 // first reports to a new leader are not.
 func TestTrackerReportsTransitions(t *testing.T) {
-	tracker := NewWatch(termStart)
+	tracker := NewTracker(termStart)
 	for _, step := range []struct {
 		name    string
 		after   time.Duration
 		machine Machine
-		want    News
+		want    Transitions
 	}{
-		{"not heard yet", 0, Machine{Declared: true}, News{}},
-		{"warm", 0, reported(termStart, 0), News{Urgent: true}},
-		{"still warm", time.Second, reported(termStart+time.Second, 0), News{}},
+		{"not heard yet", 0, Machine{DeclaredWarming: true}, Transitions{}},
+		{"warm", 0, reported(termStart, 0), Transitions{Urgent: true}},
+		{"still warm", time.Second, reported(termStart+time.Second, 0), Transitions{}},
 		{
 			"begins to warm up", 2 * time.Second, reported(termStart+2*time.Second, time.Second),
-			News{Changes: []Change{{Machine: "m", Remaining: time.Second}}, Doubted: []string{"m"}, Urgent: true},
+			Transitions{Changes: []Change{{Machine: "m", Remaining: time.Second}}, LeftWarm: []string{"m"}, Urgent: true},
 		},
-		{"is warm", 3 * time.Second, reported(termStart+2*time.Second, time.Second), News{Changes: []Change{{Machine: "m"}}, Urgent: true}},
+		{"is warm", 3 * time.Second, reported(termStart+2*time.Second, time.Second), Transitions{Changes: []Change{{Machine: "m"}}, Urgent: true}},
 		{
 			"lost", 4 * time.Second,
-			Machine{Declared: true, Lost: true},
-			News{Doubted: []string{"m"}, Urgent: true},
+			Machine{DeclaredWarming: true, Lost: true},
+			Transitions{LeftWarm: []string{"m"}, Urgent: true},
 		},
 	} {
 		got := tracker.Update(termStart+step.after, nil, map[string]Machine{"m": step.machine})
