--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -69,13 +69,13 @@
 	options Options
 
 	mutex   sync.Mutex
-	tracker *quarantine.Watch
+	tracker *quarantine.Tracker
 	tasks   chan func(ctx context.Context)
 }
 
 // New returns a watcher. It works only while Run is running.
 func New(options Options) *Watcher {
-	return &Watcher{options: options, tracker: quarantine.NewWatch(), tasks: make(chan func(ctx context.Context), maxTasks)}
+	return &Watcher{options: options, tracker: quarantine.NewTracker(), tasks: make(chan func(ctx context.Context), maxTasks)}
 }
 
 // Run carries out tasks until ctx ends.
@@ -104,43 +104,43 @@
 }
 
 // ReportBroken reports a request whose response was interrupted or missing.
-func (w *Watcher) Broken(request quarantine.Run) {
+func (w *Watcher) Broken(request quarantine.BrokenRequest) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	switch w.tracker.Broken(time.Now(), request) {
-	case quarantine.NextExamine:
+	switch w.tracker.AddBroken(time.Now(), request) {
+	case quarantine.ActionProbe:
 		if !w.startTask(func(ctx context.Context) { w.probeMachine(ctx, request) }) {
-			w.tracker.Forget(request.Life)
+			w.tracker.Forget(request.Instance)
 		}
-	case quarantine.NextRecord:
-		w.startRecording([]quarantine.Run{request})
-	case quarantine.NextDropped:
+	case quarantine.ActionRecord:
+		w.startRecording([]quarantine.BrokenRequest{request})
+	case quarantine.ActionDropped:
 		w.options.Logger.Warn("crash_not_examined", "machine", request.Machine)
-	case quarantine.NextNothing:
+	case quarantine.ActionNone:
 	}
 }
 
 // probeMachine determines whether a machine crashed, and has the crash recorded.
-func (w *Watcher) probeMachine(ctx context.Context, request quarantine.Run) {
+func (w *Watcher) probeMachine(ctx context.Context, request quarantine.BrokenRequest) {
 	verdict := w.awaitVerdict(ctx, request)
 	if w.options.Examined != nil {
 		w.options.Examined(verdict)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	requests := w.tracker.Judged(time.Now(), request.Life, verdict)
-	w.options.Logger.Info("machine_examined", "machine", request.Life, "verdict", verdict.String(), "requests", len(requests))
+	requests := w.tracker.ApplyVerdict(time.Now(), request.Instance, verdict)
+	w.options.Logger.Info("machine_examined", "machine", request.Instance, "verdict", verdict.String(), "requests", len(requests))
 	if len(requests) > 0 {
 		w.startRecording(requests)
 	}
 }
 
 // awaitVerdict gathers evidence until there is a verdict, or probeTimeout is over.
-func (w *Watcher) awaitVerdict(ctx context.Context, request quarantine.Run) quarantine.Verdict {
+func (w *Watcher) awaitVerdict(ctx context.Context, request quarantine.BrokenRequest) quarantine.Verdict {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	for {
-		if verdict := w.gatherEvidence(ctx, request).Judge(); verdict != quarantine.VerdictNone {
+		if verdict := w.gatherEvidence(ctx, request).Verdict(); verdict != quarantine.VerdictPending {
 			return verdict
 		}
 		select {
@@ -152,14 +152,14 @@
 }
 
 // gatherEvidence uses the view, and connects to the machine if that is not conclusive.
-func (w *Watcher) gatherEvidence(ctx context.Context, request quarantine.Run) quarantine.Sign {
-	evidence := quarantine.Sign{}
+func (w *Watcher) gatherEvidence(ctx context.Context, request quarantine.BrokenRequest) quarantine.Evidence {
+	evidence := quarantine.Evidence{}
 	if machine, isKnown := w.options.View.Machine(request.Machine); isKnown {
 		evidence.Replaced = w.options.View.Replaced(request.Machine, machine.Spec.Endpoint) ||
-			quarantine.LifeOf(request.Machine, machine.Status.Incarnation) != request.Life
+			quarantine.InstanceName(request.Machine, machine.Status.Incarnation) != request.Instance
 		evidence.Leaving = machine.Status.Phase == v1.MachineLeaving || machine.Status.Phase == v1.MachineGone
 	}
-	if evidence.Judge() != quarantine.VerdictNone {
+	if evidence.Verdict() != quarantine.VerdictPending {
 		return evidence
 	}
 	refused, err := w.options.Probe(ctx, request.Machine, request.Address)
@@ -168,18 +168,18 @@
 }
 
 // startRecording starts to record requests on a crashed instance. The mutex must be held.
-func (w *Watcher) startRecording(requests []quarantine.Run) {
+func (w *Watcher) startRecording(requests []quarantine.BrokenRequest) {
 	w.startTask(func(ctx context.Context) {
-		w.record(ctx, requests[0].Life, requests)
+		w.record(ctx, requests[0].Instance, requests)
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.tracker.Recorded(requests)
+		w.tracker.MarkRecorded(requests)
 	})
 }
 
 // record proposes a crash until it is in the log, however long there is no leader. Lost records
 // would cost further machines.
-func (w *Watcher) record(ctx context.Context, instance string, requests []quarantine.Run) {
+func (w *Watcher) record(ctx context.Context, instance string, requests []quarantine.BrokenRequest) {
 	onFailure := func(reason string) {
 		w.options.Logger.Warn("crash_not_recorded", "machine", instance, "requests", len(requests), "error", reason)
 	}
@@ -191,7 +191,7 @@
 }
 
 // logQuarantined logs which of the recorded requests are now quarantined.
-func (w *Watcher) logQuarantined(requests []quarantine.Run) {
+func (w *Watcher) logQuarantined(requests []quarantine.BrokenRequest) {
 	for _, request := range requests {
 		if suspect := w.options.View.Suspect(request.Identity); suspect != nil && suspect.Quarantined {
 			w.options.Logger.Warn("request_quarantined", "identity", request.Identity.String(), "route", request.Route, "tenant", request.Tenant, "machines", suspect.Machines)
@@ -243,7 +243,7 @@
 // there are none.
 func (w *Watcher) hasSuspects() bool {
 	w.mutex.Lock()
-	local := w.tracker.Suspects()
+	local := w.tracker.HasSuspects()
 	w.mutex.Unlock()
 	return local || w.options.View.HasSuspects()
 }
@@ -257,8 +257,8 @@
 	identity := identityOf()
 	suspect := w.options.View.Suspect(identity)
 	w.mutex.Lock()
-	machines, quarantined := w.tracker.Crashed(identity, suspect)
-	pending := !quarantined && w.tracker.Doubted(identity, suspect)
+	machines, quarantined := w.tracker.Crashes(identity, suspect)
+	pending := !quarantined && w.tracker.IsPending(identity, suspect)
 	w.mutex.Unlock()
 	switch {
 	case !quarantined && !pending:
@@ -284,11 +284,11 @@
 	recorded := w.options.View.Suspect(identity) != nil
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if !w.tracker.Completed(identity, recorded) {
+	if !w.tracker.Complete(identity, recorded) {
 		return
 	}
 	if !w.startTask(func(ctx context.Context) { w.clear(ctx, identity) }) {
-		w.tracker.Cleared(identity)
+		w.tracker.MarkCleared(identity)
 	}
 }
 
@@ -302,12 +302,12 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.tracker.Cleared(identity)
+	w.tracker.MarkCleared(identity)
 }
 
 // IsIdle reports whether all detected crashes have been recorded.
 func (w *Watcher) Settled() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.tracker.Settled() && len(w.tasks) == 0
+	return w.tracker.IsIdle() && len(w.tasks) == 0
 }
--- a/internal/gateway/suspect.go
+++ b/internal/gateway/suspect.go
@@ -28,8 +28,8 @@
 
 // noteBroken takes a request whose connection broke once the engine had it.
 func (g *Gateway) noteBroken(created *job, grant *dispatch.Grant) {
-	g.crashes.Broken(quarantine.Run{
-		Machine: grant.Target.Machine, Life: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
+	g.crashes.Broken(quarantine.BrokenRequest{
+		Machine: grant.Target.Machine, Instance: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
 		Identity: created.identity(), Route: created.service, Tenant: created.caller,
 	})
 }
--- a/internal/ingress/suspect.go
+++ b/internal/ingress/suspect.go
@@ -36,8 +36,8 @@
 		watch.Completed(j.identity)
 	case endBroken, endFailed:
 		if ctx.Err() == nil {
-			watch.Broken(quarantine.Run{
-				Machine: grant.Target.Machine, Life: grant.Target.Machine, Address: addressOf(grant), Identity: j.identity(), Route: j.route.Name, Tenant: j.tenant.name,
+			watch.Broken(quarantine.BrokenRequest{
+				Machine: grant.Target.Machine, Instance: grant.Target.Machine, Address: addressOf(grant), Identity: j.identity(), Route: j.route.Name, Tenant: j.tenant.name,
 			})
 		}
 	}
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -9,7 +9,7 @@
 
 // QuarantineThreshold is the number of crashes after which a request is refused. One crash is not
 // enough, since it implicates everything that ran on the machine.
-const CrashesToQuarantine = 2
+const QuarantineThreshold = 2
 
 // RetryAfter is the Retry-After of quarantined requests, which only an operator releases.
 const RetryAfter = 10 * time.Minute
@@ -25,7 +25,7 @@
 		return current, false
 	}
 	updated.Machines = append(slices.Clone(updated.Machines), machine)
-	updated.Quarantined = updated.Quarantined || len(updated.Machines) >= CrashesToQuarantine
+	updated.Quarantined = updated.Quarantined || len(updated.Machines) >= QuarantineThreshold
 	updated.LastCrash = at
 	return updated, true
 }
@@ -33,7 +33,7 @@
 // Evictions returns the indexes of the records to evict so that at most limit remain: those with
 // the fewest crashes first, then the oldest. records must be sorted by age, oldest first. A caller
 // that varies its requests creates records with one crash, and evicts only such records.
-func Excess(records []*v1.SuspectSpec, limit int) []int {
+func Evictions(records []*v1.SuspectSpec, limit int) []int {
 	if len(records) <= limit {
 		return nil
 	}
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -22,17 +22,17 @@
 )
 
 // BrokenRequest is a request whose response was interrupted or missing.
-type Run struct {
+type BrokenRequest struct {
 	Machine, Address string
 	// Instance identifies the machine's process; see InstanceName.
-	Life          string
+	Instance      string
 	Identity      Identity
 	Route, Tenant string
 }
 
 // InstanceName identifies one process instance of a machine. Machines that register have a new
 // name after each restart; others have the same name and a new incarnation.
-func LifeOf(machine string, incarnation uint64) string {
+func InstanceName(machine string, incarnation uint64) string {
 	if incarnation <= firstIncarnation {
 		return machine
 	}
@@ -44,7 +44,7 @@
 
 const (
 	// VerdictPending: not known yet.
-	VerdictNone Verdict = iota
+	VerdictPending Verdict = iota
 	// VerdictEnded: the process ended unexpectedly.
 	VerdictEnded
 	// VerdictAlive: the machine accepts connections, so only individual connections broke.
@@ -61,7 +61,7 @@
 }
 
 // Evidence is what is observed of a machine with broken requests.
-type Sign struct {
+type Evidence struct {
 	// Replaced is set if another live machine has its address, Leaving if it announced its
 	// shutdown.
 	Replaced, Leaving bool
@@ -73,7 +73,7 @@
 //
 // A process that ended refuses connections, or another one registers at its address. A process
 // that reset connections accepts new ones. A partitioned machine does neither.
-func (e Sign) Judge() Verdict {
+func (e Evidence) Verdict() Verdict {
 	switch {
 	case e.Replaced:
 		return VerdictEnded
@@ -84,7 +84,7 @@
 	case e.Refuses:
 		return VerdictEnded
 	}
-	return VerdictNone
+	return VerdictPending
 }
 
 // probe is the investigation of one machine.
@@ -92,12 +92,12 @@
 	verdict Verdict
 	// expiresAt is when the verdict is forgotten.
 	expiresAt time.Time
-	requests  []Run
+	requests  []BrokenRequest
 }
 
 // Tracker tracks crashes seen by one router, including those not yet in its view of the log. It is
 // not safe for concurrent use.
-type Watch struct {
+type Tracker struct {
 	probes map[string]*probe
 	// unconfirmed are the crashed instances that the router's view may not contain yet, by
 	// request.
@@ -106,54 +106,54 @@
 	clearing map[Identity]bool
 }
 
-func NewWatch() *Watch {
-	return &Watch{probes: map[string]*probe{}, unconfirmed: map[Identity][]string{}, clearing: map[Identity]bool{}}
+func NewTracker() *Tracker {
+	return &Tracker{probes: map[string]*probe{}, unconfirmed: map[Identity][]string{}, clearing: map[Identity]bool{}}
 }
 
 // Action is what a router has to do about a broken request.
-type Next int
+type Action int
 
 const (
 	// ActionNone: nothing, or the pending probe covers the request.
-	NextNothing Next = iota
+	ActionNone Action = iota
 	// ActionProbe: probe the machine.
-	NextExamine
+	ActionProbe
 	// ActionRecord: record the request, since the machine is known to have crashed.
-	NextRecord
+	ActionRecord
 	// ActionDropped: too many machines are tracked.
-	NextDropped
+	ActionDropped
 )
 
 // AddBroken tracks a broken request.
-func (t *Watch) Broken(now time.Time, request Run) Next {
+func (t *Tracker) AddBroken(now time.Time, request BrokenRequest) Action {
 	for instance, probed := range t.probes {
-		if probed.verdict != VerdictNone && now.After(probed.expiresAt) {
+		if probed.verdict != VerdictPending && now.After(probed.expiresAt) {
 			delete(t.probes, instance)
 		}
 	}
-	probed := t.probes[request.Life]
+	probed := t.probes[request.Instance]
 	switch {
 	case probed == nil && len(t.probes) >= maxProbes:
-		return NextDropped
+		return ActionDropped
 	case probed == nil:
-		t.probes[request.Life] = &probe{requests: []Run{request}}
-		return NextExamine
-	case probed.verdict == VerdictNone && len(probed.requests) < maxRequestsPerProbe:
+		t.probes[request.Instance] = &probe{requests: []BrokenRequest{request}}
+		return ActionProbe
+	case probed.verdict == VerdictPending && len(probed.requests) < maxRequestsPerProbe:
 		probed.requests = append(probed.requests, request)
 	case probed.verdict == VerdictEnded:
 		t.addUnconfirmed(request)
-		return NextRecord
+		return ActionRecord
 	}
-	return NextNothing
+	return ActionNone
 }
 
 // Forget drops an instance that can't be probed.
-func (t *Watch) Forget(instance string) {
+func (t *Tracker) Forget(instance string) {
 	delete(t.probes, instance)
 }
 
 // ApplyVerdict applies the verdict on an instance and returns the requests to record.
-func (t *Watch) Judged(now time.Time, instance string, verdict Verdict) []Run {
+func (t *Tracker) ApplyVerdict(now time.Time, instance string, verdict Verdict) []BrokenRequest {
 	probed := t.probes[instance]
 	if probed == nil {
 		return nil
@@ -171,16 +171,16 @@
 }
 
 // addUnconfirmed makes the router count a crash at once.
-func (t *Watch) addUnconfirmed(request Run) {
-	if !slices.Contains(t.unconfirmed[request.Identity], request.Life) {
-		t.unconfirmed[request.Identity] = append(t.unconfirmed[request.Identity], request.Life)
+func (t *Tracker) addUnconfirmed(request BrokenRequest) {
+	if !slices.Contains(t.unconfirmed[request.Identity], request.Instance) {
+		t.unconfirmed[request.Identity] = append(t.unconfirmed[request.Identity], request.Instance)
 	}
 }
 
 // MarkRecorded drops crashes that the router's view contains.
-func (t *Watch) Recorded(requests []Run) {
+func (t *Tracker) MarkRecorded(requests []BrokenRequest) {
 	for _, request := range requests {
-		remaining := slices.DeleteFunc(t.unconfirmed[request.Identity], func(instance string) bool { return instance == request.Life })
+		remaining := slices.DeleteFunc(t.unconfirmed[request.Identity], func(instance string) bool { return instance == request.Instance })
 		if len(remaining) == 0 {
 			delete(t.unconfirmed, request.Identity)
 			continue
@@ -191,13 +191,13 @@
 
 // HasSuspects reports whether there are crashes that the router's view may not contain, or pending
 // probes.
-func (t *Watch) Suspects() bool {
+func (t *Tracker) HasSuspects() bool {
 	return len(t.unconfirmed) > 0 || t.hasPendingProbe()
 }
 
-func (t *Watch) hasPendingProbe() bool {
+func (t *Tracker) hasPendingProbe() bool {
 	for _, probed := range t.probes {
-		if probed.verdict == VerdictNone {
+		if probed.verdict == VerdictPending {
 			return true
 		}
 	}
@@ -206,7 +206,7 @@
 
 // Crashes returns the machines that crashed while running a request, as far as this router knows,
 // and whether the request is quarantined. recorded is the record in the view, or nil.
-func (t *Watch) Crashed(identity Identity, recorded *v1.SuspectSpec) (machines []string, quarantined bool) {
+func (t *Tracker) Crashes(identity Identity, recorded *v1.SuspectSpec) (machines []string, quarantined bool) {
 	if recorded != nil {
 		machines, quarantined = slices.Clone(recorded.Machines), recorded.Quarantined
 	}
@@ -215,30 +215,30 @@
 			machines = append(machines, machine)
 		}
 	}
-	return machines, quarantined || len(machines) >= CrashesToQuarantine
+	return machines, quarantined || len(machines) >= QuarantineThreshold
 }
 
 // IsPending reports whether pending probes may quarantine a request. It must not run meanwhile,
 // since it could crash another machine.
-func (t *Watch) Doubted(identity Identity, recorded *v1.SuspectSpec) bool {
-	machines, _ := t.Crashed(identity, recorded)
+func (t *Tracker) IsPending(identity Identity, recorded *v1.SuspectSpec) bool {
+	machines, _ := t.Crashes(identity, recorded)
 	count := len(machines)
 	for instance, probed := range t.probes {
-		if probed.verdict == VerdictNone && !slices.Contains(machines, instance) && probed.includes(identity) {
+		if probed.verdict == VerdictPending && !slices.Contains(machines, instance) && probed.includes(identity) {
 			count++
 		}
 	}
-	return count >= CrashesToQuarantine
+	return count >= QuarantineThreshold
 }
 
 // includes reports whether a request broke on the probed machine.
 func (p *probe) includes(identity Identity) bool {
-	return slices.ContainsFunc(p.requests, func(request Run) bool { return request.Identity == identity })
+	return slices.ContainsFunc(p.requests, func(request BrokenRequest) bool { return request.Identity == identity })
 }
 
 // Complete drops the unconfirmed crashes of a request that ran to completion, and returns whether
 // its record must be cleared.
-func (t *Watch) Completed(identity Identity, recorded bool) bool {
+func (t *Tracker) Complete(identity Identity, recorded bool) bool {
 	delete(t.unconfirmed, identity)
 	if !recorded || t.clearing[identity] {
 		return false
@@ -248,17 +248,17 @@
 }
 
 // MarkCleared ends the clearing of a record, whether or not it succeeded.
-func (t *Watch) Cleared(identity Identity) {
+func (t *Tracker) MarkCleared(identity Identity) {
 	delete(t.clearing, identity)
 }
 
 // IsIdle reports whether nothing is being probed, recorded or cleared.
-func (t *Watch) Settled() bool {
+func (t *Tracker) IsIdle() bool {
 	return !t.hasPendingProbe() && len(t.unconfirmed) == 0 && len(t.clearing) == 0
 }
 
 // RecordCommand returns the command that records requests on a crashed instance.
-func RecordCommand(instance string, requests []Run) *wirepb.Command {
+func RecordCommand(instance string, requests []BrokenRequest) *wirepb.Command {
 	command := &wirepb.RecordCrashCommand{Machine: instance}
 	for _, request := range requests {
 		command.Requests = append(command.Requests, &wirepb.SuspectRequest{Identity: request.Identity[:], Route: request.Route, Tenant: request.Tenant})
--- a/internal/quarantine/watch_test.go
+++ b/internal/quarantine/watch_test.go
@@ -11,17 +11,17 @@
 func TestVerdict(t *testing.T) {
 	tests := []struct {
 		name     string
-		evidence Sign
+		evidence Evidence
 		verdict  Verdict
 	}{
-		{"says nothing", Sign{}, VerdictNone},
-		{"refuses connections", Sign{Refuses: true}, VerdictEnded},
-		{"takes connections: a reset, a grey machine", Sign{Accepts: true}, VerdictAlive},
-		{"leaves", Sign{Leaving: true, Refuses: true}, VerdictPlanned},
-		{"another life at its address", Sign{Replaced: true, Accepts: true}, VerdictEnded},
+		{"says nothing", Evidence{}, VerdictPending},
+		{"refuses connections", Evidence{Refuses: true}, VerdictEnded},
+		{"takes connections: a reset, a grey machine", Evidence{Accepts: true}, VerdictAlive},
+		{"leaves", Evidence{Leaving: true, Refuses: true}, VerdictPlanned},
+		{"another life at its address", Evidence{Replaced: true, Accepts: true}, VerdictEnded},
 	}
 	for _, test := range tests {
-		if verdict := test.evidence.Judge(); verdict != test.verdict {
+		if verdict := test.evidence.Verdict(); verdict != test.verdict {
 			t.Errorf("%s: got %s, want %s", test.name, verdict, test.verdict)
 		}
 	}
@@ -29,104 +29,104 @@
 
 var epoch = time.Unix(1_000, 0)
 
-func requestOn(machine string, number int) Run {
-	return Run{Machine: machine, Life: machine, Identity: Identify(Content{Target: fmt.Sprintf("/x/%d", number)})}
+func requestOn(machine string, number int) BrokenRequest {
+	return BrokenRequest{Machine: machine, Instance: machine, Identity: Identify(Content{Target: fmt.Sprintf("/x/%d", number)})}
 }
 
 func TestTrackerCountsUnrecordedCrashes(t *testing.T) {
-	tracker := NewWatch()
+	tracker := NewTracker()
 	culprit := requestOn("i-1", 1)
-	if action := tracker.Broken(epoch, culprit); action != NextExamine {
+	if action := tracker.AddBroken(epoch, culprit); action != ActionProbe {
 		t.Fatalf("the first broken request: got action %d", action)
 	}
-	if action := tracker.Broken(epoch, requestOn("i-1", 2)); action != NextNothing {
+	if action := tracker.AddBroken(epoch, requestOn("i-1", 2)); action != ActionNone {
 		t.Errorf("the second on the same machine: got action %d", action)
 	}
-	if requests := tracker.Judged(epoch, "i-1", VerdictEnded); len(requests) != 2 {
+	if requests := tracker.ApplyVerdict(epoch, "i-1", VerdictEnded); len(requests) != 2 {
 		t.Errorf("got %d requests to record, want 2", len(requests))
 	}
-	if action := tracker.Broken(epoch, requestOn("i-1", 3)); action != NextRecord {
+	if action := tracker.AddBroken(epoch, requestOn("i-1", 3)); action != ActionRecord {
 		t.Errorf("one reported after the verdict: got action %d", action)
 	}
-	if machines, quarantined := tracker.Crashed(culprit.Identity, nil); quarantined || fmt.Sprint(machines) != "[i-1]" {
+	if machines, quarantined := tracker.Crashes(culprit.Identity, nil); quarantined || fmt.Sprint(machines) != "[i-1]" {
 		t.Errorf("after one crash: got %v, quarantined %t", machines, quarantined)
 	}
 	// The view contains a crash recorded by another router.
 	recorded := &v1.SuspectSpec{Machines: []string{"i-2"}}
-	if machines, quarantined := tracker.Crashed(culprit.Identity, recorded); !quarantined || len(machines) != 2 {
+	if machines, quarantined := tracker.Crashes(culprit.Identity, recorded); !quarantined || len(machines) != 2 {
 		t.Errorf("with the record: got %v, quarantined %t", machines, quarantined)
 	}
 	recorded.Machines = []string{"i-1"}
-	if machines, quarantined := tracker.Crashed(culprit.Identity, recorded); quarantined || len(machines) != 1 {
+	if machines, quarantined := tracker.Crashes(culprit.Identity, recorded); quarantined || len(machines) != 1 {
 		t.Errorf("one crash counted twice: got %v, quarantined %t", machines, quarantined)
 	}
-	tracker.Recorded([]Run{culprit, requestOn("i-1", 2), requestOn("i-1", 3)})
-	if !tracker.Settled() {
+	tracker.MarkRecorded([]BrokenRequest{culprit, requestOn("i-1", 2), requestOn("i-1", 3)})
+	if !tracker.IsIdle() {
 		t.Error("not idle although everything is recorded")
 	}
 }
 
 func TestMachineIsProbedAgainAfterOtherVerdicts(t *testing.T) {
 	for _, verdict := range []Verdict{VerdictAlive, VerdictPlanned, VerdictUnknown} {
-		tracker := NewWatch()
-		tracker.Broken(epoch, requestOn("i-1", 1))
-		if requests := tracker.Judged(epoch, "i-1", verdict); len(requests) != 0 {
+		tracker := NewTracker()
+		tracker.AddBroken(epoch, requestOn("i-1", 1))
+		if requests := tracker.ApplyVerdict(epoch, "i-1", verdict); len(requests) != 0 {
 			t.Errorf("%s: got %d requests to record, want none", verdict, len(requests))
 		}
-		if action := tracker.Broken(epoch, requestOn("i-1", 2)); action != NextExamine {
+		if action := tracker.AddBroken(epoch, requestOn("i-1", 2)); action != ActionProbe {
 			t.Errorf("%s: the next broken request: got action %d, want a probe", verdict, action)
 		}
 	}
 }
 
 func TestEndedVerdictExpires(t *testing.T) {
-	tracker := NewWatch()
-	tracker.Broken(epoch, requestOn("i-1", 1))
-	tracker.Judged(epoch, "i-1", VerdictEnded)
-	if action := tracker.Broken(epoch.Add(endedRetention), requestOn("i-1", 2)); action != NextRecord {
+	tracker := NewTracker()
+	tracker.AddBroken(epoch, requestOn("i-1", 1))
+	tracker.ApplyVerdict(epoch, "i-1", VerdictEnded)
+	if action := tracker.AddBroken(epoch.Add(endedRetention), requestOn("i-1", 2)); action != ActionRecord {
 		t.Errorf("before the verdict expires: got action %d", action)
 	}
-	if action := tracker.Broken(epoch.Add(endedRetention+1), requestOn("i-1", 3)); action != NextExamine {
+	if action := tracker.AddBroken(epoch.Add(endedRetention+1), requestOn("i-1", 3)); action != ActionProbe {
 		t.Errorf("after the verdict expired: got action %d", action)
 	}
 }
 
 func TestTrackerIsBounded(t *testing.T) {
-	tracker := NewWatch()
+	tracker := NewTracker()
 	for number := range maxProbes {
-		tracker.Broken(epoch, requestOn(fmt.Sprintf("i-%d", number), number))
+		tracker.AddBroken(epoch, requestOn(fmt.Sprintf("i-%d", number), number))
 	}
-	if action := tracker.Broken(epoch, requestOn("one-more", 1)); action != NextDropped {
+	if action := tracker.AddBroken(epoch, requestOn("one-more", 1)); action != ActionDropped {
 		t.Errorf("beyond the bound: got action %d", action)
 	}
 	for number := range 2 * maxRequestsPerProbe {
-		tracker.Broken(epoch, requestOn("i-0", number))
+		tracker.AddBroken(epoch, requestOn("i-0", number))
 	}
-	if requests := tracker.Judged(epoch, "i-0", VerdictEnded); len(requests) != maxRequestsPerProbe {
+	if requests := tracker.ApplyVerdict(epoch, "i-0", VerdictEnded); len(requests) != maxRequestsPerProbe {
 		t.Errorf("got %d requests of one machine, want %d", len(requests), maxRequestsPerProbe)
 	}
 }
 
 func TestCompletedRequestIsClearedOnce(t *testing.T) {
-	tracker := NewWatch()
+	tracker := NewTracker()
 	identity := requestOn("i-1", 1).Identity
-	if tracker.Completed(identity, false) {
+	if tracker.Complete(identity, false) {
 		t.Error("a request without a record needs clearing")
 	}
-	if !tracker.Completed(identity, true) || tracker.Completed(identity, true) {
+	if !tracker.Complete(identity, true) || tracker.Complete(identity, true) {
 		t.Error("a request with a record is not cleared exactly once")
 	}
-	tracker.Cleared(identity)
-	if !tracker.Completed(identity, true) {
+	tracker.MarkCleared(identity)
+	if !tracker.Complete(identity, true) {
 		t.Error("a request is not cleared again after MarkCleared")
 	}
 }
 
 func TestInstanceName(t *testing.T) {
-	if registered := LifeOf("i-1", 1); registered != "i-1" {
+	if registered := InstanceName("i-1", 1); registered != "i-1" {
 		t.Errorf("a registered machine: got %s", registered)
 	}
-	if first, second := LifeOf("m", 7), LifeOf("m", 8); first == second || first != "m/7" {
+	if first, second := InstanceName("m", 7), InstanceName("m", 8); first == second || first != "m/7" {
 		t.Errorf("two incarnations of one machine: got %s and %s", first, second)
 	}
 }
