--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -40,10 +40,10 @@
 )
 
 // ProbeFunc connects to a machine. refused is set if the machine actively refused the connection.
-type Prober func(ctx context.Context, machine, address string) (refused bool, err error)
+type ProbeFunc func(ctx context.Context, machine, address string) (refused bool, err error)
 
 // ProbeWithDial returns a probe that uses a dial function.
-func ProbeBy(dial func(ctx context.Context, machine, address string) (net.Conn, error)) Prober {
+func ProbeWithDial(dial func(ctx context.Context, machine, address string) (net.Conn, error)) ProbeFunc {
 	return func(ctx context.Context, machine, address string) (bool, error) {
 		connection, err := dial(ctx, machine, address)
 		if err != nil {
@@ -59,9 +59,9 @@
 	View    *nodeview.View
 	Logger  *slog.Logger
 	Propose feed.ProposeFunc
-	Probe   Prober
+	Probe   ProbeFunc
 	// OnVerdict, if set, is called with each verdict.
-	Examined func(verdict quarantine.Verdict)
+	OnVerdict func(verdict quarantine.Verdict)
 }
 
 // Watcher tracks the machines of one router. It is safe for concurrent use.
@@ -104,7 +104,7 @@
 }
 
 // ReportBroken reports a request whose response was interrupted or missing.
-func (w *Watcher) Broken(request quarantine.BrokenRequest) {
+func (w *Watcher) ReportBroken(request quarantine.BrokenRequest) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	switch w.tracker.AddBroken(time.Now(), request) {
@@ -123,8 +123,8 @@
 // probeMachine determines whether a machine crashed, and has the crash recorded.
 func (w *Watcher) probeMachine(ctx context.Context, request quarantine.BrokenRequest) {
 	verdict := w.awaitVerdict(ctx, request)
-	if w.options.Examined != nil {
-		w.options.Examined(verdict)
+	if w.options.OnVerdict != nil {
+		w.options.OnVerdict(verdict)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -276,7 +276,7 @@
 }
 
 // ReportCompleted reports a request that ran to completion on a machine.
-func (w *Watcher) Completed(identityOf func() quarantine.Identity) {
+func (w *Watcher) ReportCompleted(identityOf func() quarantine.Identity) {
 	if !w.hasSuspects() {
 		return
 	}
@@ -306,7 +306,7 @@
 }
 
 // IsIdle reports whether all detected crashes have been recorded.
-func (w *Watcher) Settled() bool {
+func (w *Watcher) IsIdle() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.tracker.IsIdle() && len(w.tasks) == 0
--- a/internal/crashwatch/watcher_test.go
+++ b/internal/crashwatch/watcher_test.go
@@ -69,7 +69,7 @@
 	for _, ended := range []bool{true, false} {
 		watcher, probe := startWatcher(t)
 		report := func(machine string, identity quarantine.Identity) {
-			watcher.Broken(quarantine.BrokenRequest{Machine: machine, Instance: machine, Identity: identity})
+			watcher.ReportBroken(quarantine.BrokenRequest{Machine: machine, Instance: machine, Identity: identity})
 		}
 		report("m1", suspect)
 		if kind := refusalOf(watcher, suspect); kind != "" {
@@ -101,7 +101,7 @@
 func TestRequestRunsAfterInconclusiveProbes(t *testing.T) {
 	watcher, _ := startWatcher(t)
 	for _, machine := range []string{"m1", "m2"} {
-		watcher.Broken(quarantine.BrokenRequest{Machine: machine, Instance: machine, Identity: quarantine.Identity{1}})
+		watcher.ReportBroken(quarantine.BrokenRequest{Machine: machine, Instance: machine, Identity: quarantine.Identity{1}})
 	}
 	for strings.Contains(refusalOf(watcher, quarantine.Identity{1}), "unavailable") {
 		time.Sleep(time.Millisecond)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -118,8 +118,8 @@
 
 func newCrashWatcher(options Options, pool *upstream.Pool) *crashwatch.Watcher {
 	return crashwatch.New(crashwatch.Options{
-		View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeBy(pool.Dial),
-		Examined: options.Metrics.observeExamined,
+		View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeWithDial(pool.Dial),
+		OnVerdict: options.Metrics.observeExamined,
 	})
 }
 
