--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -24,7 +24,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, drainTime)
 	defer cancel()
-	pause(ctx, drains.SettleTime)
+	pause(ctx, drains.SettleDelay)
 	for {
 		written, err := order.tryOnce(ctx)
 		if err != nil {
@@ -59,10 +59,10 @@
 // write proposes the order by what was read.
 func (o *drainOrder) write(ctx context.Context, held *wirepb.Object) (written bool, err error) {
 	// Looked at after the reading: a process may be stopped at any point before it.
-	if ctx.Err() != nil || o.node.now()-o.begun > drains.LookTime {
+	if ctx.Err() != nil || o.node.now()-o.begun > drains.ReadWindow {
 		return false, fault.Unavailable.New("the order could not be looked at in time")
 	}
-	write, err := drains.Write(o.zone, o.drained, held.GetRevision(), time.Now())
+	write, err := drains.NewWrite(o.zone, o.drained, held.GetRevision(), time.Now())
 	if err != nil {
 		return false, err
 	}
@@ -84,7 +84,7 @@
 // catchUp waits until this node holds what was committed when the order came, for as long as
 // there is time to look: where there is no leader, the operator turns to another node sooner.
 func (o *drainOrder) catchUp(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, drains.LookTime-(o.node.now()-o.begun))
+	ctx, cancel := context.WithTimeout(ctx, drains.ReadWindow-(o.node.now()-o.begun))
 	defer cancel()
 	return o.node.Barrier(ctx)
 }
@@ -92,15 +92,15 @@
 // look returns the zone's object, nil if there is none.
 func (o *drainOrder) look() (*wirepb.Object, error) {
 	var held *wirepb.Object
-	knowledge := drains.Unknown
+	knowledge := drains.ZoneUnknown
 	o.node.Read(func(machine *state.Machine) {
 		held = machine.Get(v1.KindZoneDrain, o.zone)
-		knowledge = drains.KnowledgeOf(machine, o.node.settings.Position().Map.Zones(), o.zone)
+		knowledge = drains.ZoneStatusOf(machine, o.node.settings.Position().Map.Zones(), o.zone)
 	})
 	switch {
-	case held != nil || knowledge == drains.Known:
+	case held != nil || knowledge == drains.ZoneKnown:
 		return held, nil
-	case knowledge == drains.NotToldYet:
+	case knowledge == drains.ZonesNotReported:
 		return nil, fault.Unavailable.New("no zone is known yet")
 	}
 	return nil, fault.InvalidField("zone", "%q is not a zone of this cluster", o.zone)
@@ -124,13 +124,13 @@
 // stallGuard is a StallWatch for concurrent use.
 type stallGuard struct {
 	mutex sync.Mutex
-	watch drains.StallWatch
+	watch drains.StallDetector
 }
 
 func (g *stallGuard) run(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch.Run(now)
+	g.watch.Tick(now)
 }
 
 func (g *stallGuard) stalled(now time.Duration) bool {
@@ -141,7 +141,7 @@
 
 // watchStalls runs on a goroutine of its own: the loop of the log waits for its disk.
 func (n *Node) watchStalls(ctx context.Context) {
-	ticker := time.NewTicker(drains.StallLook)
+	ticker := time.NewTicker(drains.StallCheckInterval)
 	defer ticker.Stop()
 	for {
 		n.stalls.run(n.now())
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -105,16 +105,16 @@
 func (g *stallGuard) doubt(node *Node) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch.Run(node.now() + time.Hour)
+	g.watch.Tick(node.now() + time.Hour)
 }
 
 // trust makes it believe in none.
 func (g *stallGuard) trust(node *Node) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch = drains.StallWatch{}
-	for now := node.now() - time.Minute; now <= node.now(); now += drains.StallLook {
-		g.watch.Run(now)
+	g.watch = drains.StallDetector{}
+	for now := node.now() - time.Minute; now <= node.now(); now += drains.StallCheckInterval {
+		g.watch.Tick(now)
 	}
 }
 
@@ -147,7 +147,7 @@
 	for _, late := range []struct {
 		ctx context.Context
 		age time.Duration
-	}{{left, 0}, {t.Context(), drains.LookTime + time.Minute}} {
+	}{{left, 0}, {t.Context(), drains.ReadWindow + time.Minute}} {
 		order := &drainOrder{node: node, zone: "z", begun: node.now() - late.age}
 		held, err := order.look()
 		if err != nil {
@@ -166,7 +166,7 @@
 func TestLeaderDiesBetweenCommitAndAnswer(t *testing.T) {
 	cluster := startTrio(t)
 	leader, follower := cluster.leaderAndFollower()
-	write, err := drains.Write("z", true, 0, time.Now())
+	write, err := drains.NewWrite("z", true, 0, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/drains/order.go
+++ b/internal/drains/order.go
@@ -15,41 +15,41 @@
 	// ReadWindow bounds the time from the arrival of a request to its last read of the state.
 	// Together with StallThreshold it is below the second after which operators turn to another
 	// node.
-	LookTime = 500 * time.Millisecond
+	ReadWindow = 500 * time.Millisecond
 	// SettleDelay is how long a request waits before it is processed, so that the end of its
 	// connection is noticed if TCP retransmitted the request after the caller had left.
-	SettleTime = 20 * time.Millisecond
+	SettleDelay = 20 * time.Millisecond
 )
 
 // ZoneStatus is what is known about a zone's name.
-type Knowledge int
+type ZoneStatus int
 
 const (
 	// ZoneUnknown: there are zones, but none of that name.
-	Unknown Knowledge = iota
+	ZoneUnknown ZoneStatus = iota
 	// ZoneKnown: there is a zone of that name.
-	Known
+	ZoneKnown
 	// ZonesNotReported: neither the settings nor any machine name a zone.
-	NotToldYet
+	ZonesNotReported
 )
 
 // ZoneStatusOf looks up a zone in the machines of a state and in the configured zones.
-func KnowledgeOf(machine *state.Machine, configured []string, zone string) Knowledge {
+func ZoneStatusOf(machine *state.Machine, configured []string, zone string) ZoneStatus {
 	if slices.Contains(configured, zone) {
-		return Known
+		return ZoneKnown
 	}
-	status := Unknown
+	status := ZoneUnknown
 	if len(configured) == 0 {
-		status = NotToldYet
+		status = ZonesNotReported
 	}
 	machine.Each(func(_ *wirepb.Object, spec v1.Spec) {
 		machineSpec, isMachine := spec.(*v1.MachineSpec)
 		switch {
 		case !isMachine:
 		case machineSpec.Zone == zone && zone != "":
-			status = Known
-		case status == NotToldYet:
-			status = Unknown
+			status = ZoneKnown
+		case status == ZonesNotReported:
+			status = ZoneUnknown
 		}
 	})
 	return status
@@ -57,7 +57,7 @@
 
 // NewWrite returns the write for a request that has read the zone's object at a revision, 0 if
 // there is none.
-func Write(zone string, drained bool, revision uint64, now time.Time) (*wirepb.ObjectWrite, error) {
+func NewWrite(zone string, drained bool, revision uint64, now time.Time) (*wirepb.ObjectWrite, error) {
 	spec, err := json.Marshal(v1.ZoneDrainSpec{Drained: drained})
 	if err != nil {
 		return nil, fault.Internal.Wrap(err, "encoding a drain")
--- a/internal/drains/order_test.go
+++ b/internal/drains/order_test.go
@@ -30,16 +30,16 @@
 		machine    *state.Machine
 		configured []string
 		zone       string
-		want       Knowledge
+		want       ZoneStatus
 	}{
-		{empty, nil, "m", NotToldYet},
-		{empty, []string{"z"}, "z", Known},
-		{empty, []string{"z"}, "m", Unknown},
-		{registered, nil, "m", Known},
-		{registered, nil, "z", Unknown},
-		{registered, nil, "", Unknown},
+		{empty, nil, "m", ZonesNotReported},
+		{empty, []string{"z"}, "z", ZoneKnown},
+		{empty, []string{"z"}, "m", ZoneUnknown},
+		{registered, nil, "m", ZoneKnown},
+		{registered, nil, "z", ZoneUnknown},
+		{registered, nil, "", ZoneUnknown},
 	} {
-		if got := KnowledgeOf(check.machine, check.configured, check.zone); got != check.want {
+		if got := ZoneStatusOf(check.machine, check.configured, check.zone); got != check.want {
 			t.Errorf("zone %q with configured zones %v: got %d, want %d", check.zone, check.configured, got, check.want)
 		}
 	}
@@ -73,7 +73,7 @@
 			drained := rapid.Bool().Draw(t, "drained")
 			for {
 				_, revision := drainIn(machine, "z")
-				write, err := Write("z", drained, revision, time.Unix(0, 0))
+				write, err := NewWrite("z", drained, revision, time.Unix(0, 0))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -99,7 +99,7 @@
 		if any {
 			for {
 				_, revision := drainIn(machine, "z")
-				write, err := Write("z", acknowledged, revision, time.Unix(0, 0))
+				write, err := NewWrite("z", acknowledged, revision, time.Unix(0, 0))
 				if err != nil {
 					t.Fatal(err)
 				}
