--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -87,13 +87,13 @@
 
 // Active returns the limits in force, by machine.
 func (l *Limits) Active() map[string]Limit {
-	set := map[string]Limit{}
+	active := map[string]Limit{}
 	for machine, stated := range l.statements {
 		if stated.Limit.IsSet {
-			set[machine] = stated.Limit
+			active[machine] = stated.Limit
 		}
 	}
-	return set
+	return active
 }
 
 // Lookup returns the observation of one machine to send to other nodes, if there is any.
