--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -95,7 +95,7 @@
 	n.taken.reports.Add(int64(len(reports)))
 	urgent := false
 	for _, report := range reports {
-		urgent = n.reports.Take(n.now(), report) || urgent
+		urgent = n.reports.Add(n.now(), report) || urgent
 		n.mergeLimits(report.GetLimits(), "report")
 	}
 	if urgent {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -62,10 +62,10 @@
 	workers sync.WaitGroup
 	nudge   chan struct{}
 	// registered is what the state holds of the machines.
-	registered controller.RegisteredCache
+	registered controller.RegisteredFleetCache
 
 	mutex sync.Mutex
-	core  *orders.Core
+	core  *orders.Planner
 	pacer *orders.Pacer
 	// taken is the report that the core took last, by machine.
 	taken map[string]takenReport
@@ -81,8 +81,8 @@
 	running, cancel := context.WithCancel(ctx)
 	created := &fleet{
 		node: node, term: term, since: node.now(), cancel: cancel, nudge: make(chan struct{}, 1),
-		core: orders.NewCore(pacer), pacer: pacer, taken: map[string]takenReport{}, granted: map[string]time.Duration{},
-		registered: controller.RegisteredCache{Places: node.settings.Position().Map},
+		core: orders.NewPlanner(pacer), pacer: pacer, taken: map[string]takenReport{}, granted: map[string]time.Duration{},
+		registered: controller.RegisteredFleetCache{Places: node.settings.Position().Map},
 	}
 	if node.engines != nil {
 		created.workers.Go(func() { created.run(running) })
@@ -129,21 +129,21 @@
 
 // read returns what the state holds of registered machines. The state is held for the reading
 // only; see leader.pass.
-func (f *fleet) read() *controller.Registered {
-	var registered *controller.Registered
+func (f *fleet) read() *controller.RegisteredFleet {
+	var registered *controller.RegisteredFleet
 	f.node.Read(func(machine *state.Machine) { registered = f.registered.Read(machine) })
 	return registered
 }
 
 // adopt returns the writes that make records of what engines hold without one.
-func (f *fleet) adopt(registered *controller.Registered) []*wirepb.ObjectWrite {
+func (f *fleet) adopt(registered *controller.RegisteredFleet) []*wirepb.ObjectWrite {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return registered.Adopt(f.stateOf())
 }
 
 // withAdapters adds the writes that bring the adapters of records up to date; see
-// controller.Registered.
+// controller.RegisteredFleet.
 func (f *fleet) withAdapters(writes []*wirepb.ObjectWrite) []*wirepb.ObjectWrite {
 	if f.node.engines == nil {
 		return writes
@@ -155,11 +155,11 @@
 }
 
 // passOn tells placement what engines hold, and the pacer what the weight stores admit.
-func (f *fleet) passOn(registered *controller.Registered) {
+func (f *fleet) passOn(registered *controller.RegisteredFleet) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, report := range registered.Reports(f.stateOf()) {
-		f.node.reports.TakeMachine(f.node.now(), report)
+		f.node.reports.AddMachine(f.node.now(), report)
 	}
 	f.pacer.Limit(registered.StoreLoadsPerSecond)
 }
@@ -194,12 +194,12 @@
 }
 
 // stateOf returns what is known of engines now; the mutex must be held.
-func (f *fleet) stateOf() controller.StateOf {
+func (f *fleet) stateOf() controller.EngineStateFunc {
 	now := f.node.now()
 	return func(machine string) (orders.State, bool) { return f.core.State(now, machine) }
 }
 
-func (f *fleet) instancesInput(registered *controller.Registered) instances.Input {
+func (f *fleet) instancesInput(registered *controller.RegisteredFleet) instances.Input {
 	interval := f.node.settings.Machines.HeartbeatInterval
 	return instances.Input{
 		Unreachable: f.node.reports.Unreachable(f.node.now()), Routers: f.node.reports.Routers(f.node.now()),
@@ -223,7 +223,7 @@
 }
 
 // observe passes new heartbeats on to the core.
-func (f *fleet) observe(registered *controller.Registered) {
+func (f *fleet) observe(registered *controller.RegisteredFleet) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	listed := map[string]bool{}
@@ -239,7 +239,7 @@
 			continue
 		}
 		f.taken[name] = report
-		f.core.Take(f.node.now(), name, reportOf(entry.Report))
+		f.core.AddReport(f.node.now(), name, reportOf(entry.Report))
 	}
 	f.core.Forget(listed)
 }
@@ -287,11 +287,11 @@
 // noteGrants remembers what the log tells of grants.
 func (n *Node) noteGrants(output member.Output) {
 	if output.Restored {
-		n.grants.Forget(n.now())
+		n.grants.Reset(n.now())
 	}
 	for _, applied := range output.Applied {
 		if grant := applied.Result.GetGrant(); grant != nil {
-			n.grants.Note(n.now(), grant.GetMachines())
+			n.grants.Record(n.now(), grant.GetMachines())
 		}
 	}
 }
@@ -305,7 +305,7 @@
 	}
 	free := f.freeOf(names)
 	for position := range wanted {
-		wanted[position].Held = !free[wanted[position].Machine]
+		wanted[position].Blocked = !free[wanted[position].Machine]
 	}
 	f.mutex.Lock()
 	plan := f.core.Plan(f.node.now(), wanted)
@@ -323,10 +323,10 @@
 }
 
 // wanted returns what the engines should hold.
-func (f *fleet) wanted(registered *controller.Registered) []orders.Wanted {
+func (f *fleet) wanted(registered *controller.RegisteredFleet) []orders.DesiredState {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return registered.Wanted(f.stateOf(), f.node.reports.AdapterDemand(f.node.now()), f.work)
+	return registered.DesiredStates(f.stateOf(), f.node.reports.AdapterDemand(f.node.now()), f.work)
 }
 
 func (f *fleet) poll(ctx context.Context, machine, endpoint string) {
@@ -343,7 +343,7 @@
 		f.core.PollFailed(f.node.now(), machine)
 		return
 	}
-	f.core.Take(f.node.now(), machine, report)
+	f.core.AddReport(f.node.now(), machine, report)
 	f.node.wakeLeader()
 }
 
--- a/internal/control/fleetorders.go
+++ b/internal/control/fleetorders.go
@@ -52,10 +52,10 @@
 		"adapter", order.Adapter, "expected", order.Expected, "fence", f.term, "outcome", outcome.String(),
 		"took_ms", (f.node.now() - started).Milliseconds())
 	f.mutex.Lock()
-	f.core.Sent(f.node.now(), order, outcome)
+	f.core.RecordOutcome(f.node.now(), order, outcome)
 	f.mutex.Unlock()
 	if order.Adapter != "" {
-		time.AfterFunc(orders.AdapterSettles, f.node.wakeLeader)
+		time.AfterFunc(orders.AdapterLoadTime, f.node.wakeLeader)
 	}
 	f.node.wakeLeader()
 }
@@ -72,7 +72,7 @@
 	now := f.node.now()
 	free := make(map[string]bool, len(machines))
 	for _, name := range machines {
-		free[name] = f.node.grants.Free(now, name, holders[name])
+		free[name] = f.node.grants.MayOrder(now, name, holders[name])
 	}
 	return free
 }
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -30,7 +30,7 @@
 	return instances.NameOf(report.GetMachine(), report.GetStartedMs(), recordsOf(machine))
 }
 
-func recordsOf(machine *state.Machine) instances.Records {
+func recordsOf(machine *state.Machine) instances.RecordLookup {
 	return func(name string) *v1.MachineSpec {
 		spec, _ := machine.Spec(v1.KindMachine, name).(*v1.MachineSpec)
 		return spec
@@ -63,7 +63,7 @@
 	n.Read(func(machine *state.Machine) {
 		held := recordsOf(machine)(newest)
 		earlier = machine.Get(v1.KindMachine, name) == nil && held != nil &&
-			instances.IsBefore(report.GetStartedMs(), held, machine.MachineStatus(newest).Phase)
+			instances.PrecedesActiveStart(report.GetStartedMs(), held, machine.MachineStatus(newest).Phase)
 	})
 	return earlier
 }
@@ -81,7 +81,7 @@
 // that can't be of the machine under whose id it comes, since it was written by another, and names the
 // field.
 func (n *Node) checkInstance(report *wirepb.InstanceReport) (name string, err error) {
-	if !instances.IsID(report.GetMachine()) {
+	if !instances.IsValidID(report.GetMachine()) {
 		return "", fault.InvalidField("machine", "%q can't be the id of a machine", report.GetMachine())
 	}
 	n.Read(func(machine *state.Machine) {
@@ -112,7 +112,7 @@
 		n.logger.Warn("report_refused", "machine", report.GetMachine(), "field", fault.FieldOf(err), "error", fault.Message(err))
 		return
 	}
-	if n.instances.Take(n.now(), name, report) {
+	if n.instances.Add(n.now(), name, report) {
 		n.wakeLeader()
 	}
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -58,7 +58,7 @@
 	unanswered      bool
 	unansweredSince time.Duration
 	digests         *feed.DigestSender
-	instances       *instances.Condenser
+	instances       *instances.Deduplicator
 	nextID          uint64
 	waiting         map[uint64]chan *wirepb.Envelope
 }
@@ -207,7 +207,7 @@
 		return
 	}
 	if l.conn.UnchangedInstances {
-		report = l.instances.Next(report)
+		report = l.instances.Encode(report)
 	}
 	_ = l.conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_InstanceReport{InstanceReport: report}})
 }
@@ -216,7 +216,7 @@
 func (l *peerLink) sendWhole(machine string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if report := l.instances.Whole(machine); report != nil && l.conn != nil {
+	if report := l.instances.Full(machine); report != nil && l.conn != nil {
 		_ = l.conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_InstanceReport{InstanceReport: report}})
 	}
 }
@@ -248,7 +248,7 @@
 	l.connected = l.node.now()
 	l.unanswered = false
 	l.digests = &feed.DigestSender{}
-	l.instances = instances.NewCondenser()
+	l.instances = instances.NewDeduplicator()
 	l.mutex.Unlock()
 	defer l.detach()
 	for {
@@ -425,7 +425,7 @@
 // takePassedOn takes a machine's report that another control node passes on, and asks for what was
 // left out of it where this node lacks that.
 func (n *Node) takePassedOn(conn *wire.Conn, report *wirepb.InstanceReport) {
-	if whole, known := n.instances.Complete(n.instanceName(report), report); known {
+	if whole, known := n.instances.Restore(n.instanceName(report), report); known {
 		n.takeInstance(whole)
 		return
 	}
--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -155,7 +155,7 @@
 func (w *Watcher) gatherEvidence(ctx context.Context, request quarantine.BrokenRequest) quarantine.Evidence {
 	evidence := quarantine.Evidence{}
 	if machine, isKnown := w.options.View.Machine(request.Machine); isKnown {
-		evidence.Replaced = w.options.View.Replaced(request.Machine, machine.Spec.Endpoint) ||
+		evidence.Replaced = w.options.View.IsReplaced(request.Machine, machine.Spec.Endpoint) ||
 			quarantine.InstanceName(request.Machine, machine.Status.Incarnation) != request.Instance
 		evidence.Leaving = machine.Status.Phase == v1.MachineLeaving || machine.Status.Phase == v1.MachineGone
 	}
