--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -275,7 +275,7 @@
 func (n *Node) NewServer() *feed.Server {
 	self := n.self
 	self.Refuse = n.refuseLevel
-	return feed.NewServer(n, self, n.settings.Position().Map, n.logger, n.servePeer)
+	return feed.NewServer(n, self, n.settings.Position().Zones, n.logger, n.servePeer)
 }
 
 // Read calls the function with the state, which it must not keep or change.
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -82,7 +82,7 @@
 	created := &fleet{
 		node: node, term: term, since: node.now(), cancel: cancel, nudge: make(chan struct{}, 1),
 		core: orders.NewPlanner(pacer), pacer: pacer, taken: map[string]takenReport{}, granted: map[string]time.Duration{},
-		registered: controller.RegisteredFleetCache{Places: node.settings.Position().Map},
+		registered: controller.RegisteredFleetCache{Places: node.settings.Position().Zones},
 	}
 	if node.engines != nil {
 		created.workers.Go(func() { created.run(running) })
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -17,7 +17,7 @@
 // constrainedDemandOf returns the entry for a request's constraint, or nil for an unconstrained
 // request.
 func (v *versionState) constrainedDemandOf(request *Request) *constrainedDemand {
-	if !request.Allowed.IsBound() {
+	if !request.Allowed.IsRestrictive() {
 		return nil
 	}
 	if v.constrained == nil {
@@ -120,7 +120,7 @@
 			continue
 		}
 		demand.addWaiting(now, entry.request)
-		if !entry.request.Allowed.IsBound() {
+		if !entry.request.Allowed.IsRestrictive() {
 			continue
 		}
 		key := adapterConstraint{entry.request.Adapter, entry.request.Allowed.Key()}
--- a/internal/dispatch/near_test.go
+++ b/internal/dispatch/near_test.go
@@ -9,7 +9,7 @@
 )
 
 // localityScheduler has one target at each of the given distances.
-func localityScheduler(config Config, distances ...places.Nearness) (*Scheduler, time.Time) {
+func localityScheduler(config Config, distances ...places.Proximity) (*Scheduler, time.Time) {
 	now := time.Unix(1000, 0)
 	config.MaxWaiting, config.SharedSlots, config.LeastWork = 100, true, true
 	scheduler := New(config)
@@ -39,7 +39,7 @@
 		{"all busy", 5000, 5000, 4500, "m2"},
 	}
 	for _, test := range tests {
-		scheduler, now := localityScheduler(Config{}, places.Further, places.SameRegion, places.SameZone)
+		scheduler, now := localityScheduler(Config{}, places.OtherRegion, places.SameRegion, places.SameZone)
 		scheduler.SetWork(now, map[string]float64{"m0": test.further, "m1": test.region, "m2": test.zone})
 		submitted := request(now, 1000, 0, 0)
 		submitted.CrossRegionPenalty = penalty
@@ -53,10 +53,10 @@
 // region.
 func TestPreferredTargetsAreInTheRegion(t *testing.T) {
 	for prefix := uint64(1); prefix <= 20; prefix++ {
-		scheduler, now := localityScheduler(Config{}, places.Further, places.Further, places.Further, places.SameRegion, places.SameRegion)
+		scheduler, now := localityScheduler(Config{}, places.OtherRegion, places.OtherRegion, places.OtherRegion, places.SameRegion, places.SameRegion)
 		submitted := request(now, 1000, 900, prefix)
 		submitted.CrossRegionPenalty = 1
-		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Nearness == places.Further {
+		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Nearness == places.OtherRegion {
 			t.Errorf("prefix %d is sent to another region", prefix)
 		}
 	}
@@ -65,18 +65,18 @@
 // TestDistanceIsIgnoredWithoutPenalty: without a cross-region penalty, as in a router that does
 // not know its region, all targets count as equally near.
 func TestDistanceIsIgnoredWithoutPenalty(t *testing.T) {
-	scheduler, now := localityScheduler(Config{}, places.Further, places.SameZone)
+	scheduler, now := localityScheduler(Config{}, places.OtherRegion, places.SameZone)
 	scheduler.SetWork(now, map[string]float64{"m1": 100})
-	distances := map[places.Nearness]bool{}
+	distances := map[places.Proximity]bool{}
 	for prefix := uint64(1); prefix <= 20; prefix++ {
 		granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 900, prefix)))
 		distances[granted.Target.Nearness] = true
 		scheduler.Release(now, granted, ResultOK)
 	}
-	if !distances[places.Further] || !distances[places.SameZone] {
+	if !distances[places.OtherRegion] || !distances[places.SameZone] {
 		t.Errorf("all prefixes are sent to one distance: %v", distances)
 	}
-	if granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); granted.Target.Nearness != places.Further {
+	if granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); granted.Target.Nearness != places.OtherRegion {
 		t.Error("the busier machine is preferred for its distance")
 	}
 }
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -125,7 +125,7 @@
 // hasAlternatives reports whether a version has more than one target in the regions allowed for a
 // request.
 func (v *versionState) hasAlternatives(request *Request) bool {
-	if !request.Allowed.IsBound() {
+	if !request.Allowed.IsRestrictive() {
 		return len(v.targets) > 1
 	}
 	allowed := 0
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refuse.go
@@ -26,7 +26,7 @@
 	}
 	// Estimates apply to the version as a whole. A replica in the allowed regions may be ready
 	// earlier, so constrained requests are not refused by them.
-	if !request.Allowed.IsBound() && estimate.EarliestAt.After(request.Deadline) {
+	if !request.Allowed.IsRestrictive() && estimate.EarliestAt.After(request.Deadline) {
 		return Refusal{
 			Request: request, Reason: RefusedDeadline, Detail: "the model will not be loaded before the deadline",
 			RetryAfter: estimate.ReadyAt.Sub(now),
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -60,7 +60,7 @@
 }
 
 func (r *regionModel) constraint(label string) places.Constraint {
-	return places.Only(rapid.SliceOfN(rapid.SampledFrom(regionNames[:3]), 0, 2).Draw(r.t, label)...)
+	return places.RestrictTo(rapid.SliceOfN(rapid.SampledFrom(regionNames[:3]), 0, 2).Draw(r.t, label)...)
 }
 
 func (r *regionModel) targets() {
@@ -78,7 +78,7 @@
 	r.nextID++
 	request := &Request{
 		ID: r.nextID, Version: "v", Priority: int32(r.nextID % 2), Arrived: r.now, Deadline: r.now.Add(time.Minute), Work: 100,
-		PrefixHash: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").And(r.constraint("tenant")),
+		PrefixHash: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").Intersect(r.constraint("tenant")),
 	}
 	r.waiting[request.ID] = request
 	r.apply(r.scheduler.Submit(r.now, request))
@@ -101,7 +101,7 @@
 	if rapid.Bool().Draw(r.t, "tried") {
 		request.TriedMachines = append(request.TriedMachines, ended.Target.Machine)
 	}
-	request.Allowed = request.Allowed.And(r.constraint("narrower"))
+	request.Allowed = request.Allowed.Intersect(r.constraint("narrower"))
 	r.waiting[request.ID] = request
 	r.apply(r.scheduler.Resubmit(r.now, request))
 }
@@ -132,7 +132,7 @@
 // Without placed adapters, an unconstrained request at the head of the queue may block the others.
 func (r *regionModel) checkNoneWaits() {
 	first := r.scheduler.version("v").queue.first()
-	if first == nil || !r.scheduler.config.PlacedAdapters && !first.Allowed.IsBound() {
+	if first == nil || !r.scheduler.config.PlacedAdapters && !first.Allowed.IsRestrictive() {
 		return
 	}
 	for _, request := range r.waiting {
@@ -172,7 +172,7 @@
 }
 
 func constrained(id uint64, regions ...string) *Request {
-	return &Request{ID: id, Version: "v", Arrived: epoch, Deadline: epoch.Add(time.Minute), Allowed: places.Only(regions...)}
+	return &Request{ID: id, Version: "v", Arrived: epoch, Deadline: epoch.Add(time.Minute), Allowed: places.RestrictTo(regions...)}
 }
 
 // TestOnlyAllowedTargetIsTriedThoughEjected: being the only target in the allowed regions counts
@@ -255,7 +255,7 @@
 	}
 	scheduler.Cancel(&Request{ID: 3, Version: "v"})
 	scheduler.Release(epoch, running, ResultNotRun)
-	running.Request.Allowed = places.Only("b")
+	running.Request.Allowed = places.RestrictTo("b")
 	scheduler.Resubmit(epoch, running.Request)
 	const after = "v[]: 2 waiting, 0 running, 3 so far, oldest 1s\nv[a b]: 0 waiting, 0 running, 1 so far, oldest 0s\n" +
 		"v[b]: 1 waiting, 0 running, 0 so far, oldest 1s\nv[c]: 1 waiting, 0 running, 1 so far, oldest 1s"
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -71,7 +71,7 @@
 	if first == nil {
 		return nil, nil
 	}
-	if chosen := s.pick(now, version, first); chosen != nil || !s.config.PlacedAdapters && !first.Allowed.IsBound() {
+	if chosen := s.pick(now, version, first); chosen != nil || !s.config.PlacedAdapters && !first.Allowed.IsRestrictive() {
 		return first, chosen
 	}
 	for _, request := range version.queue.sorted() {
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -51,7 +51,7 @@
 	// Region is empty if unknown.
 	Region string
 	// Nearness is the distance from the router.
-	Nearness places.Nearness
+	Nearness places.Proximity
 	// Fixed is set for a machine outside of the leader's placement: its replicas can't be loaded
 	// elsewhere.
 	Fixed bool
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -109,7 +109,7 @@
 }
 
 // distancePenalty is the additional cost of a target in tokens.
-func (r *Request) distancePenalty(nearness places.Nearness) float64 {
+func (r *Request) distancePenalty(nearness places.Proximity) float64 {
 	switch nearness {
 	case places.SameZone:
 		return 0
@@ -127,7 +127,7 @@
 	}
 	var local []*target
 	for _, candidate := range targets {
-		if candidate.Nearness < places.Further {
+		if candidate.Nearness < places.OtherRegion {
 			local = append(local, candidate)
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -40,7 +40,7 @@
 	// Zones and Regions are how many of each may be lost at once.
 	Zones, Regions int
 	// Places tells the regions of zones.
-	Places places.Map
+	Places places.ZoneMap
 	// ReplaceAfter is how long a voter may be silent before a learner takes
 	// its place.
 	ReplaceAfter time.Duration
