--- a/internal/feed/balance.go
+++ b/internal/feed/balance.go
@@ -11,16 +11,15 @@
 )
 
 const (
-	// rebalanceAfter is how long a client stays with a server while it prefers another,
-	// up to twice as long by chance. It is several times what an outage of a server takes.
-	rebalanceAfter = 5 * time.Second
-	// proveLimit is how long a better server has to send a digest newer than what is known:
-	// digests come twice a second.
-	proveLimit = 1200 * time.Millisecond
+	// rebalanceInterval is the shortest wait before looking for a better server; jitter of up to the
+	// same duration is added. It is several times longer than the outage of a server takes.
+	rebalanceInterval = 5 * time.Second
+	// probeTimeout allows for two digests, which are sent every 500 ms.
+	probeTimeout = 1200 * time.Millisecond
 )
 
-// rebalance changes over to a server that the client prefers to the one it follows, once that
-// proves to hear from a leader.
+// rebalance switches to a server that the client prefers to the current one, after a probe has shown
+// that it receives digests from the leader.
 func (c *Client) rebalance(ctx context.Context, current connection) {
 	if c.discover == nil {
 		return
@@ -31,78 +30,79 @@
 			return
 		case <-ctx.Done():
 			return
-		case <-time.After(c.rebalanceAfter + rand.N(c.rebalanceAfter)):
+		case <-time.After(c.rebalanceInterval + rand.N(c.rebalanceInterval)):
 		}
-		if better, proved := c.proveAny(ctx, c.preferredTo(current.address)); proved {
-			c.moveTo(better, current)
+		if candidate, ok := c.probeAny(ctx, c.preferredOver(current.address)); ok {
+			c.switchTo(candidate, current)
 			return
 		}
 	}
 }
 
-// moveTo ends the connection that is followed, and has a better one followed next.
-func (c *Client) moveTo(better, current connection) {
+// switchTo closes the current connection and makes the client continue on the next one.
+func (c *Client) switchTo(next, current connection) {
 	c.mutex.Lock()
-	c.handover = &better
-	c.liveness.reason = LostMoved
+	c.handover = &next
+	c.liveness.reason = DisconnectRebalanced
 	c.mutex.Unlock()
 	current.conn.Close()
 }
 
-// preferredTo returns the servers that the client prefers to an address.
-func (c *Client) preferredTo(address string) []Upstream {
+// preferredOver returns the servers that come before an address in the order of preference.
+func (c *Client) preferredOver(address string) []Upstream {
 	servers := c.servers()
-	position := slices.IndexFunc(servers, func(server Upstream) bool { return server.Address == address })
-	if position < 0 {
+	index := slices.IndexFunc(servers, func(server Upstream) bool { return server.Address == address })
+	if index < 0 {
 		return servers
 	}
-	return servers[:position]
+	return servers[:index]
 }
 
-// proveAny returns a connection to the first of the servers that proves itself.
-func (c *Client) proveAny(ctx context.Context, servers []Upstream) (connection, bool) {
+// probeAny returns a connection to the first server that passes a probe.
+func (c *Client) probeAny(ctx context.Context, servers []Upstream) (connection, bool) {
 	for _, server := range servers {
-		if better, proved := c.prove(ctx, server.Address); proved {
-			return better, true
+		if candidate, ok := c.probe(ctx, server.Address); ok {
+			return candidate, true
 		}
 	}
 	return connection{}, false
 }
 
-// prove connects to a server and waits for a digest that is newer than any before. A crowded
-// server is passed over.
-func (c *Client) prove(ctx context.Context, address string) (connection, bool) {
-	ctx, cancel := context.WithTimeout(ctx, proveLimit)
+// probe connects to a server and waits for a digest newer than any received so far. It rejects an
+// overloaded server.
+func (c *Client) probe(ctx context.Context, address string) (connection, bool) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, address)
 	if err != nil {
 		return connection{}, false
 	}
-	if c.isCrowded(conn) {
+	if c.isOverloaded(conn) {
 		conn.Close()
 		return connection{}, false
 	}
-	better := connection{address: address, conn: conn, digests: &DigestReceiver{}}
+	candidate := connection{address: address, conn: conn, digests: &DigestReceiver{}}
 	stop := context.AfterFunc(ctx, conn.Close)
-	better.proof = c.awaitNewer(conn, better.digests)
-	if !stop() || better.proof == nil {
+	candidate.probeDigest = c.receiveNewerDigest(conn, candidate.digests)
+	if !stop() || candidate.probeDigest == nil {
 		conn.Close()
 		return connection{}, false
 	}
-	return better, true
+	return candidate, true
 }
 
-// isCrowded reports whether the server at the other end has too many followers; see crowded.
-func (c *Client) isCrowded(conn *wire.Conn) bool {
+// isOverloaded reports whether the server at the other end has too many followers; see
+// exceedsFairShare.
+func (c *Client) isOverloaded(conn *wire.Conn) bool {
 	c.mutex.Lock()
 	routers := c.liveness.newest.GetRouters()
 	c.mutex.Unlock()
-	return crowded(conn.Followers, routers, len(c.servers()))
+	return exceedsFairShare(conn.Followers, routers, len(c.servers()))
 }
 
-// awaitNewer returns the first digest that is newer than any that the client has, or nil where
-// the connection ends before.
-func (c *Client) awaitNewer(conn *wire.Conn, digests *DigestReceiver) *wirepb.ClusterDigest {
+// receiveNewerDigest returns the first digest that is newer than any received so far, or nil if the
+// connection is closed first.
+func (c *Client) receiveNewerDigest(conn *wire.Conn, digests *DigestReceiver) *wirepb.ClusterDigest {
 	for {
 		envelope, err := conn.Receive()
 		if err != nil {
@@ -114,10 +114,10 @@
 		}
 		digest := digests.Complete(body.ClusterDigest)
 		c.mutex.Lock()
-		// Who holds no digest yet can't tell an old one from news.
-		newer := digest != nil && c.liveness.newest != nil && Newer(digest, c.liveness.newest)
+		// Without a digest to compare with, an outdated digest can't be recognized.
+		isNewer := digest != nil && c.liveness.newest != nil && Newer(digest, c.liveness.newest)
 		c.mutex.Unlock()
-		if newer {
+		if isNewer {
 			return digest
 		}
 	}
--- a/internal/feed/balance_test.go
+++ b/internal/feed/balance_test.go
@@ -16,12 +16,12 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// digestBackend serves digests that grow, or one that stands still.
+// digestBackend serves digests whose sequence advances unless it is frozen.
 type digestBackend struct {
 	listBackend
 	mutex    sync.Mutex
 	sequence uint64
-	stands   bool
+	isFrozen bool
 	changed  *signal.Broadcast
 }
 
@@ -33,16 +33,16 @@
 func (b *digestBackend) DigestChanged() <-chan struct{} { return b.changed.Wait() }
 func (b *digestBackend) Changed() <-chan struct{}       { return b.changed.Wait() }
 
-func (b *digestBackend) tick(sequence uint64) {
+func (b *digestBackend) advance(sequence uint64) {
 	b.mutex.Lock()
-	if !b.stands {
+	if !b.isFrozen {
 		b.sequence = sequence
 	}
 	b.mutex.Unlock()
 	b.changed.Notify()
 }
 
-// nullSink takes everything.
+// nullSink ignores everything it receives.
 type nullSink struct{}
 
 func (nullSink) Revision() uint64                 { return 1 }
@@ -53,9 +53,9 @@
 	return wire.Identity{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "c", Node: name}}
 }
 
-// TestClientsMoveToTheirFirstChoice once that has shown a newer digest, and not to one that
-// is cut off.
-func TestClientsMoveToTheirFirstChoice(t *testing.T) {
+// TestRebalanceToFirstChoice checks that a client moves to its preferred server only once that sends
+// newer digests.
+func TestRebalanceToFirstChoice(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -76,9 +76,9 @@
 	for _, server := range byPreference("client", places.Position{}, Upstreams(addresses)) {
 		order = append(order, server.Address)
 	}
-	backends[order[0]].stands = true
+	backends[order[0]].isFrozen = true
 	client := NewClient([]string{order[2]}, identityOf("client"), nullSink{}, slog.New(slog.DiscardHandler))
-	client.rebalanceAfter = time.Millisecond
+	client.rebalanceInterval = time.Millisecond
 	var known sync.Map
 	client.Discover(func() []Upstream {
 		if _, all := known.Load("all"); all {
@@ -87,7 +87,7 @@
 		return Upstreams(order[1:])
 	})
 	workers.Go(func() { client.Run(ctx) })
-	follows := func() string {
+	followedAddress := func() string {
 		client.mutex.Lock()
 		defer client.mutex.Unlock()
 		for address := range backends {
@@ -98,14 +98,14 @@
 		return ""
 	}
 	sequence := uint64(2)
-	await := func(wanted string) {
+	await := func(expected string) {
 		t.Helper()
-		for follows() != wanted {
+		for followedAddress() != expected {
 			if t.Context().Err() != nil {
-				t.Fatal("stopped")
+				t.Fatal("the client did not switch to the expected server before the test ended")
 			}
 			for _, backend := range backends {
-				backend.tick(sequence)
+				backend.advance(sequence)
 			}
 			sequence++
 			time.Sleep(time.Millisecond)
@@ -115,24 +115,23 @@
 	known.Store("all", true)
 	for range 200 {
 		for _, backend := range backends {
-			backend.tick(sequence)
+			backend.advance(sequence)
 		}
 		sequence++
 		time.Sleep(time.Millisecond)
-		if follows() == order[0] {
-			t.Fatal("the client follows a server that hears from no leader")
+		if followedAddress() == order[0] {
+			t.Fatal("the client follows a server whose digests do not advance")
 		}
 	}
 	backends[order[0]].mutex.Lock()
-	backends[order[0]].stands = false
+	backends[order[0]].isFrozen = false
 	backends[order[0]].mutex.Unlock()
 	await(order[0])
 }
 
-// TestProofOfAServerIsKept: a client that had changed to its first choice dropped the digest that
-// had proved it, which the server sends once. It held none then, and took the digest of a server
-// that was cut off for news.
-func TestProofOfAServerIsKept(t *testing.T) {
+// TestProbeDigestIsKept guards against dropping the digest received during a probe. The server does
+// not repeat it, so the client would accept older digests of other servers.
+func TestProbeDigestIsKept(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -145,26 +144,26 @@
 	server := NewServer(backend, identityOf("server"), places.Map{}, slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	client := NewClient([]string{"127.0.0.1:1"}, identityOf("client"), nullSink{}, slog.New(slog.DiscardHandler))
-	if _, ok := client.prove(ctx, listener.Addr().String()); ok {
-		t.Fatal("a digest is taken for news by a client that holds none")
+	if _, ok := client.probe(ctx, listener.Addr().String()); ok {
+		t.Fatal("probe succeeded without a digest to compare with")
 	}
 	client.liveness.newest = &wirepb.ClusterDigest{Term: 1, Sequence: 6}
-	proved, ok := client.prove(ctx, listener.Addr().String())
+	probed, ok := client.probe(ctx, listener.Addr().String())
 	if !ok {
-		t.Fatal("a newer digest does not prove its server")
+		t.Fatal("probe failed despite a newer digest")
 	}
-	workers.Go(func() { client.follow(ctx, proved) })
+	workers.Go(func() { client.follow(ctx, probed) })
 	<-client.Connected()
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	if newest := client.liveness.newest.GetSequence(); newest != 7 {
-		t.Errorf("the client holds digest %d of a server that was proved by digest 7", newest)
+		t.Errorf("newest digest has sequence %d, want 7", newest)
 	}
 }
 
-// TestCrowdedServersAreLeftToTheirFollowers: a zone with most of the nodes and one control node
-// would load that one with all of them.
-func TestCrowdedServersAreLeftToTheirFollowers(t *testing.T) {
+// TestProbeSkipsOverloadedServers guards against all nodes of a large zone moving to its only control
+// node.
+func TestProbeSkipsOverloadedServers(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -183,12 +182,12 @@
 	}
 	defer follower.Close()
 	if _, err := follower.Receive(); err != nil {
-		t.Fatal(err) // The server counts it once it has sent a digest.
+		t.Fatal(err) // The follower is counted once it has received a digest.
 	}
 	client := NewClient([]string{address, "127.0.0.1:1", "127.0.0.1:2"}, identityOf("client"), nullSink{}, slog.New(slog.DiscardHandler))
 	client.liveness.newest = &wirepb.ClusterDigest{Term: 1, Sequence: 6, Routers: 1}
-	if _, proved := client.prove(ctx, address); !proved {
-		t.Fatal("a server with its fair share is passed over")
+	if _, ok := client.probe(ctx, address); !ok {
+		t.Fatal("probe rejected a server with its fair share of followers")
 	}
 	second, err := wire.Dial(ctx, address, identityOf("second"))
 	if err != nil {
@@ -198,67 +197,67 @@
 	if _, err := second.Receive(); err != nil {
 		t.Fatal(err)
 	}
-	if _, proved := client.prove(ctx, address); proved {
-		t.Error("a server with more than twice its fair share takes another for nearness")
+	if _, ok := client.probe(ctx, address); ok {
+		t.Error("probe accepted a server with twice its fair share of followers")
 	}
 	if connected, err := connectAny(ctx, Upstreams([]string{address}), client.dial); err != nil {
-		t.Error("a crowded server refuses a node that has no other")
+		t.Error("an overloaded server refused a node that has no other server")
 	} else {
 		connected.conn.Close()
 	}
 }
 
-// zonedBackend serves a digest that names servers and their zones.
-type zonedBackend struct {
+// rosterBackend serves digests with a roster of servers and their zones.
+type rosterBackend struct {
 	digestBackend
 	roster *wirepb.Roster
 }
 
-func (b *zonedBackend) Digest() *wirepb.ClusterDigest {
+func (b *rosterBackend) Digest() *wirepb.ClusterDigest {
 	digest := b.digestBackend.Digest()
 	digest.Roster = b.roster
 	return digest
 }
 
-// zonedSink holds nothing before it is sent a state, and remembers the digest.
-type zonedSink struct {
-	sinkOf
+// digestSink is a recordingSink that also keeps the last digest.
+type digestSink struct {
+	recordingSink
 	digest atomic.Pointer[wirepb.ClusterDigest]
 }
 
-func (s *zonedSink) TakeDigest(digest *wirepb.ClusterDigest) { s.digest.Store(digest) }
+func (s *digestSink) TakeDigest(digest *wirepb.ClusterDigest) { s.digest.Store(digest) }
 
-// TestNodesListAtANearServer: a node that knows a far server by its settings learns of a near one
-// there, and is sent the state by that one only.
-func TestNodesListAtANearServer(t *testing.T) {
+// TestListFromNearServer checks that a node that starts with a distant server requests its list from a
+// near one named in the first digest.
+func TestListFromNearServer(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer cancel()
 	zones := places.NewMap(map[string]string{"far": "r", "near": "r"})
 	roster := &wirepb.Roster{}
-	backends := map[string]*zonedBackend{}
+	backends := map[string]*rosterBackend{}
 	for _, zone := range []string{"far", "near"} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		backends[zone] = &zonedBackend{digestBackend: digestBackend{changed: signal.New(), sequence: 1}, roster: roster}
-		backends[zone].put(100)
-		backends[zone].forget()
+		backends[zone] = &rosterBackend{digestBackend: digestBackend{changed: signal.New(), sequence: 1}, roster: roster}
+		backends[zone].addObjects(100)
+		backends[zone].compact()
 		roster.Control, roster.ControlZones = append(roster.Control, listener.Addr().String()), append(roster.ControlZones, zone)
 		identity := identityOf(zone)
 		identity.Hello.Zone = zone
 		server := NewServer(backends[zone], identity, zones, slog.New(slog.DiscardHandler), nil)
 		workers.Go(func() { _ = server.Serve(ctx, listener) })
 	}
-	sink := &zonedSink{sinkOf: sinkOf{changed: signal.New()}}
+	sink := &digestSink{recordingSink: recordingSink{changed: signal.New()}}
 	client := NewClient(roster.GetControl()[:1], identityOf("client"), sink, slog.New(slog.DiscardHandler))
 	client.Discover(func() []Upstream { return UpstreamsOf(sink.digest.Load().GetRoster()) })
 	client.Prefer(places.Position{Zone: "near", Map: zones})
 	workers.Go(func() { client.Run(ctx) })
 	sink.await(t, "the state", func() bool { return sink.Revision() == 100 })
-	if backends["far"].lists != 0 || backends["near"].lists == 0 {
-		t.Errorf("the far server made %d lists, the near one %d", backends["far"].lists, backends["near"].lists)
+	if backends["far"].listCount != 0 || backends["near"].listCount == 0 {
+		t.Errorf("%d lists by the distant server, %d by the near one", backends["far"].listCount, backends["near"].listCount)
 	}
 }
--- a/internal/feed/batch.go
+++ b/internal/feed/batch.go
@@ -5,66 +5,66 @@
 	"sync"
 )
 
-// batcher answers many callers by few calls. A caller only gets the result of a call
-// that began after it had come, so what holds for a call of its own holds for the
-// shared one. At most one call is under way; whoever comes meanwhile shares the next.
-type batcher[R any] struct {
+// callCoalescer shares calls among concurrent callers. Each caller gets the result of a call that
+// started after its own request, so results are as fresh as those of separate calls. At most one call
+// runs at a time; callers that arrive meanwhile share the next one.
+type callCoalescer[R any] struct {
 	call func(ctx context.Context) (R, error)
 
 	mutex   sync.Mutex
-	running *batch[R]
-	next    *batch[R]
+	running *sharedCall[R]
+	next    *sharedCall[R]
 }
 
-// batch is one call and its result, which is set once done is closed.
-type batch[R any] struct {
+// sharedCall holds the result of one call; result and err are valid once done is closed.
+type sharedCall[R any] struct {
 	done   chan struct{}
 	result R
 	err    error
 }
 
-func newBatcher[R any](call func(ctx context.Context) (R, error)) *batcher[R] {
-	return &batcher[R]{call: call}
+func newCallCoalescer[R any](call func(ctx context.Context) (R, error)) *callCoalescer[R] {
+	return &callCoalescer[R]{call: call}
 }
 
-// do returns the result of the next call to begin. The call itself goes on when ctx
-// ends: others may wait for it.
-func (b *batcher[R]) do(ctx context.Context) (R, error) {
-	joined := b.join(context.WithoutCancel(ctx))
+// do returns the result of the next call to start. Canceling ctx ends only the wait, since other
+// callers may share the call.
+func (c *callCoalescer[R]) do(ctx context.Context) (R, error) {
+	call := c.join(context.WithoutCancel(ctx))
 	select {
-	case <-joined.done:
-		return joined.result, joined.err
+	case <-call.done:
+		return call.result, call.err
 	case <-ctx.Done():
-		var none R
-		return none, ctx.Err()
+		var zero R
+		return zero, ctx.Err()
 	}
 }
 
-func (b *batcher[R]) join(ctx context.Context) *batch[R] {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.next == nil {
-		b.next = &batch[R]{done: make(chan struct{})}
+func (c *callCoalescer[R]) join(ctx context.Context) *sharedCall[R] {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.next == nil {
+		c.next = &sharedCall[R]{done: make(chan struct{})}
 	}
-	joined := b.next
-	if b.running == nil {
-		b.startNext(ctx)
+	call := c.next
+	if c.running == nil {
+		c.startNext(ctx)
 	}
-	return joined
+	return call
 }
 
-// startNext makes the next batch the running one; the mutex must be held.
-func (b *batcher[R]) startNext(ctx context.Context) {
-	b.running, b.next = b.next, nil
-	if b.running != nil {
-		go b.run(ctx, b.running)
+// startNext starts the next call if there are waiting callers; the mutex must be held.
+func (c *callCoalescer[R]) startNext(ctx context.Context) {
+	c.running, c.next = c.next, nil
+	if c.running != nil {
+		go c.run(ctx, c.running)
 	}
 }
 
-func (b *batcher[R]) run(ctx context.Context, current *batch[R]) {
-	current.result, current.err = b.call(ctx)
-	close(current.done)
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.startNext(ctx)
+func (c *callCoalescer[R]) run(ctx context.Context, call *sharedCall[R]) {
+	call.result, call.err = c.call(ctx)
+	close(call.done)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.startNext(ctx)
 }
--- a/internal/feed/batch_test.go
+++ b/internal/feed/batch_test.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// TestBatchedCallsBeginAfterTheirCallers: a result is shared only by those who came
-// before its call began, and a crowd that comes during a call needs one more.
-func TestBatchedCallsBeginAfterTheirCallers(t *testing.T) {
+// TestCoalescedCallsStartAfterTheirCallers checks that callers get the result of a call that started
+// after their request, and that callers that arrive during a call share the next one.
+func TestCoalescedCallsStartAfterTheirCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callTime = 10 * time.Millisecond
-		started := time.Now()
+		testStart := time.Now()
 		calls := 0
-		shared := newBatcher(func(context.Context) (time.Duration, error) {
+		coalescer := newCallCoalescer(func(context.Context) (time.Duration, error) {
 			calls++
-			began := time.Since(started)
+			startedAt := time.Since(testStart)
 			time.Sleep(callTime)
-			return began, nil
+			return startedAt, nil
 		})
 		const callers = 100
-		ended := make(chan struct{}, callers)
+		done := make(chan struct{}, callers)
 		for position := range callers {
 			go func() {
-				// One caller comes first, the others while its call is under way.
+				// The first caller starts a call; the others arrive while it runs.
 				time.Sleep(time.Duration(min(position, 1)) * time.Millisecond)
-				came := time.Since(started)
-				began, err := shared.do(t.Context())
-				if err != nil || began < came {
-					t.Errorf("a caller of %s got the result of a call of %s, %v", came, began, err)
+				calledAt := time.Since(testStart)
+				startedAt, err := coalescer.do(t.Context())
+				if err != nil || startedAt < calledAt {
+					t.Errorf("a caller at %s got the result of a call started at %s, %v", calledAt, startedAt, err)
 				}
-				ended <- struct{}{}
+				done <- struct{}{}
 			}()
 		}
 		for range callers {
-			<-ended
+			<-done
 		}
 		if calls != 2 {
 			t.Errorf("%d calls for %d callers", calls, callers)
@@ -43,30 +43,31 @@
 	})
 }
 
-// TestBatchedCallOutlivesACaller: a caller that gives up takes the result from nobody.
-func TestBatchedCallOutlivesACaller(t *testing.T) {
+// TestCoalescedCallSurvivesCallerCancellation checks that a canceled caller does not cancel the shared
+// call.
+func TestCoalescedCallSurvivesCallerCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callTime = 10 * time.Millisecond
-		shared := newBatcher(func(ctx context.Context) (string, error) {
+		coalescer := newCallCoalescer(func(ctx context.Context) (string, error) {
 			select {
 			case <-ctx.Done():
 				return "", ctx.Err()
 			case <-time.After(callTime):
-				return "whole", nil
+				return "result", nil
 			}
 		})
-		impatient, cancel := context.WithTimeout(t.Context(), callTime/2)
+		callerCtx, cancel := context.WithTimeout(t.Context(), callTime/2)
 		defer cancel()
-		gaveUp := make(chan error, 1)
+		callerErr := make(chan error, 1)
 		go func() {
-			_, err := shared.do(impatient)
-			gaveUp <- err
+			_, err := coalescer.do(callerCtx)
+			callerErr <- err
 		}()
-		if err := <-gaveUp; err == nil {
-			t.Error("a caller got a result after it had given up")
+		if err := <-callerErr; err == nil {
+			t.Error("a canceled caller got a result")
 		}
-		if result, err := shared.do(t.Context()); err != nil || result != "whole" {
-			t.Errorf("%q, %v", result, err)
+		if result, err := coalescer.do(t.Context()); err != nil || result != "result" {
+			t.Errorf("result %q, error %v", result, err)
 		}
 	})
 }
--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -9,11 +9,11 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// cacheEventsKept bounds the changes that a relay keeps for its nodes.
-const cacheEventsKept = 8192
+// minCachedEvents is the number of most recent changes that remain available to watchers after a
+// compaction.
+const minCachedEvents = 8192
 
-// Cache is a Sink and a Backend: a relay's copy of the state. Reports of its
-// nodes are passed on together.
+// Cache holds a relay's copy of the state. It implements Sink and Backend.
 type Cache struct {
 	client *Client
 
@@ -21,34 +21,33 @@
 	revision uint64
 	objects  map[state.Key]*wirepb.Object
 	events   []*wirepb.WatchEvent
-	// compacted is the revision up to which changes are no longer kept.
+	// compacted is the revision up to which changes have been dropped.
 	compacted uint64
 	digest    *wirepb.ClusterDigest
-	// reports are those that are passed on upwards.
-	reports *ReportQueue
+	reports   *ReportQueue
 
 	changed       *signal.Broadcast
 	digestChanged *signal.Broadcast
 }
 
-// NewCache returns an empty cache; Attach gives it its way upwards.
+// NewCache returns an empty cache; call Attach before using it.
 func NewCache() *Cache {
-	created := &Cache{objects: map[state.Key]*wirepb.Object{}, changed: signal.New(), digestChanged: signal.New()}
-	created.reports = NewReportQueue(created.sendReports)
-	return created
+	cache := &Cache{objects: map[state.Key]*wirepb.Object{}, changed: signal.New(), digestChanged: signal.New()}
+	cache.reports = NewReportQueue(cache.sendReports)
+	return cache
 }
 
-// Attach sets the client that feeds the cache.
+// Attach sets the client that connects the cache to its upstream.
 func (c *Cache) Attach(client *Client) {
 	c.client = client
 }
 
-// Run follows the upstream until ctx ends.
+// Run runs the client until ctx is done.
 func (c *Cache) Run(ctx context.Context) {
 	c.client.Run(ctx)
 }
 
-// sendReports passes reports on; they are lost where there is no connection, as reports may be.
+// sendReports sends reports upstream. They are dropped while there is no connection.
 func (c *Cache) sendReports(reports []*wirepb.NodeReport) {
 	batch := &wirepb.NodeReportBatch{Reports: reports}
 	_ = c.client.Send(&wirepb.Envelope{Body: &wirepb.Envelope_NodeReportBatch{NodeReportBatch: batch}})
@@ -81,23 +80,23 @@
 	c.compact()
 }
 
-func (c *Cache) applyEvent(event *wirepb.WatchEvent, listed bool) {
+func (c *Cache) applyEvent(event *wirepb.WatchEvent, fromList bool) {
 	key := state.KeyOf(event.GetObject())
 	if event.GetDeleted() {
 		delete(c.objects, key)
 	} else {
 		c.objects[key] = event.GetObject()
 	}
-	if !listed {
+	if !fromList {
 		c.events = append(c.events, event)
 	}
 }
 
 func (c *Cache) compact() {
-	if len(c.events) <= 2*cacheEventsKept {
+	if len(c.events) <= 2*minCachedEvents {
 		return
 	}
-	dropped := len(c.events) - cacheEventsKept
+	dropped := len(c.events) - minCachedEvents
 	c.compacted = c.events[dropped-1].GetObject().GetRevision()
 	c.events = append([]*wirepb.WatchEvent(nil), c.events[dropped:]...)
 }
@@ -110,7 +109,7 @@
 	c.digest = digest
 }
 
-// Serves implements Backend: nodes may wait at a relay for what it is sent.
+// Serves implements Backend. Nodes may connect to a relay that has not received any state yet.
 func (c *Cache) Serves() bool { return true }
 
 // ChangesAfter implements Backend.
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -13,43 +13,38 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// Sink takes what a Client receives. Calls come one at a time.
+// Sink receives what a Client gets from its server. Its methods are not called concurrently.
 type Sink interface {
-	// Revision is the highest revision applied.
+	// Revision returns the highest revision applied.
 	Revision() uint64
-	// Apply takes changes; a batch with Reset holds the whole state.
+	// Apply applies changes; with Reset set they replace the whole state.
 	Apply(changes Changes)
-	// TakeDigest takes soft state.
+	// TakeDigest receives a digest.
 	TakeDigest(digest *wirepb.ClusterDigest)
 }
 
-// Client follows one of several servers and changes to the next when it is
-// lost.
+// Client follows one of several servers and fails over to the next one.
 type Client struct {
-	// name is the node's; it decides which servers are tried first.
-	name      string
-	upstreams []string
-	// position decides which servers are near.
-	position places.Position
-	// rebalanceAfter is how long the client stays with a server while it prefers another.
-	rebalanceAfter time.Duration
-	// discover returns further servers that are known by now; may be nil.
+	// name is the name of this node; it determines the order of equally near servers.
+	name              string
+	upstreams         []string
+	position          places.Position
+	rebalanceInterval time.Duration
+	// discover returns the servers known in addition to upstreams; it may be nil.
 	discover  func() []Upstream
 	dial      dialFunc
 	sink      Sink
 	logger    *slog.Logger
 	connected *signal.Broadcast
 
-	mutex   sync.Mutex
-	conn    *wire.Conn
-	nextID  uint64
-	waiting map[uint64]chan *wirepb.Envelope
-	// last is the server connected to last.
-	last string
-	// left remembers the servers that were of no use.
-	left     departures
-	liveness Liveness
-	// handover is a connection to a better server, to be followed next.
+	mutex        sync.Mutex
+	conn         *wire.Conn
+	nextID       uint64
+	pendingCalls map[uint64]chan *wirepb.Envelope
+	lastAddress  string
+	failures     failureHistory
+	liveness     Liveness
+	// handover is an established connection to a better server, which connect returns next.
 	handover *connection
 }
 
@@ -57,65 +52,64 @@
 func NewClient(upstreams []string, self wire.Identity, sink Sink, logger *slog.Logger) *Client {
 	dial := func(ctx context.Context, address string) (*wire.Conn, error) { return wire.Dial(ctx, address, self) }
 	return &Client{
-		name: self.Hello.GetNode(), upstreams: upstreams, dial: dial, sink: sink, logger: logger, rebalanceAfter: rebalanceAfter,
-		connected: signal.New(), waiting: map[uint64]chan *wirepb.Envelope{}, left: departures{},
+		name: self.Hello.GetNode(), upstreams: upstreams, dial: dial, sink: sink, logger: logger, rebalanceInterval: rebalanceInterval,
+		connected: signal.New(), pendingCalls: map[uint64]chan *wirepb.Envelope{}, failures: failureHistory{},
 	}
 }
 
-// Run connects and follows until ctx ends.
+// Run connects to servers and follows them until ctx is done.
 func (c *Client) Run(ctx context.Context) {
-	lost := time.Now()
+	lostAt := time.Now()
 	for ctx.Err() == nil {
 		if connected, err := c.connect(ctx); err == nil {
-			c.last = connected.address
+			c.lastAddress = connected.address
 			c.logger.Info("upstream_connected", "address", connected.address, "zone", connected.conn.Peer.GetZone(),
 				"nearness", c.position.To(connected.conn.Peer.GetZone()).String())
-			since := time.Now()
+			connectedAt := time.Now()
 			c.follow(ctx, connected)
-			c.leave(connected, since)
-			lost = time.Now()
+			c.recordDisconnect(connected, connectedAt)
+			lostAt = time.Now()
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wire.RetryPause(time.Since(lost))):
+		case <-time.After(wire.RetryPause(time.Since(lostAt))):
 		}
 	}
 }
 
-// leave notes that a server, followed since a time, is followed no more, and logs why and how far
-// what it sent reaches.
-func (c *Client) leave(connected connection, since time.Time) {
+// recordDisconnect records the end of a connection and logs its reason and the last revisions
+// received.
+func (c *Client) recordDisconnect(connected connection, connectedAt time.Time) {
 	c.mutex.Lock()
-	reason, newest := c.liveness.reason, c.liveness.newest
-	if reason != LostMoved {
-		cutOff := reason == LostSilent || reason == LostBehind
-		c.left.note(since, connected.address, departure{at: time.Now(), cutOff: cutOff, zone: connected.conn.Peer.GetZone()})
+	reason, newestDigest := c.liveness.reason, c.liveness.newest
+	if reason != DisconnectRebalanced {
+		isStale := reason == DisconnectNoDigest || reason == DisconnectBehind
+		c.failures.record(connectedAt, connected.address, serverFailure{at: time.Now(), isStale: isStale, zone: connected.conn.Peer.GetZone()})
 	}
 	c.mutex.Unlock()
 	c.logger.Info("upstream_lost", "address", connected.address, "reason", string(reason),
-		"revision", c.sink.Revision(), "leader_term", newest.GetTerm(), "leader_revision", newest.GetRevision())
+		"revision", c.sink.Revision(), "leader_term", newestDigest.GetTerm(), "leader_revision", newestDigest.GetRevision())
 }
 
-// Discover makes the client try further servers, which the function returns;
-// call it before Run. Nodes that are told a few servers to begin with learn of
-// the others from the feed.
+// Discover sets a function that returns further servers, such as those named in digests. It must be
+// called before Run.
 func (c *Client) Discover(discover func() []Upstream) {
 	c.discover = discover
 }
 
-// Prefer makes the client prefer servers that are near a position; call it before Run.
+// Prefer makes the client prefer servers near a position. It must be called before Run.
 func (c *Client) Prefer(position places.Position) {
 	c.position = position
 }
 
-// connect returns the connection to a better server, if one stands ready, or tries the
-// servers in turn. Fresh state goes before nearness: whichever answers is followed.
+// connect returns the connection to a better server if rebalancing has established one, and otherwise
+// tries all servers. The first one that accepts is used even if it is not the nearest.
 func (c *Client) connect(ctx context.Context) (connection, error) {
 	servers := c.servers()
 	c.mutex.Lock()
 	handover := c.handover
 	c.handover = nil
-	servers = c.left.inTurn(c.position.Map, servers)
+	servers = c.failures.attemptOrder(c.position.Map, servers)
 	c.mutex.Unlock()
 	if handover != nil {
 		return *handover, nil
@@ -123,14 +117,14 @@
 	return connectAny(ctx, servers, c.dial)
 }
 
-// servers returns the servers known by now: in the order of preference, or as listed where no
-// others can become known.
+// servers returns the known servers in the order of preference, or in the configured order without
+// discovery.
 func (c *Client) servers() []Upstream {
 	servers := Upstreams(c.upstreams)
 	if c.discover == nil {
 		return servers
 	}
-	return byPreference(c.name, c.position, merge(append(servers, c.discover()...)))
+	return byPreference(c.name, c.position, mergeUpstreams(append(servers, c.discover()...)))
 }
 
 func (c *Client) follow(ctx context.Context, connected connection) {
@@ -138,42 +132,42 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
-	c.note(c.liveness.Connected)
-	if connected.proof != nil {
-		// The server sends it once: whoever dropped it might hold none, and would take the
-		// oldest one of the next server for news.
-		c.takeDigest(connected.proof)
+	c.updateLiveness(c.liveness.Connected)
+	if connected.probeDigest != nil {
+		// The server sends this digest only once. Without it, the client might accept an older digest
+		// of another server as new.
+		c.handleDigest(connected.probeDigest)
 	}
-	go c.watchLiveness(conn)
+	go c.monitorLiveness(conn)
 	go c.rebalance(ctx, connected)
 	c.attach(conn)
 	defer c.detach()
-	if c.listsNearer(connected) {
-		connected.first = make(chan struct{}, 1)
-		go c.watchUnlessNearer(ctx, connected)
-	} else if c.sendWatch(conn) != nil {
+	if c.shouldListNearer(connected) {
+		connected.firstDigest = make(chan struct{}, 1)
+		go c.switchNearerOrWatch(ctx, connected)
+	} else if c.sendWatchRequest(conn) != nil {
 		return
 	}
 	c.receive(connected)
 }
 
-// sendWatch asks for every change after what is held.
-func (c *Client) sendWatch(conn *wire.Conn) error {
+// sendWatchRequest requests all changes after the applied revision.
+func (c *Client) sendWatchRequest(conn *wire.Conn) error {
 	request := &wirepb.WatchRequest{AfterRevision: c.sink.Revision(), Lists: true}
 	return conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_WatchRequest{WatchRequest: request}})
 }
 
-// watchLiveness drops a connection whose server is cut off without a word, or lacks what the
-// leader holds.
-func (c *Client) watchLiveness(conn *wire.Conn) {
-	ticker := time.NewTicker(lookInterval)
+// monitorLiveness closes the connection once its server has stopped sending new digests or lacks
+// changes that the leader has committed.
+func (c *Client) monitorLiveness(conn *wire.Conn) {
+	ticker := time.NewTicker(livenessCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-conn.Done():
 			return
 		case <-ticker.C:
-			if c.noteLoss() {
+			if c.checkLiveness() {
 				conn.Close()
 				return
 			}
@@ -181,8 +175,8 @@
 	}
 }
 
-// noteLoss reports whether the server should be left, and notes why.
-func (c *Client) noteLoss() bool {
+// checkLiveness reports whether to disconnect from the server, and records the reason.
+func (c *Client) checkLiveness() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	reason, lost := c.liveness.Look(time.Now())
@@ -192,13 +186,13 @@
 	return lost
 }
 
-// Woke begins anew with a server after a sleep of this machine. The clock of the liveness has
-// stood still, so that it would take what it holds for new.
+// Woke reconnects after this machine was suspended. The monotonic clock stopped meanwhile, so the
+// liveness check would treat outdated state as fresh.
 func (c *Client) Woke() {
 	c.mutex.Lock()
 	conn := c.conn
 	if conn != nil {
-		c.liveness.reason = LostSlept
+		c.liveness.reason = DisconnectSuspended
 	}
 	c.mutex.Unlock()
 	if conn != nil {
@@ -213,15 +207,15 @@
 	c.connected.Notify()
 }
 
-// detach fails every outstanding call: whether they were carried out is not
-// known, and callers that may ask again do so under the same identity.
+// detach fails all pending calls. Their outcome is unknown; callers that retry must use the same
+// request identity.
 func (c *Client) detach() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.conn = nil
-	for id, reply := range c.waiting {
+	for id, reply := range c.pendingCalls {
 		close(reply)
-		delete(c.waiting, id)
+		delete(c.pendingCalls, id)
 	}
 }
 
@@ -231,7 +225,7 @@
 	if digests == nil {
 		digests = &DigestReceiver{}
 	}
-	lists := &listReceiver{}
+	decoder := &listDecoder{}
 	for {
 		envelope, err := conn.Receive()
 		if err != nil {
@@ -239,29 +233,29 @@
 		}
 		switch body := envelope.GetBody().(type) {
 		case *wirepb.Envelope_WatchBatch:
-			list = c.takeBatch(list, body.WatchBatch)
+			list = c.handleBatch(list, body.WatchBatch)
 		case *wirepb.Envelope_WatchListPart:
-			if !c.takeListPart(lists, body.WatchListPart) {
+			if !c.handleListPart(decoder, body.WatchListPart) {
 				return
 			}
 		case *wirepb.Envelope_ClusterDigest:
 			if digest := digests.Complete(body.ClusterDigest); digest != nil {
-				c.takeDigest(digest)
-				connected.noteFirst()
+				c.handleDigest(digest)
+				connected.notifyFirstDigest()
 			}
 		case *wirepb.Envelope_ProposalResult, *wirepb.Envelope_StatusReply, *wirepb.Envelope_PermitReply:
-			c.complete(envelope)
+			c.deliverReply(envelope)
 		}
 	}
 }
 
-// takeBatch applies changes that are newer than what is held. Parts of a
-// list are gathered until the last has come.
-func (c *Client) takeBatch(list []*wirepb.WatchEvent, batch *wirepb.WatchBatch) []*wirepb.WatchEvent {
+// handleBatch applies changes that are newer than the applied revision. It accumulates the parts of a
+// list until the last one has arrived.
+func (c *Client) handleBatch(list []*wirepb.WatchEvent, batch *wirepb.WatchBatch) []*wirepb.WatchEvent {
 	if batch.GetReset_() {
 		list = append(list, batch.GetEvents()...)
 		if batch.GetMore() {
-			c.note(c.liveness.TakePart)
+			c.updateLiveness(c.liveness.TakePart)
 			return list
 		}
 		c.applyList(Changes{Events: list, Revision: batch.GetRevision(), Reset: true})
@@ -274,88 +268,83 @@
 		}
 		return nil
 	}
-	if fresh, any := Fresh(c.sink.Revision(), changes); any {
-		c.sink.Apply(fresh)
-		c.noteApplied()
+	if newer, isNewer := Fresh(c.sink.Revision(), changes); isNewer {
+		c.sink.Apply(newer)
+		c.recordApplied()
 	}
 	return nil
 }
 
-// takeDigest notes a digest and passes it on.
-func (c *Client) takeDigest(digest *wirepb.ClusterDigest) {
-	held := c.sink.Revision()
-	c.note(func(now time.Time) { c.liveness.Take(now, digest, held) })
+func (c *Client) handleDigest(digest *wirepb.ClusterDigest) {
+	applied := c.sink.Revision()
+	c.updateLiveness(func(now time.Time) { c.liveness.Take(now, digest, applied) })
 	c.sink.TakeDigest(digest)
 }
 
-// noteApplied brings the liveness in step with the sink.
-func (c *Client) noteApplied() {
-	held := c.sink.Revision()
-	c.note(func(now time.Time) { c.liveness.Applied(now, held) })
+func (c *Client) recordApplied() {
+	applied := c.sink.Revision()
+	c.updateLiveness(func(now time.Time) { c.liveness.Applied(now, applied) })
 }
 
-// takeListPart takes a part of a compressed list. It returns whether the server may be
-// followed on.
-func (c *Client) takeListPart(lists *listReceiver, part *wirepb.WatchListPart) bool {
-	c.note(c.liveness.TakePart)
-	listed, done, err := lists.take(part)
+// handleListPart adds a part of a compressed list. It returns false if the connection must be closed.
+func (c *Client) handleListPart(decoder *listDecoder, part *wirepb.WatchListPart) bool {
+	c.updateLiveness(c.liveness.TakePart)
+	changes, done, err := decoder.add(part)
 	if err != nil {
-		c.logger.Warn("list_not_taken", "server", c.last, "error", fault.Message(err))
+		c.logger.Warn("list_not_taken", "server", c.lastAddress, "error", fault.Message(err))
 		return false
 	}
 	if done {
-		c.applyList(listed)
+		c.applyList(changes)
 	}
 	return true
 }
 
-// applyList takes over a whole state. That takes a while where there are thousands of
-// machines.
-func (c *Client) applyList(listed Changes) {
-	fresh, any := Fresh(c.sink.Revision(), listed)
-	if !any {
+// applyList replaces the whole state, which takes long enough to delay the receipt of digests.
+func (c *Client) applyList(changes Changes) {
+	newer, isNewer := Fresh(c.sink.Revision(), changes)
+	if !isNewer {
 		return
 	}
-	c.note(func(now time.Time) { c.liveness.Apply(now, true) })
-	c.sink.Apply(fresh)
-	c.note(func(now time.Time) { c.liveness.Apply(now, false) })
-	c.noteApplied()
+	c.updateLiveness(func(now time.Time) { c.liveness.Apply(now, true) })
+	c.sink.Apply(newer)
+	c.updateLiveness(func(now time.Time) { c.liveness.Apply(now, false) })
+	c.recordApplied()
 }
 
-// note brings the liveness up to date.
-func (c *Client) note(update func(now time.Time)) {
+func (c *Client) updateLiveness(update func(now time.Time)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	update(time.Now())
 }
 
-func (c *Client) complete(envelope *wirepb.Envelope) {
+func (c *Client) deliverReply(envelope *wirepb.Envelope) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if reply := c.waiting[envelope.GetRequestId()]; reply != nil {
+	if reply := c.pendingCalls[envelope.GetRequestId()]; reply != nil {
 		reply <- envelope
-		delete(c.waiting, envelope.GetRequestId())
+		delete(c.pendingCalls, envelope.GetRequestId())
 	}
 }
 
-// Send queues an envelope to the server in use.
+// Send queues an envelope for the connected server.
 func (c *Client) Send(envelope *wirepb.Envelope) error {
 	c.mutex.Lock()
 	conn := c.conn
 	c.mutex.Unlock()
 	if conn == nil {
-		return fault.Unavailable.New("no control node is connected")
+		return fault.Unavailable.New("not connected to a control node")
 	}
 	return conn.Send(envelope)
 }
 
-// Connected returns a channel that is closed at the next connection.
+// Connected returns a channel that is closed when the next connection is established.
 func (c *Client) Connected() <-chan struct{} {
 	return c.connected.Wait()
 }
 
-// Propose carries a command to the leader. An Unavailable error leaves open
-// whether it was carried out.
+// Propose sends a command to the leader. After an Unavailable error it is unknown whether the command
+// was executed.
 func (c *Client) Propose(ctx context.Context, command *wirepb.Command) (*wirepb.CommandResult, error) {
 	answer, err := c.call(ctx, &wirepb.Envelope{Body: &wirepb.Envelope_Proposal{Proposal: command}})
 	if err != nil {
@@ -364,21 +353,20 @@
 	return checkResult(answer.GetProposalResult())
 }
 
-// Confirm returns the revision that the leader held after the call was made.
-// Whoever has applied as much holds everything that was committed before.
+// Confirm returns a revision that includes everything committed before the call, as reported by the
+// leader.
 func (c *Client) Confirm(ctx context.Context) (uint64, error) {
 	status, err := c.Status(ctx, &wirepb.StatusRequest{RevisionOnly: true})
 	if err != nil {
 		return 0, err
 	}
 	if status.GetLeader() == "" {
-		return 0, fault.Unavailable.New("there is no leader to confirm a revision")
+		return 0, fault.Unavailable.New("no leader is available to confirm a revision")
 	}
 	return status.GetRevision(), nil
 }
 
-// Status returns the leader's view of the cluster, empty where the server could
-// not reach a leader.
+// Status returns the leader's view of the cluster. It is empty if the server could not reach a leader.
 func (c *Client) Status(ctx context.Context, request *wirepb.StatusRequest) (*wirepb.StatusReply, error) {
 	answer, err := c.call(ctx, &wirepb.Envelope{Body: &wirepb.Envelope_StatusRequest{StatusRequest: request}})
 	if err != nil {
@@ -387,7 +375,7 @@
 	return answer.GetStatusReply(), nil
 }
 
-// call sends an envelope and waits for the one that repeats its id.
+// call sends an envelope and waits for the reply with the same request ID.
 func (c *Client) call(ctx context.Context, envelope *wirepb.Envelope) (*wirepb.Envelope, error) {
 	reply := make(chan *wirepb.Envelope, 1)
 	c.mutex.Lock()
@@ -395,29 +383,29 @@
 	c.nextID++
 	id := c.nextID
 	if conn != nil {
-		c.waiting[id] = reply
+		c.pendingCalls[id] = reply
 	}
 	c.mutex.Unlock()
 	if conn == nil {
-		return nil, fault.Unavailable.New("no control node is connected")
+		return nil, fault.Unavailable.New("not connected to a control node")
 	}
-	defer c.forget(id)
+	defer c.dropCall(id)
 	envelope.RequestId = id
 	if err := conn.Send(envelope); err != nil {
 		return nil, err
 	}
 	select {
-	case answer, answered := <-reply:
-		if !answered {
+	case answer, ok := <-reply:
+		if !ok {
 			return nil, fault.Unavailable.New("the connection to the control plane was lost")
 		}
 		return answer, nil
 	case <-ctx.Done():
-		return nil, fault.Deadline.New("no answer from the control plane in time")
+		return nil, fault.Deadline.New("the control plane did not reply in time")
 	}
 }
 
-// checkResult turns "unavailable" into an error; other failures are results.
+// checkResult converts an unavailable result into an error. Other failures are returned as results.
 func checkResult(result *wirepb.CommandResult) (*wirepb.CommandResult, error) {
 	if result.GetCode() == wirepb.ResultCode_RESULT_CODE_UNAVAILABLE && result.GetWrite() == nil {
 		return nil, fault.Unavailable.New("%s", result.GetMessage())
@@ -425,8 +413,8 @@
 	return result, nil
 }
 
-func (c *Client) forget(id uint64) {
+func (c *Client) dropCall(id uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.waiting, id)
+	delete(c.pendingCalls, id)
 }
--- a/internal/feed/confirm.go
+++ b/internal/feed/confirm.go
@@ -9,28 +9,26 @@
 )
 
 const (
-	// confirmInterval is how often a client without an answer asks again.
-	confirmInterval = 50 * time.Millisecond
-	// confirmTimeout bounds one question; an election is mostly over by then.
+	confirmRetryInterval = 50 * time.Millisecond
+	// confirmTimeout exceeds the usual duration of an election.
 	confirmTimeout = 500 * time.Millisecond
-	// confirmPoll is how often a server looks for a leader to ask. It costs a read of
-	// its own status, and a call of a few bytes once there is a leader.
-	confirmPoll = 5 * time.Millisecond
+	// leaderPollInterval may be short, since a poll without a leader only reads local status.
+	leaderPollInterval = 5 * time.Millisecond
 )
 
-// Confirmed is a Sink that must not be used before it holds what the leader
-// held after it had started.
-type Confirmed interface {
-	// Current reports whether it may be used.
+// ConfirmableSink is a Sink that must not be used before it has applied a revision that the leader
+// reported after the start of the process.
+type ConfirmableSink interface {
+	// Current reports whether the sink may be used.
 	Current() bool
-	// Confirm takes a revision that the leader held after the start.
+	// Confirm sets a revision that the leader reported after the start of the process.
 	Confirm(revision uint64)
 }
 
-// ConfirmUntilCurrent asks the leader for its revision, through whichever
-// server is connected, until the sink is current.
-func (c *Client) ConfirmUntilCurrent(ctx context.Context, sink Confirmed) {
-	ticker := time.NewTicker(confirmInterval)
+// ConfirmUntilCurrent requests the leader's revision from the connected server until the sink is
+// current.
+func (c *Client) ConfirmUntilCurrent(ctx context.Context, sink ConfirmableSink) {
+	ticker := time.NewTicker(confirmRetryInterval)
 	defer ticker.Stop()
 	for !sink.Current() {
 		c.confirmOnce(ctx, sink)
@@ -42,7 +40,7 @@
 	}
 }
 
-func (c *Client) confirmOnce(ctx context.Context, sink Confirmed) {
+func (c *Client) confirmOnce(ctx context.Context, sink ConfirmableSink) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if revision, err := c.Confirm(ctx); err == nil {
@@ -50,13 +48,14 @@
 	}
 }
 
-// StatusSource tells the leader's view of the cluster, or that there is no leader.
+// StatusSource returns the leader's view of the cluster. Without a leader it returns an error or a
+// reply without a leader's name.
 type StatusSource interface {
 	Status(ctx context.Context, request *wirepb.StatusRequest) (*wirepb.StatusReply, error)
 }
 
-// AwaitRevision asks for the leader's revision, again and again until there is a leader.
-func AwaitRevision(ctx context.Context, source StatusSource, poll time.Duration) (*wirepb.StatusReply, error) {
+// AwaitRevision polls the source until there is a leader, and returns its revision.
+func AwaitRevision(ctx context.Context, source StatusSource, interval time.Duration) (*wirepb.StatusReply, error) {
 	request := &wirepb.StatusRequest{RevisionOnly: true}
 	for {
 		reply, err := source.Status(ctx, request)
@@ -65,8 +64,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fault.Unavailable.New("there is no leader to confirm a revision")
-		case <-time.After(poll):
+			return nil, fault.Unavailable.New("no leader is available to confirm a revision")
+		case <-time.After(interval):
 		}
 	}
 }
--- a/internal/feed/connect.go
+++ b/internal/feed/connect.go
@@ -9,37 +9,35 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// connectStagger is how long a server has to answer before the next is tried
-// beside it: one without power says nothing, and must not hold up a node that has
-// others to turn to. (The idea is that of RFC 8305.)
-const connectStagger = 100 * time.Millisecond
+// connectAttemptDelay is the time to wait for a connection before trying the next server in parallel,
+// as in RFC 8305. Servers that are down may not respond at all.
+const connectAttemptDelay = 100 * time.Millisecond
 
 // dialFunc connects to a server; see wire.Dial.
 type dialFunc func(ctx context.Context, address string) (*wire.Conn, error)
 
-// connection is how one attempt to connect ended.
+// connection is the outcome of one connection attempt.
 type connection struct {
 	address string
 	conn    *wire.Conn
 	err     error
-	// digests holds what was received of digests before the connection is followed, proof the
-	// newest of them; nil if nothing was.
-	digests *DigestReceiver
-	proof   *wirepb.ClusterDigest
-	// first is told once a digest has been taken; nil where nobody waits for that.
-	first chan struct{}
+	// digests decodes the digests of this connection, and probeDigest is the newest one received while
+	// probing; both are nil without a probe.
+	digests     *DigestReceiver
+	probeDigest *wirepb.ClusterDigest
+	// firstDigest is signaled after each digest; it is nil if nothing waits for one.
+	firstDigest chan struct{}
 }
 
-// noteFirst tells that a digest has been taken.
-func (c *connection) noteFirst() {
+func (c *connection) notifyFirstDigest() {
 	select {
-	case c.first <- struct{}{}:
+	case c.firstDigest <- struct{}{}:
 	default:
 	}
 }
 
-// connectAny connects to the first of the servers that answers. Each is tried
-// when the one before has failed, or has not answered for connectStagger.
+// connectAny returns the first connection that is established. It tries a server when the previous
+// attempt has failed or has taken longer than connectAttemptDelay.
 func connectAny(ctx context.Context, servers []Upstream, dial dialFunc) (connection, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -57,7 +55,7 @@
 				ended <- connection{address: address, conn: conn, err: err}
 			}()
 			if started < len(servers) {
-				next.Reset(connectStagger)
+				next.Reset(connectAttemptDelay)
 			}
 		case attempt := <-ended:
 			if attempt.err == nil {
@@ -70,10 +68,10 @@
 			}
 		}
 	}
-	return connection{}, fault.Unavailable.New("none of %d servers answered", len(servers))
+	return connection{}, fault.Unavailable.New("none of %d servers accepted a connection", len(servers))
 }
 
-// closeOthers closes the connections that came about too late.
+// closeOthers closes connections that were established after another one was chosen.
 func closeOthers(ended <-chan connection, count int) {
 	for range count {
 		if attempt := <-ended; attempt.conn != nil {
--- a/internal/feed/connect_test.go
+++ b/internal/feed/connect_test.go
@@ -8,15 +8,14 @@
 	"github.com/weldline/weldline/internal/wire"
 )
 
-// TestSilentServersHoldNothingUp: after all machines had lost power, routers
-// waited a second for the first control node that they tried, which was still
-// without power, while others had been back for long.
-func TestSilentServersHoldNothingUp(t *testing.T) {
-	opened := &wire.Conn{}
+// TestConnectSkipsUnresponsiveServers checks that a server that does not respond delays connecting to
+// another one only by connectAttemptDelay.
+func TestConnectSkipsUnresponsiveServers(t *testing.T) {
+	expected := &wire.Conn{}
 	dial := func(ctx context.Context, address string) (*wire.Conn, error) {
 		switch address {
 		case "works":
-			return opened, nil
+			return expected, nil
 		case "refuses":
 			return nil, fault.Unavailable.New("refused")
 		}
@@ -24,28 +23,27 @@
 		return nil, ctx.Err()
 	}
 	tests := []struct {
-		servers []string
-		answers bool
+		servers  []string
+		connects bool
 	}{
-		{servers: []string{"works"}, answers: true},
-		{servers: []string{"silent", "works"}, answers: true},
-		{servers: []string{"silent", "refuses", "silent", "works"}, answers: true},
+		{servers: []string{"works"}, connects: true},
+		{servers: []string{"silent", "works"}, connects: true},
+		{servers: []string{"silent", "refuses", "silent", "works"}, connects: true},
 		{servers: []string{"refuses", "refuses"}},
 		{},
 	}
 	for _, test := range tests {
 		connected, err := connectAny(t.Context(), Upstreams(test.servers), dial)
-		if answers := err == nil; answers != test.answers {
-			t.Errorf("%v: answered %v", test.servers, answers)
+		if connects := err == nil; connects != test.connects {
+			t.Errorf("%v: connected %t", test.servers, connects)
 		}
-		if test.answers && (connected.conn != opened || connected.address != "works") {
+		if test.connects && (connected.conn != expected || connected.address != "works") {
 			t.Errorf("%v: connected to %s", test.servers, connected.address)
 		}
 	}
 }
 
-// TestConnectEndsWithItsContext: a node that stops does not wait for servers.
-func TestConnectEndsWithItsContext(t *testing.T) {
+func TestConnectStopsOnContextCancel(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	dial := func(ctx context.Context, _ string) (*wire.Conn, error) {
 		cancel()
@@ -53,6 +51,6 @@
 		return nil, ctx.Err()
 	}
 	if _, err := connectAny(ctx, Upstreams([]string{"silent", "silent too"}), dial); err == nil {
-		t.Error("connected to a silent server")
+		t.Error("connected to an unresponsive server")
 	}
 }
--- a/internal/feed/digest.go
+++ b/internal/feed/digest.go
@@ -6,32 +6,31 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// Newer reports whether a digest is to replace the held one, which may be
-// nil. Order is by term, then sequence, so that a deposed leader's late digest
-// changes nothing.
-func Newer(digest, held *wirepb.ClusterDigest) bool {
-	if held == nil || digest.GetTerm() != held.GetTerm() {
-		return held == nil || digest.GetTerm() > held.GetTerm()
+// Newer reports whether a digest supersedes the current one, which may be nil. Digests are ordered by
+// term and sequence, so that late digests of a former leader are ignored.
+func Newer(digest, current *wirepb.ClusterDigest) bool {
+	if current == nil || digest.GetTerm() != current.GetTerm() {
+		return current == nil || digest.GetTerm() > current.GetTerm()
 	}
-	return digest.GetSequence() > held.GetSequence()
+	return digest.GetSequence() > current.GetSequence()
 }
 
-// DigestSender leaves the roster out of digests for as long as the receiver
-// has it. It belongs to one connection.
+// DigestSender omits the roster from digests while the receiver already has it. It belongs to one
+// connection.
 type DigestSender struct {
 	last *wirepb.ClusterDigest
-	// appends is set where the receiver takes what is new in a roster without the rest.
-	appends bool
+	// appendsMachines enables sending only the machines that were appended to the last roster.
+	appendsMachines bool
 }
 
-// Envelope returns a digest as it is sent next.
+// Envelope returns the message to send for a digest.
 func (s *DigestSender) Envelope(digest *wirepb.ClusterDigest) *wirepb.Envelope {
 	sent := digest
 	switch {
 	case s.last == nil:
 	case sameRoster(s.last, digest):
 		sent = withRoster(digest, nil)
-	case s.appends && s.last.GetTerm() == digest.GetTerm() && extends(digest.GetRoster(), s.last.GetRoster()):
+	case s.appendsMachines && s.last.GetTerm() == digest.GetTerm() && extendsRoster(digest.GetRoster(), s.last.GetRoster()):
 		sent = withRoster(digest, nil)
 		sent.AppendedMachines = digest.GetRoster().GetMachines()[len(s.last.GetRoster().GetMachines()):]
 		sent.RosterBase = s.last.GetRosterSequence()
@@ -40,16 +39,15 @@
 	return &wirepb.Envelope{Body: &wirepb.Envelope_ClusterDigest{ClusterDigest: sent}}
 }
 
-// DigestReceiver completes digests whose roster was left out. It belongs to
-// one connection.
+// DigestReceiver restores the rosters that a DigestSender omitted. It belongs to one connection.
 type DigestReceiver struct {
 	last *wirepb.ClusterDigest
 }
 
-// Complete returns the digest with its roster, or nil if that never came.
+// Complete returns the digest with its roster, or nil if the roster is unknown.
 func (r *DigestReceiver) Complete(digest *wirepb.ClusterDigest) *wirepb.ClusterDigest {
 	if len(digest.GetAppendedMachines()) > 0 {
-		completed := r.appended(digest)
+		completed := r.withAppendedMachines(digest)
 		if completed != nil {
 			r.last = completed
 		}
@@ -65,31 +63,33 @@
 	return digest
 }
 
-// appended returns a digest with the roster that it extends, or nil where that is not the one held.
-func (r *DigestReceiver) appended(digest *wirepb.ClusterDigest) *wirepb.ClusterDigest {
+// withAppendedMachines returns the digest with the roster it extends, or nil if that roster is not the
+// last one received.
+func (r *DigestReceiver) withAppendedMachines(digest *wirepb.ClusterDigest) *wirepb.ClusterDigest {
 	if r.last == nil || r.last.GetTerm() != digest.GetTerm() || r.last.GetRosterSequence() != digest.GetRosterBase() {
 		return nil
 	}
-	held := r.last.GetRoster()
+	previous := r.last.GetRoster()
 	return withRoster(digest, &wirepb.Roster{
-		Nodes: held.GetNodes(), Control: held.GetControl(), ControlZones: held.GetControlZones(),
-		Machines: slices.Concat(held.GetMachines(), digest.GetAppendedMachines()),
+		Nodes: previous.GetNodes(), Control: previous.GetControl(), ControlZones: previous.GetControlZones(),
+		Machines: slices.Concat(previous.GetMachines(), digest.GetAppendedMachines()),
 	})
 }
 
-// extends reports whether a roster is another with machines behind those of it.
-func extends(roster, before *wirepb.Roster) bool {
-	held := len(before.GetMachines())
-	return held < len(roster.GetMachines()) && slices.Equal(roster.GetMachines()[:held], before.GetMachines()) &&
-		slices.Equal(roster.GetControl(), before.GetControl()) && slices.Equal(roster.GetControlZones(), before.GetControlZones()) &&
-		len(roster.GetNodes()) == 0 && len(before.GetNodes()) == 0
+// extendsRoster reports whether a roster only appends machines to the previous one.
+func extendsRoster(roster, previous *wirepb.Roster) bool {
+	length := len(previous.GetMachines())
+	return length < len(roster.GetMachines()) && slices.Equal(roster.GetMachines()[:length], previous.GetMachines()) &&
+		slices.Equal(roster.GetControl(), previous.GetControl()) && slices.Equal(roster.GetControlZones(), previous.GetControlZones()) &&
+		len(roster.GetNodes()) == 0 && len(previous.GetNodes()) == 0
 }
 
 func sameRoster(left, right *wirepb.ClusterDigest) bool {
 	return left.GetTerm() == right.GetTerm() && left.GetRosterSequence() == right.GetRosterSequence()
 }
 
-// withRoster copies a digest, whose parts are shared and must not be changed.
+// withRoster returns a shallow copy of a digest with another roster. Digests are shared and must not
+// be modified.
 func withRoster(digest *wirepb.ClusterDigest, roster *wirepb.Roster) *wirepb.ClusterDigest {
 	return &wirepb.ClusterDigest{
 		Term: digest.GetTerm(), Sequence: digest.GetSequence(), Leader: digest.GetLeader(), Routers: digest.GetRouters(),
@@ -101,7 +101,7 @@
 	}
 }
 
-// WithoutHistory returns a digest as it goes to nodes that never lead.
+// WithoutHistory returns a digest without the demand history, which only control nodes need.
 func WithoutHistory(digest *wirepb.ClusterDigest) *wirepb.ClusterDigest {
 	if len(digest.GetHistory()) == 0 {
 		return digest
--- a/internal/feed/digest_test.go
+++ b/internal/feed/digest_test.go
@@ -17,19 +17,19 @@
 	}
 }
 
-// TestRosterIsSentOnceAndNeverMissed sends digests over two connections: each
-// receiver sees the whole digest, and the roster travels only when it is new.
-func TestRosterIsSentOnceAndNeverMissed(t *testing.T) {
+// TestRosterIsSentOnlyWhenChanged checks on two connections that receivers get complete digests
+// although the roster is sent only when it changes.
+func TestRosterIsSentOnlyWhenChanged(t *testing.T) {
 	sent := []*wirepb.ClusterDigest{
 		digestOf(1, 1, 1), digestOf(1, 2, 1), digestOf(1, 3, 3), digestOf(2, 1, 1), digestOf(2, 2, 1),
 	}
-	travels := []bool{true, false, true, true, false}
+	hasRoster := []bool{true, false, true, true, false}
 	for connection := range 2 {
 		sender, receiver := &DigestSender{}, &DigestReceiver{}
 		for position, digest := range sent {
 			message := sender.Envelope(digest).GetClusterDigest()
-			if (message.GetRoster() != nil) != travels[position] {
-				t.Errorf("connection %d, digest %d: roster travels: %t", connection, position, message.GetRoster() != nil)
+			if (message.GetRoster() != nil) != hasRoster[position] {
+				t.Errorf("connection %d, digest %d: roster sent: %t", connection, position, message.GetRoster() != nil)
 			}
 			if complete := receiver.Complete(message); !proto.Equal(complete, digest) {
 				t.Errorf("connection %d, digest %d arrived as %v", connection, position, complete)
@@ -38,38 +38,36 @@
 	}
 }
 
-// TestDigestWithoutItsRosterIsRefused covers a sender that is out of step.
-func TestDigestWithoutItsRosterIsRefused(t *testing.T) {
+func TestDigestReceiverRejectsUnknownRoster(t *testing.T) {
 	receiver := &DigestReceiver{}
 	if receiver.Complete(withRoster(digestOf(1, 2, 1), nil)) != nil {
-		t.Error("a digest without any roster was taken")
+		t.Error("a digest without a known roster was accepted")
 	}
 	receiver.Complete(digestOf(1, 2, 1))
 	if receiver.Complete(withRoster(digestOf(2, 1, 1), nil)) != nil {
-		t.Error("a digest was completed with another term's roster")
+		t.Error("a digest was completed with the roster of another term")
 	}
 }
 
 func TestNewer(t *testing.T) {
 	order := []*wirepb.ClusterDigest{nil, digestOf(1, 5, 1), digestOf(1, 6, 1), digestOf(2, 1, 1)}
-	for older, held := range order {
-		for position, digest := range order[1:] {
-			if Newer(digest, held) != (position+1 > older) {
-				t.Errorf("digest %d over %d", position+1, older)
+	for currentIndex, current := range order {
+		for index, digest := range order[1:] {
+			if Newer(digest, current) != (index+1 > currentIndex) {
+				t.Errorf("wrong order of digests %d and %d", index+1, currentIndex)
 			}
 		}
 	}
 }
 
-// TestHistoryStaysAmongControlNodes covers digests as routers get them.
-func TestHistoryStaysAmongControlNodes(t *testing.T) {
+func TestWithoutHistory(t *testing.T) {
 	full := digestOf(3, 4, 2)
 	stripped := WithoutHistory(full)
 	if len(stripped.GetHistory()) != 0 || len(full.GetHistory()) != 1 {
-		t.Errorf("with history %v, without %v", full, stripped)
+		t.Errorf("full digest %v, stripped digest %v", full, stripped)
 	}
 	full.History = nil
 	if !proto.Equal(full, stripped) {
-		t.Errorf("the rest differs: %v, %v", full, stripped)
+		t.Errorf("digests differ in more than the history: %v, %v", full, stripped)
 	}
 }
--- a/internal/feed/digestsubset.go
+++ b/internal/feed/digestsubset.go
@@ -8,113 +8,111 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// notListed is the position of a machine that the whole roster does not list.
-const notListed = -1
+// unlistedPosition marks a machine that is not in the full roster.
+const unlistedPosition = -1
 
-// rosterIndex has the positions of the machines of the newest whole roster. All sessions use it: to
-// look for each of their machines in ten thousand names would cost more than all else.
+// rosterIndex maps machine names to positions in the latest full roster. All sessions share it, to
+// avoid a search through the roster for each of their machines.
 type rosterIndex struct {
 	roster    *wirepb.Roster
 	positions map[string]int
 }
 
-func (x *rosterIndex) of(roster *wirepb.Roster) map[string]int {
-	if x.positions == nil || x.roster != roster {
-		x.roster, x.positions = roster, make(map[string]int, len(roster.GetMachines()))
+func (i *rosterIndex) positionsOf(roster *wirepb.Roster) map[string]int {
+	if i.positions == nil || i.roster != roster {
+		i.roster, i.positions = roster, make(map[string]int, len(roster.GetMachines()))
 		for position, machine := range roster.GetMachines() {
-			x.positions[machine] = position
+			i.positions[machine] = position
 		}
 	}
-	return x.positions
+	return i.positions
 }
 
-// digestSubset cuts digests to the machines that a watcher knows. It belongs to one connection.
+// digestFilter restricts digests to the machines known to a watcher. It belongs to one connection.
 //
-// The watcher's roster only grows while the connection lasts: a machine gets its number when the
-// watcher learns of it, and keeps it. So neither what becomes of other machines nor a new one makes it
-// travel again; names are nearly all of what a digest could hold.
-type digestSubset struct {
-	// listed are the machines of the watcher's roster.
-	listed map[string]bool
-	// positions are theirs in the whole roster, in the watcher's order; notListed for those that
-	// are in it no more.
+// The watcher's roster is append-only: machines keep their positions, so changes of other machines
+// don't require sending it again. Machine names make up most of a digest.
+type digestFilter struct {
+	listedMachines map[string]bool
+	// positions maps the watcher's roster to positions in the full roster, or to unlistedPosition.
 	positions []int
 	roster    *wirepb.Roster
-	// rosterSequence is that of the digest with which the roster came first.
+	// rosterSequence is the sequence of the first digest with this roster.
 	rosterSequence uint64
-	// whole is the digest that positions were made for, chosen the subset and changes its state then.
-	whole   *wirepb.ClusterDigest
-	chosen  *subset.Subset
-	changes uint64
+	// lastDigest, lastSubset and lastMachineChanges identify the input for which positions was
+	// computed.
+	lastDigest         *wirepb.ClusterDigest
+	lastSubset         *subset.Subset
+	lastMachineChanges uint64
 }
 
-// of returns a digest with what it says of the machines of a subset, which is nil where nothing
-// is known yet. The digest itself is shared and stays as it is.
-func (d *digestSubset) of(whole *wirepb.ClusterDigest, chosen *subset.Subset, index *rosterIndex) *wirepb.ClusterDigest {
+// apply returns a copy of the digest restricted to the machines of a subset. The subset is nil before
+// the first list.
+func (d *digestFilter) apply(full *wirepb.ClusterDigest, selected *subset.Subset, index *rosterIndex) *wirepb.ClusterDigest {
 	var changes uint64
-	if chosen != nil {
-		changes = chosen.MachineChanges()
+	if selected != nil {
+		changes = selected.MachineChanges()
 	}
-	if d.whole == nil || !sameRoster(d.whole, whole) || d.chosen != chosen || d.changes != changes {
-		d.follow(whole, chosen, index.of(whole.GetRoster()))
+	if d.lastDigest == nil || !sameRoster(d.lastDigest, full) || d.lastSubset != selected || d.lastMachineChanges != changes {
+		d.updateRoster(full, selected, index.positionsOf(full.GetRoster()))
 	}
-	d.whole, d.chosen, d.changes = whole, chosen, changes
-	part := withRoster(whole, d.roster)
-	part.RosterSequence = d.rosterSequence
-	part.MachineLoads = d.pick(whole.GetMachineLoads(), 0)
-	part.MachineWork = d.pick(whole.GetMachineWork(), 0)
-	part.MachineAnswers = d.pick(whole.GetMachineAnswers(), 0)
-	part.MachineErrors = d.pick(whole.GetMachineErrors(), 0)
-	// A machine that nothing is said of may have just started.
-	part.MachineWarming = d.pick(whole.GetMachineWarming(), math.MaxUint8)
-	part.Limits = d.limits(whole.GetLimits())
-	return part
+	d.lastDigest, d.lastSubset, d.lastMachineChanges = full, selected, changes
+	filtered := withRoster(full, d.roster)
+	filtered.RosterSequence = d.rosterSequence
+	filtered.MachineLoads = d.selectValues(full.GetMachineLoads(), 0)
+	filtered.MachineWork = d.selectValues(full.GetMachineWork(), 0)
+	filtered.MachineAnswers = d.selectValues(full.GetMachineAnswers(), 0)
+	filtered.MachineErrors = d.selectValues(full.GetMachineErrors(), 0)
+	// A machine missing from the full roster may have just started and is treated as warming up.
+	filtered.MachineWarming = d.selectValues(full.GetMachineWarming(), math.MaxUint8)
+	filtered.Limits = d.filterLimits(full.GetLimits())
+	return filtered
 }
 
-// limits are those of the machines that the watcher knows.
-func (d *digestSubset) limits(all []*wirepb.MachineLimit) []*wirepb.MachineLimit {
-	var known []*wirepb.MachineLimit
+func (d *digestFilter) filterLimits(all []*wirepb.MachineLimit) []*wirepb.MachineLimit {
+	var filtered []*wirepb.MachineLimit
 	for _, limit := range all {
-		if d.listed[limit.GetMachine()] {
-			known = append(known, limit)
+		if d.listedMachines[limit.GetMachine()] {
+			filtered = append(filtered, limit)
 		}
 	}
-	return known
+	return filtered
 }
 
-// follow takes over a new roster, or a new subset.
-func (d *digestSubset) follow(whole *wirepb.ClusterDigest, chosen *subset.Subset, positions map[string]int) {
-	added := d.news(chosen, positions)
-	own := whole.GetRoster()
-	isSame := d.roster != nil && d.whole.GetTerm() == whole.GetTerm() && len(added) == 0 &&
-		slices.Equal(d.roster.GetControl(), own.GetControl()) && slices.Equal(d.roster.GetControlZones(), own.GetControlZones())
-	if !isSame {
+// updateRoster recomputes the roster and the positions for a new digest or subset.
+func (d *digestFilter) updateRoster(full *wirepb.ClusterDigest, selected *subset.Subset, positions map[string]int) {
+	added := d.newMachines(selected, positions)
+	roster := full.GetRoster()
+	isUnchanged := d.roster != nil && d.lastDigest.GetTerm() == full.GetTerm() && len(added) == 0 &&
+		slices.Equal(d.roster.GetControl(), roster.GetControl()) && slices.Equal(d.roster.GetControlZones(), roster.GetControlZones())
+	if !isUnchanged {
 		machines := slices.Concat(d.roster.GetMachines(), added)
-		d.roster = &wirepb.Roster{Machines: machines, Nodes: own.GetNodes(), Control: own.GetControl(), ControlZones: own.GetControlZones()}
-		d.rosterSequence = whole.GetSequence()
+		d.roster = &wirepb.Roster{Machines: machines, Nodes: roster.GetNodes(), Control: roster.GetControl(), ControlZones: roster.GetControlZones()}
+		d.rosterSequence = full.GetSequence()
 	}
 	d.positions = d.positions[:0]
 	for _, machine := range d.roster.GetMachines() {
 		position, listed := positions[machine]
 		if !listed {
-			position = notListed
+			position = unlistedPosition
 		}
 		d.positions = append(d.positions, position)
 	}
 }
 
-// news returns the known machines of the whole roster that the watcher's does not list, sorted.
-func (d *digestSubset) news(chosen *subset.Subset, positions map[string]int) []string {
-	if chosen == nil {
+// newMachines returns the sorted names of machines that are in the subset and in the full roster, but
+// not yet in the watcher's.
+func (d *digestFilter) newMachines(selected *subset.Subset, positions map[string]int) []string {
+	if selected == nil {
 		return nil
 	}
-	if d.listed == nil {
-		d.listed = map[string]bool{}
+	if d.listedMachines == nil {
+		d.listedMachines = map[string]bool{}
 	}
 	var added []string
-	chosen.EachMachine(func(machine string) {
-		if _, listed := positions[machine]; listed && !d.listed[machine] {
-			d.listed[machine] = true
+	selected.EachMachine(func(machine string) {
+		if _, listed := positions[machine]; listed && !d.listedMachines[machine] {
+			d.listedMachines[machine] = true
 			added = append(added, machine)
 		}
 	})
@@ -122,25 +120,25 @@
 	return added
 }
 
-// pick returns the numbers of the watcher's machines, with a number of its own for those that the
-// whole roster does not list. What lies behind the end stands for nothing, in the whole as in the part.
-func (d *digestSubset) pick(whole []byte, unlisted byte) []byte {
-	var part []byte
-	for number, position := range d.positions {
+// selectValues returns the values of the watcher's machines, with unlistedValue for those missing from
+// the full roster. Trailing zeros are omitted, as in the full digest.
+func (d *digestFilter) selectValues(values []byte, unlistedValue byte) []byte {
+	var selected []byte
+	for index, position := range d.positions {
 		value := byte(0)
 		switch {
-		case position == notListed:
-			value = unlisted
-		case position < len(whole):
-			value = whole[position]
+		case position == unlistedPosition:
+			value = unlistedValue
+		case position < len(values):
+			value = values[position]
 		}
 		if value == 0 {
 			continue
 		}
-		for len(part) < number {
-			part = append(part, 0)
+		for len(selected) < index {
+			selected = append(selected, 0)
 		}
-		part = append(part, value)
+		selected = append(selected, value)
 	}
-	return part
+	return selected
 }
--- a/internal/feed/harness_test.go
+++ b/internal/feed/harness_test.go
@@ -10,50 +10,49 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// running is what runs for a test, and ends with it.
-type running struct {
+// testEnvironment runs workers until the end of a test.
+type testEnvironment struct {
 	t       *testing.T
 	ctx     context.Context
 	workers sync.WaitGroup
 }
 
-func newRunning(t *testing.T) *running {
+func newTestEnvironment(t *testing.T) *testEnvironment {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	created := &running{t: t, ctx: ctx}
+	env := &testEnvironment{t: t, ctx: ctx}
 	t.Cleanup(func() {
 		cancel()
-		created.workers.Wait()
+		env.workers.Wait()
 	})
-	return created
+	return env
 }
 
-// run runs something until the test ends.
-func (r *running) run(work func(ctx context.Context)) {
-	r.workers.Go(func() { work(r.ctx) })
+// start runs a function until the end of the test.
+func (e *testEnvironment) start(work func(ctx context.Context)) {
+	e.workers.Go(func() { work(e.ctx) })
 }
 
-// serve serves a backend under a name, and returns where.
-func (r *running) serve(name string, backend Backend) (address string) {
-	r.t.Helper()
+// startServer serves a backend and returns the address.
+func (e *testEnvironment) startServer(name string, backend Backend) (address string) {
+	e.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		r.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	server := NewServer(backend, identityOf(name), places.Map{}, slog.New(slog.DiscardHandler), nil)
-	r.run(func(ctx context.Context) { _ = server.Serve(ctx, listener) })
+	e.start(func(ctx context.Context) { _ = server.Serve(ctx, listener) })
 	return listener.Addr().String()
 }
 
-// client returns a client of a server, which does not run yet.
-func client(name, address string, sink Sink) *Client {
+// newTestClient returns a client that has not been started.
+func newTestClient(name, address string, sink Sink) *Client {
 	return NewClient([]string{address}, identityOf(name), sink, slog.New(slog.DiscardHandler))
 }
 
-// relay runs a relay behind a server.
-func (r *running) relay(address string) *Cache {
+func (e *testEnvironment) startRelay(address string) *Cache {
 	relay := NewCache()
-	relay.Attach(client("relay", address, relay))
-	r.run(relay.Run)
+	relay.Attach(newTestClient("relay", address, relay))
+	e.start(relay.Run)
 	return relay
 }
--- a/internal/feed/list.go
+++ b/internal/feed/list.go
@@ -13,37 +13,34 @@
 )
 
 const (
-	// listPartBytes is the size of a part: a twentieth of a second on a link of 10 Mbit/s,
-	// so that digests come between parts and a slow link shows progress.
-	listPartBytes = 64 << 10
-	// maxListBytes bounds what a list may unpack to.
-	maxListBytes = 1 << 30
-	// maxListLag is how many changes may follow a list before another one is made.
-	maxListLag = 4 * maxEventsPerBatch
+	// listPartBytes is small enough that digests can be sent between the parts on a slow link.
+	listPartBytes       = 64 << 10
+	maxDecodedListBytes = 1 << 30
+	// maxCachedListLag is the number of later changes after which a cached list is replaced.
+	maxCachedListLag = 4 * maxEventsPerBatch
 )
 
-// listCache makes the whole state once for all watchers that need it. After a restart of
-// everything hundreds do at the same moment, and to encode megabytes for each takes a
-// control node longer than all else.
+// listCache caches the encoded list of the whole state, to avoid encoding it for each watcher when
+// many reconnect at the same time.
 type listCache struct {
 	mutex    sync.Mutex
 	revision uint64
 	parts    []*wirepb.WatchListPart
 }
 
-// get returns a list in parts, not further behind the backend than what it still has the
-// changes of, and its revision.
+// get returns the parts of a list and its revision. The backend still has the changes after that
+// revision.
 func (l *listCache) get(backend Backend) ([]*wirepb.WatchListPart, uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	changes := backend.ChangesAfter(l.revision)
-	if l.parts != nil && !changes.Reset && len(changes.Events) <= maxListLag {
+	if l.parts != nil && !changes.Reset && len(changes.Events) <= maxCachedListLag {
 		return l.parts, l.revision, nil
 	}
 	if !changes.Reset {
 		changes = backend.ChangesAfter(0)
 	}
-	parts, err := pack(changes)
+	parts, err := encodeList(changes)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -51,14 +48,14 @@
 	return l.parts, l.revision, nil
 }
 
-// pack compresses a list and cuts it into parts.
-func pack(changes Changes) ([]*wirepb.WatchListPart, error) {
+// encodeList compresses a list and splits it into parts.
+func encodeList(changes Changes) ([]*wirepb.WatchListPart, error) {
 	encoded, err := proto.Marshal(&wirepb.WatchBatch{Events: changes.Events, Revision: changes.Revision})
 	if err != nil {
 		return nil, fault.Internal.Wrap(err, "encoding a list")
 	}
-	var packed bytes.Buffer
-	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, fault.Internal.Wrap(err, "compressing a list")
 	}
@@ -69,37 +66,37 @@
 		return nil, fault.Internal.Wrap(err, "compressing a list")
 	}
 	var parts []*wirepb.WatchListPart
-	for content := packed.Bytes(); ; {
-		length := min(len(content), listPartBytes)
-		part := &wirepb.WatchListPart{Revision: changes.Revision, Content: content[:length], More: length < len(content)}
+	for remaining := compressed.Bytes(); ; {
+		length := min(len(remaining), listPartBytes)
+		part := &wirepb.WatchListPart{Revision: changes.Revision, Content: remaining[:length], More: length < len(remaining)}
 		parts = append(parts, part)
 		if !part.GetMore() {
 			return parts, nil
 		}
-		content = content[length:]
+		remaining = remaining[length:]
 	}
 }
 
-// listReceiver puts lists together again. It belongs to one connection.
-type listReceiver struct {
-	revision uint64
-	packed   []byte
+// listDecoder reassembles lists from their parts. It belongs to one connection.
+type listDecoder struct {
+	revision   uint64
+	compressed []byte
 }
 
-// take returns the whole list with its last part; done is false before that.
-func (r *listReceiver) take(part *wirepb.WatchListPart) (listed Changes, done bool, err error) {
-	if part.GetRevision() != r.revision {
-		r.revision, r.packed = part.GetRevision(), nil
+// add returns the list and done once the last part has been added.
+func (d *listDecoder) add(part *wirepb.WatchListPart) (changes Changes, done bool, err error) {
+	if part.GetRevision() != d.revision {
+		d.revision, d.compressed = part.GetRevision(), nil
 	}
-	r.packed = append(r.packed, part.GetContent()...)
+	d.compressed = append(d.compressed, part.GetContent()...)
 	if part.GetMore() {
 		return Changes{}, false, nil
 	}
-	packed := r.packed
-	r.packed = nil
-	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxListBytes))
+	compressed := d.compressed
+	d.compressed = nil
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDecodedListBytes))
 	if err != nil {
-		return Changes{}, false, fault.Protocol.Wrap(err, "unpacking a list")
+		return Changes{}, false, fault.Protocol.Wrap(err, "decompressing a list")
 	}
 	batch := &wirepb.WatchBatch{}
 	if err := proto.Unmarshal(encoded, batch); err != nil {
--- a/internal/feed/list_test.go
+++ b/internal/feed/list_test.go
@@ -12,17 +12,17 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// listBackend holds objects and the changes since a revision.
+// listBackend serves objects and the changes after the compacted revision.
 type listBackend struct {
 	objects   []*wirepb.WatchEvent
 	events    []*wirepb.WatchEvent
 	revision  uint64
 	compacted uint64
-	// lists counts how often the whole state was put together.
-	lists int
+	// listCount is the number of times the whole state was requested.
+	listCount int
 }
 
-func (b *listBackend) put(count int) {
+func (b *listBackend) addObjects(count int) {
 	random := rand.New(rand.NewPCG(b.revision, 5))
 	for range count {
 		b.revision++
@@ -36,15 +36,14 @@
 	}
 }
 
-func (b *listBackend) forget() {
+func (b *listBackend) compact() {
 	b.compacted = b.revision
 	b.events = nil
 }
 
-// ChangesAfter implements Backend.
 func (b *listBackend) ChangesAfter(revision uint64) Changes {
 	if revision < b.compacted {
-		b.lists++
+		b.listCount++
 		return Changes{Events: b.objects, Revision: b.revision, Reset: true}
 	}
 	changes := Changes{Revision: b.revision}
@@ -76,75 +75,75 @@
 	return nil, nil
 }
 
-// TestListsAreMadeOnceForAll: after a restart of everything each of hundreds of routers had
-// the whole state encoded anew. A list is used on while its changes since are kept, and few.
-func TestListsAreMadeOnceForAll(t *testing.T) {
+// TestListCacheReusesLists guards against encoding the whole state for each of many watchers. A cached
+// list is reused while the later changes are available and few.
+func TestListCacheReusesLists(t *testing.T) {
 	backend, cache := &listBackend{}, &listCache{}
-	backend.put(3000)
-	backend.forget()
-	get := func() uint64 {
+	backend.addObjects(3000)
+	backend.compact()
+	fetch := func() uint64 {
 		t.Helper()
 		parts, revision, err := cache.get(backend)
 		if err != nil {
 			t.Fatal(err)
 		}
-		receiver := &listReceiver{}
+		decoder := &listDecoder{}
 		for position, part := range parts {
-			listed, done, err := receiver.take(part)
+			changes, done, err := decoder.add(part)
 			if err != nil || done != (position == len(parts)-1) {
 				t.Fatalf("part %d of %d: done %t, %v", position, len(parts), done, err)
 			}
 			if !done {
 				continue
 			}
-			if !listed.Reset || listed.Revision != revision || len(listed.Events) != int(revision) {
-				t.Errorf("the list of revision %d has %d objects, revision %d", revision, len(listed.Events), listed.Revision)
+			if !changes.Reset || changes.Revision != revision || len(changes.Events) != int(revision) {
+				t.Errorf("list of revision %d decoded to %d objects at revision %d", revision, len(changes.Events), changes.Revision)
 			}
-			if !proto.Equal(listed.Events[7], backend.objects[7]) {
-				t.Errorf("an object came as %v", listed.Events[7])
+			if !proto.Equal(changes.Events[7], backend.objects[7]) {
+				t.Errorf("decoded object differs: %v", changes.Events[7])
 			}
 		}
 		if len(parts) < 2 {
-			t.Errorf("a list of 3,000 objects went out in one part")
+			t.Errorf("a list of 3,000 objects was not split into parts")
 		}
 		return revision
 	}
 	for range 50 {
-		if revision := get(); revision != 3000 {
-			t.Errorf("a list of revision %d", revision)
+		if revision := fetch(); revision != 3000 {
+			t.Errorf("list has revision %d, want 3000", revision)
 		}
-		backend.put(10)
+		backend.addObjects(10)
 	}
-	if backend.lists != 1 {
-		t.Errorf("the state was listed %d times", backend.lists)
+	if backend.listCount != 1 {
+		t.Errorf("the whole state was requested %d times, want 1", backend.listCount)
 	}
-	backend.forget()
-	if revision := get(); revision != 3500 || backend.lists != 2 {
-		t.Errorf("a list whose changes are gone was used: revision %d, %d lists", revision, backend.lists)
+	backend.compact()
+	if revision := fetch(); revision != 3500 || backend.listCount != 2 {
+		t.Errorf("used a list whose later changes are unavailable: revision %d, %d lists", revision, backend.listCount)
 	}
-	backend.put(maxListLag + 1)
-	if revision := get(); revision != backend.revision {
-		t.Errorf("a list far behind was used: revision %d of %d", revision, backend.revision)
+	backend.addObjects(maxCachedListLag + 1)
+	if revision := fetch(); revision != backend.revision {
+		t.Errorf("used a list that is too far behind: revision %d of %d", revision, backend.revision)
 	}
 }
 
-// TestSpoiltListsAreRefused by a typed error, and a list that breaks off leaves nothing to
-// the next.
-func TestSpoiltListsAreRefused(t *testing.T) {
-	receiver := &listReceiver{}
-	if _, done, err := receiver.take(&wirepb.WatchListPart{Revision: 1, Content: []byte{0xff, 0xff, 1}}); done || !fault.Is(err, fault.Protocol) {
+// TestListDecoderRejectsCorruptLists checks the type of the error, and that an incomplete list does
+// not affect the next one.
+func TestListDecoderRejectsCorruptLists(t *testing.T) {
+	decoder := &listDecoder{}
+	if _, done, err := decoder.add(&wirepb.WatchListPart{Revision: 1, Content: []byte{0xff, 0xff, 1}}); done || !fault.Is(err, fault.Protocol) {
 		t.Errorf("done %t, %v", done, err)
 	}
 	backend := &listBackend{}
-	backend.put(10)
-	parts, err := pack(backend.ChangesAfter(0))
+	backend.addObjects(10)
+	parts, err := encodeList(backend.ChangesAfter(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, done, err := receiver.take(&wirepb.WatchListPart{Revision: 9, More: true, Content: []byte{7}}); done || err != nil {
+	if _, done, err := decoder.add(&wirepb.WatchListPart{Revision: 9, More: true, Content: []byte{7}}); done || err != nil {
 		t.Fatalf("done %t, %v", done, err)
 	}
-	if listed, done, err := receiver.take(parts[0]); !done || err != nil || len(listed.Events) != 10 {
-		t.Errorf("after a list that broke off: %d objects, done %t, %v", len(listed.Events), done, err)
+	if changes, done, err := decoder.add(parts[0]); !done || err != nil || len(changes.Events) != 10 {
+		t.Errorf("after an incomplete list: %d objects, done %t, %v", len(changes.Events), done, err)
 	}
 }
--- a/internal/feed/liveness.go
+++ b/internal/feed/liveness.go
@@ -7,139 +7,132 @@
 )
 
 const (
-	// silenceLimit is how long a server may bring no new digest. Digests come
-	// several times as often, so a longer silence means a server that is cut off.
-	silenceLimit = 1500 * time.Millisecond
-	// firstLimit is how long a server has for its first new digest.
-	firstLimit = 900 * time.Millisecond
-	// behindLimit is how long a server may lack changes that its digests tell of. In order, they
-	// come within some tens of milliseconds of each other. A confirmed configuration must be in
-	// force within 2 s: a digest tells of it after 0.5 s at most, and a new connection with what
-	// was missed takes about 0.1 s.
-	behindLimit = 700 * time.Millisecond
-	// lookInterval is how often a client looks whether its server should be left, and stallLimit
-	// between two looks tells that the client itself stood still.
-	lookInterval = firstLimit / 4
-	stallLimit   = 2 * lookInterval
+	// digestTimeout is the longest time without a new digest. Digests are sent every 500 ms.
+	digestTimeout = 1500 * time.Millisecond
+	// initialDigestTimeout is the time a new connection has to deliver a new digest.
+	initialDigestTimeout = 900 * time.Millisecond
+	// catchUpTimeout is the longest time a server may lack changes announced in its digests. It leaves
+	// time to fail over within 2 s of a change, of which up to 0.5 s pass until the next digest.
+	catchUpTimeout        = 700 * time.Millisecond
+	livenessCheckInterval = initialDigestTimeout / 4
+	// stallThreshold is the time between two checks above which the client itself is considered to
+	// have been stalled.
+	stallThreshold = 2 * livenessCheckInterval
 )
 
-// LossReason is why a client follows a server no more; empty while it follows one.
-type LossReason string
+// DisconnectReason is the reason why a client left a server.
+type DisconnectReason string
 
-// The reasons for leaving a server.
+// Reasons for leaving a server.
 const (
-	// LostClosed is a connection that the server closed, or that broke.
-	LostClosed LossReason = "closed"
-	// LostSilent is a server without news from a leader.
-	LostSilent LossReason = "silent"
-	// LostBehind is a server that lacks changes its digests tell of: it hears the leader, and
-	// what it holds is not what the leader holds.
-	LostBehind LossReason = "behind"
-	// LostSlept is a sleep of this machine: what came before it is out of date, and the server
-	// may have given the connection up.
-	LostSlept LossReason = "slept"
-	// LostMoved is a change to a server that the client prefers.
-	LostMoved LossReason = "moved"
+	// DisconnectClosed means that the connection was closed or broken.
+	DisconnectClosed DisconnectReason = "closed"
+	// DisconnectNoDigest means that the server sent no new digest in time.
+	DisconnectNoDigest DisconnectReason = "silent"
+	// DisconnectBehind means that the server lacks changes announced in its digests: it receives from
+	// the leader, but does not replicate its log.
+	DisconnectBehind DisconnectReason = "behind"
+	// DisconnectSuspended means that this machine was suspended, so its state is outdated and the
+	// server may have closed the connection.
+	DisconnectSuspended DisconnectReason = "slept"
+	// DisconnectRebalanced means that the client switched to a server that it prefers.
+	DisconnectRebalanced DisconnectReason = "moved"
 )
 
-// Liveness tells whether a server still hears from a leader, and holds what the leader
-// holds. Only a digest that is newer than any before is a sign of the first: a server that is
-// cut off goes on answering with what it holds. It is none of the second: a server whose
-// answers don't reach the leader gets digests, and no entries of the log.
+// Liveness detects servers that no longer receive from the leader, or whose state is behind. Only a
+// digest newer than all before shows contact with the leader, since an isolated server repeats its
+// last digest. Digests alone don't show that the state is up to date: a server whose replies don't
+// reach the leader gets digests but no log entries.
 type Liveness struct {
 	newest *wirepb.ClusterDigest
-	// missing is a revision that a digest told of and that has not been applied since
-	// missingSince; 0 if there is none.
-	missing      uint64
-	missingSince time.Time
-	// limit is in force until due.
-	due time.Time
-	// looked is when Look was called last.
-	looked time.Time
-	// applying is set while the client takes over a state and reads nothing.
+	// missingRevision is a revision announced in a digest and not applied since missingSince, or 0.
+	missingRevision uint64
+	missingSince    time.Time
+	// deadline is the time by which the next new digest or list part must arrive.
+	deadline  time.Time
+	lastCheck time.Time
+	// applying is set while the client applies a list and does not read from the connection.
 	applying bool
-	// reason is why the present server is left, or was.
-	reason LossReason
+	reason   DisconnectReason
 }
 
-// Connected begins the time of a new server.
+// Connected starts the timeouts for a new connection.
 func (l *Liveness) Connected(now time.Time) {
-	l.due = now.Add(firstLimit)
-	l.reason = LostClosed
-	l.missingSince, l.looked = now, now
+	l.deadline = now.Add(initialDigestTimeout)
+	l.reason = DisconnectClosed
+	l.missingSince, l.lastCheck = now, now
 }
 
-// Take notes a digest; held is the revision applied by then.
-func (l *Liveness) Take(now time.Time, digest *wirepb.ClusterDigest, held uint64) {
+// Take records a digest and the revision applied so far.
+func (l *Liveness) Take(now time.Time, digest *wirepb.ClusterDigest, applied uint64) {
 	if !Newer(digest, l.newest) {
 		return
 	}
 	l.newest = digest
-	l.due = now.Add(silenceLimit)
-	if l.missing == 0 {
-		l.expect(now, held)
+	l.deadline = now.Add(digestTimeout)
+	if l.missingRevision == 0 {
+		l.trackMissing(now, applied)
 	}
 }
 
-// Applied notes that everything up to the revision held is applied.
-func (l *Liveness) Applied(now time.Time, held uint64) {
-	if held >= l.missing {
-		l.expect(now, held)
+// Applied records the revision applied so far.
+func (l *Liveness) Applied(now time.Time, applied uint64) {
+	if applied >= l.missingRevision {
+		l.trackMissing(now, applied)
 	}
 }
 
-// expect begins the time for what the newest digest tells of, if that is not held.
-func (l *Liveness) expect(now time.Time, held uint64) {
-	l.missing = 0
-	if revision := l.newest.GetRevision(); revision > held {
-		l.missing, l.missingSince = revision, now
+// trackMissing starts the catch-up timeout if the newest digest announces a revision that is not
+// applied.
+func (l *Liveness) trackMissing(now time.Time, applied uint64) {
+	l.missingRevision = 0
+	if revision := l.newest.GetRevision(); revision > applied {
+		l.missingRevision, l.missingSince = revision, now
 	}
 }
 
-// TakePart notes a part of the state that more is to come of. Digests wait behind it: with
-// thousands of machines the whole state takes seconds on a slow link, and a client that gave
-// up then would begin anew with the next server, for ever. A server that is cut off has no
-// more parts once it has sent what it holds.
+// TakePart extends the deadline after a part of a list. Digests queue behind the parts, and sending a
+// large list over a slow link may take longer than the timeouts. An isolated server sends no more
+// parts once its list is complete.
 func (l *Liveness) TakePart(now time.Time) {
-	if due := now.Add(firstLimit); due.After(l.due) {
-		l.due = due
+	if deadline := now.Add(initialDigestTimeout); deadline.After(l.deadline) {
+		l.deadline = deadline
 	}
 	l.missingSince = now
 }
 
-// Apply notes that the client begins to take over what it received, or is done with it.
-// It hears nothing meanwhile.
-func (l *Liveness) Apply(now time.Time, begins bool) {
-	l.applying = begins
-	if due := now.Add(firstLimit); !begins && due.After(l.due) {
-		l.due = due
+// Apply records the start or end of applying a list, during which the client does not read from the
+// connection.
+func (l *Liveness) Apply(now time.Time, applying bool) {
+	l.applying = applying
+	if deadline := now.Add(initialDigestTimeout); !applying && deadline.After(l.deadline) {
+		l.deadline = deadline
 	}
 	l.missingSince = now
 }
 
-// Look is Lost for a client that looks every lookInterval. One that stood still meanwhile has not read
-// what its server sent: it would leave a server that brings news for whichever is next, and that may be
-// one that is cut off.
-func (l *Liveness) Look(now time.Time) (reason LossReason, lost bool) {
-	if now.Sub(l.looked) > stallLimit {
-		if due := now.Add(firstLimit); due.After(l.due) {
-			l.due = due
+// Look is like Lost, but must be called every livenessCheckInterval. After a stall of this process it
+// extends the deadline, since digests that arrived meanwhile have not been read yet.
+func (l *Liveness) Look(now time.Time) (reason DisconnectReason, lost bool) {
+	if now.Sub(l.lastCheck) > stallThreshold {
+		if deadline := now.Add(initialDigestTimeout); deadline.After(l.deadline) {
+			l.deadline = deadline
 		}
 		l.missingSince = now
 	}
-	l.looked = now
+	l.lastCheck = now
 	return l.Lost(now)
 }
 
-// Lost reports whether another server should be tried, and why.
-func (l *Liveness) Lost(now time.Time) (reason LossReason, lost bool) {
+// Lost reports whether to disconnect from the server, and why.
+func (l *Liveness) Lost(now time.Time) (reason DisconnectReason, lost bool) {
 	switch {
 	case l.applying:
 		return "", false
-	case now.After(l.due):
-		return LostSilent, true
-	case l.missing != 0 && now.After(l.missingSince.Add(behindLimit)):
-		return LostBehind, true
+	case now.After(l.deadline):
+		return DisconnectNoDigest, true
+	case l.missingRevision != 0 && now.After(l.missingSince.Add(catchUpTimeout)):
+		return DisconnectBehind, true
 	}
 	return "", false
 }
--- a/internal/feed/liveness_test.go
+++ b/internal/feed/liveness_test.go
@@ -8,173 +8,169 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestNextServerLeavesTheLast: a client that had tried as many servers as it
-// knew came back to the same one once it had learned of more, and stayed with a
-// server that was cut off.
-func TestNextServerLeavesTheLast(t *testing.T) {
+// TestAttemptOrderPutsFailedServersLast guards against returning to a failed server when further
+// servers have been discovered.
+func TestAttemptOrderPutsFailedServersLast(t *testing.T) {
 	seeds := Upstreams([]string{"a", "b", "c"})
-	grown := Upstreams([]string{"a", "b", "c", "d"})
+	allServers := Upstreams([]string{"a", "b", "c", "d"})
 	now := time.Unix(1000, 0)
-	for _, last := range grown {
-		order := departures{last.Address: {at: now}}.inTurn(places.Map{}, grown)
-		if order[0] == last || order[len(order)-1] != last || len(order) != len(grown) {
-			t.Errorf("after %s come %v", last, order)
+	for _, last := range allServers {
+		order := failureHistory{last.Address: {at: now}}.attemptOrder(places.Map{}, allServers)
+		if order[0] == last || order[len(order)-1] != last || len(order) != len(allServers) {
+			t.Errorf("order after a failure of %s: %v", last, order)
 		}
 	}
-	visited, left := map[string]bool{}, departures{"c": {at: now}}
+	visited, failures := map[string]bool{}, failureHistory{"c": {at: now}}
 	for range seeds {
 		now = now.Add(time.Second)
-		next := left.inTurn(places.Map{}, seeds)[0].Address
-		left.note(now, next, departure{at: now})
+		next := failures.attemptOrder(places.Map{}, seeds)[0].Address
+		failures.record(now, next, serverFailure{at: now})
 		visited[next] = true
 	}
 	if len(visited) != len(seeds) {
 		t.Errorf("visited %v of %v", visited, seeds)
 	}
-	if next := left.inTurn(places.Map{}, grown)[0].Address; next != "d" {
-		t.Errorf("once all seeds were left, %s comes before the one learned of", next)
+	if next := failures.attemptOrder(places.Map{}, allServers)[0].Address; next != "d" {
+		t.Errorf("%s is tried before the discovered server after failures of all seeds", next)
 	}
-	if next := (departures{"unknown": {at: now}}).inTurn(places.Map{}, seeds)[0].Address; next != "a" {
-		t.Errorf("after a server that is no longer listed comes %s", next)
+	if next := (failureHistory{"unknown": {at: now}}).attemptOrder(places.Map{}, seeds)[0].Address; next != "a" {
+		t.Errorf("%s is tried first after the failure of an unknown server", next)
 	}
 }
 
-// TestOldDigestIsNoSignOfLife: a server that is cut off sends the digest that it
-// holds to whoever connects.
-func TestOldDigestIsNoSignOfLife(t *testing.T) {
+// TestLivenessIgnoresOldDigests guards against accepting the last digest of an isolated server as new.
+func TestLivenessIgnoresOldDigests(t *testing.T) {
 	start := time.Unix(1000, 0)
 	digest := func(term, sequence uint64) *wirepb.ClusterDigest {
 		return &wirepb.ClusterDigest{Term: term, Sequence: sequence}
 	}
-	held := &Liveness{}
-	held.Connected(start)
-	held.Take(start, digest(2, 7), 0)
-	if isLost(held, start.Add(silenceLimit)) {
-		t.Error("lost within the limit")
+	liveness := &Liveness{}
+	liveness.Connected(start)
+	liveness.Take(start, digest(2, 7), 0)
+	if isLost(liveness, start.Add(digestTimeout)) {
+		t.Error("lost before the timeout")
 	}
-	later := start.Add(silenceLimit + time.Millisecond)
-	if !isLost(held, later) {
-		t.Error("not lost after the limit")
+	later := start.Add(digestTimeout + time.Millisecond)
+	if !isLost(liveness, later) {
+		t.Error("not lost after the timeout")
 	}
-	held.Connected(later)
-	held.Take(later, digest(2, 7), 0)
-	if !isLost(held, later.Add(firstLimit+time.Millisecond)) {
-		t.Error("the digest held before counts as a sign of life")
+	liveness.Connected(later)
+	liveness.Take(later, digest(2, 7), 0)
+	if !isLost(liveness, later.Add(initialDigestTimeout+time.Millisecond)) {
+		t.Error("an old digest extended the deadline")
 	}
-	held.Take(later, digest(2, 8), 0)
-	if isLost(held, later.Add(firstLimit+time.Millisecond)) {
-		t.Error("a newer digest does not count")
+	liveness.Take(later, digest(2, 8), 0)
+	if isLost(liveness, later.Add(initialDigestTimeout+time.Millisecond)) {
+		t.Error("a newer digest did not extend the deadline")
 	}
 }
 
-// TestLongStatesAreNoSilence: with 3,000 machines the whole state took longer on the link of
-// a router than a server has for its first digest, which waits behind it, and longer to take
-// over. The router gave up, began anew with the next server, and never served.
-func TestLongStatesAreNoSilence(t *testing.T) {
+// TestLivenessDuringLongLists guards against disconnecting while a large list is received or applied,
+// which delays digests.
+func TestLivenessDuringLongLists(t *testing.T) {
 	now := time.Unix(1000, 0)
-	held := &Liveness{}
-	held.Connected(now)
+	liveness := &Liveness{}
+	liveness.Connected(now)
 	for range 10 {
-		now = now.Add(firstLimit / 2)
-		if isLost(held, now) {
-			t.Fatal("lost while parts of the state come")
+		now = now.Add(initialDigestTimeout / 2)
+		if isLost(liveness, now) {
+			t.Fatal("lost while receiving parts of a list")
 		}
-		held.TakePart(now)
+		liveness.TakePart(now)
 	}
-	held.Apply(now, true)
-	now = now.Add(10 * firstLimit)
-	if isLost(held, now) {
-		t.Error("lost while the state is taken over")
+	liveness.Apply(now, true)
+	now = now.Add(10 * initialDigestTimeout)
+	if isLost(liveness, now) {
+		t.Error("lost while applying a list")
 	}
-	held.Apply(now, false)
-	if isLost(held, now.Add(firstLimit)) {
-		t.Error("lost before a digest could be read")
+	liveness.Apply(now, false)
+	if isLost(liveness, now.Add(initialDigestTimeout)) {
+		t.Error("lost before a digest could be read after applying a list")
 	}
-	if !isLost(held, now.Add(firstLimit+time.Millisecond)) {
-		t.Error("a server that sends nothing more is not lost")
+	if !isLost(liveness, now.Add(initialDigestTimeout+time.Millisecond)) {
+		t.Error("not lost although nothing was received after the list")
 	}
 }
 
-func isLost(held *Liveness, now time.Time) bool {
-	_, lost := held.Lost(now)
+func isLost(liveness *Liveness, now time.Time) bool {
+	_, lost := liveness.Lost(now)
 	return lost
 }
 
-// TestServerThatLacksWhatItsDigestsTellOf: a control node whose answers did not reach the leader
-// got digests without end and no entries. The digests counted as proof that it was up to date.
-func TestServerThatLacksWhatItsDigestsTellOf(t *testing.T) {
+// TestLivenessDetectsMissingRevisions guards against staying with a server that receives digests but
+// no log entries.
+func TestLivenessDetectsMissingRevisions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	digest := func(sequence, revision uint64) *wirepb.ClusterDigest {
 		return &wirepb.ClusterDigest{Term: 2, Sequence: sequence, Revision: revision}
 	}
-	held := &Liveness{}
-	held.Connected(now)
-	held.Take(now, digest(1, 40), 40)
-	if isLost(held, now.Add(silenceLimit)) {
-		t.Error("lost although nothing is missing")
+	liveness := &Liveness{}
+	liveness.Connected(now)
+	liveness.Take(now, digest(1, 40), 40)
+	if isLost(liveness, now.Add(digestTimeout)) {
+		t.Error("lost although no revision is missing")
 	}
-	held.Take(now, digest(2, 45), 40)
-	held.Take(now.Add(behindLimit/2), digest(3, 46), 40)
-	if isLost(held, now.Add(behindLimit)) {
-		t.Error("lost within the limit")
+	liveness.Take(now, digest(2, 45), 40)
+	liveness.Take(now.Add(catchUpTimeout/2), digest(3, 46), 40)
+	if isLost(liveness, now.Add(catchUpTimeout)) {
+		t.Error("lost before the timeout")
 	}
-	if reason, lost := held.Lost(now.Add(behindLimit + time.Millisecond)); !lost || reason != LostBehind {
-		t.Errorf("revision 45 has been missing for longer than the limit: %q, %t", reason, lost)
+	if reason, lost := liveness.Lost(now.Add(catchUpTimeout + time.Millisecond)); !lost || reason != DisconnectBehind {
+		t.Errorf("revision 45 is missing beyond the timeout: reason %q, lost %t", reason, lost)
 	}
-	// What was missing has come; what the newest digest tells of has a time of its own.
-	later := now.Add(behindLimit)
-	held.Applied(later, 45)
-	if isLost(held, later.Add(behindLimit)) {
-		t.Error("lost for a revision that has come")
+	// Once the missing revision is applied, the newest digest starts a timeout of its own.
+	later := now.Add(catchUpTimeout)
+	liveness.Applied(later, 45)
+	if isLost(liveness, later.Add(catchUpTimeout)) {
+		t.Error("lost for a revision that has been applied")
 	}
-	if !isLost(held, later.Add(behindLimit+time.Millisecond)) {
-		t.Error("revision 46 is never missed")
+	if !isLost(liveness, later.Add(catchUpTimeout+time.Millisecond)) {
+		t.Error("not lost although revision 46 is missing")
 	}
-	// Another server gets the same time, and parts of a list stretch it.
-	held.Connected(later.Add(behindLimit))
-	held.TakePart(later.Add(2 * behindLimit))
-	if isLost(held, later.Add(2*behindLimit+behindLimit/2)) {
-		t.Error("lost while parts of the state come")
+	// A new connection restarts the timeout, and parts of a list extend it.
+	liveness.Connected(later.Add(catchUpTimeout))
+	liveness.TakePart(later.Add(2 * catchUpTimeout))
+	if isLost(liveness, later.Add(2*catchUpTimeout+catchUpTimeout/2)) {
+		t.Error("lost while receiving parts of a list")
 	}
-	held.Applied(later.Add(2*behindLimit), 50)
-	if isLost(held, later.Add(3*behindLimit)) {
-		t.Error("lost although everything is applied")
+	liveness.Applied(later.Add(2*catchUpTimeout), 50)
+	if isLost(liveness, later.Add(3*catchUpTimeout)) {
+		t.Error("lost although all revisions are applied")
 	}
 }
 
-// TestClientThatStoodStillReadsFirst: seen was a client that left a server which brought news for one that
-// had none, in a run beside heavy load. A stop of the whole process for 2 s brings it about each time: the
-// limit for the next digest passes while what came in time lies unread. The server then has as long as a
-// new one for its next digest, and no longer.
-func TestClientThatStoodStillReadsFirst(t *testing.T) {
+// TestLivenessAfterClientStall guards against disconnecting after a stall of this process, before the
+// digests that arrived meanwhile are read. The server then has as long as after connecting to send its
+// next digest.
+func TestLivenessAfterClientStall(t *testing.T) {
 	now := time.Unix(1000, 0)
-	look := func(held *Liveness, span time.Duration) bool {
-		now = now.Add(span)
-		_, lost := held.Look(now)
+	checkAfter := func(liveness *Liveness, elapsed time.Duration) bool {
+		now = now.Add(elapsed)
+		_, lost := liveness.Look(now)
 		return lost
 	}
-	held := &Liveness{}
-	held.Connected(now)
-	held.Take(now, &wirepb.ClusterDigest{Term: 1, Sequence: 1, Revision: 5}, 4)
-	if look(held, 2*time.Second) {
-		t.Error("lost right after the client stood still")
-	}
-	held.Take(now, &wirepb.ClusterDigest{Term: 1, Sequence: 2, Revision: 5}, 5)
-	held.Applied(now, 5)
-	for range int(silenceLimit / lookInterval) {
-		if look(held, lookInterval) {
-			t.Fatal("lost though it brought news")
+	liveness := &Liveness{}
+	liveness.Connected(now)
+	liveness.Take(now, &wirepb.ClusterDigest{Term: 1, Sequence: 1, Revision: 5}, 4)
+	if checkAfter(liveness, 2*time.Second) {
+		t.Error("lost right after a stall of the client")
+	}
+	liveness.Take(now, &wirepb.ClusterDigest{Term: 1, Sequence: 2, Revision: 5}, 5)
+	liveness.Applied(now, 5)
+	for range int(digestTimeout / livenessCheckInterval) {
+		if checkAfter(liveness, livenessCheckInterval) {
+			t.Fatal("lost although a newer digest has arrived")
 		}
 	}
-	if !look(held, lookInterval) {
-		t.Error("not lost though it fell silent")
+	if !checkAfter(liveness, livenessCheckInterval) {
+		t.Error("not lost although no newer digest has arrived")
 	}
-	held.Connected(now)
-	look(held, 2*time.Second)
-	for range int(firstLimit / lookInterval) {
-		look(held, lookInterval)
+	liveness.Connected(now)
+	checkAfter(liveness, 2*time.Second)
+	for range int(initialDigestTimeout / livenessCheckInterval) {
+		checkAfter(liveness, livenessCheckInterval)
 	}
-	if !look(held, lookInterval) {
-		t.Error("not lost though it brought nothing after the client stood still")
+	if !checkAfter(liveness, livenessCheckInterval) {
+		t.Error("not lost although no digest has arrived after a stall of the client")
 	}
 }
--- a/internal/feed/nearer.go
+++ b/internal/feed/nearer.go
@@ -8,62 +8,58 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// A node that has just started knows a few servers by its settings, and not where they stand. The whole
-// state is the largest thing that it is ever sent; from another zone each of hundreds of nodes would get
-// it over links that are paid for, and list again once it moves to a near server. So it first learns of
-// the servers by a digest, and lists at a near one.
+// A new node knows only a few servers from its settings, without their zones. To avoid transferring
+// the whole state between zones, it waits for the first digest, which names all servers, and requests
+// the list from one nearby.
 
 const (
-	// firstDigestLimit is how long a node without any state waits for a digest, which a server
-	// that has one sends at once: several round trips between regions, and a small part of the
-	// seconds in which a node has to be ready. Without one it lists where it is.
-	firstDigestLimit = 200 * time.Millisecond
-	// nearerLimit is how long the near servers have to take a connection.
-	nearerLimit = 400 * time.Millisecond
-	// nearerTries is how many of them are tried.
-	nearerTries = 3
+	// discoveryDigestTimeout allows for several round trips between regions. A server that has a
+	// digest sends it at once.
+	discoveryDigestTimeout = 200 * time.Millisecond
+	// nearerConnectTimeout bounds the connection attempts to all nearer servers together.
+	nearerConnectTimeout = 400 * time.Millisecond
+	maxNearerAttempts    = 3
 )
 
-// listsNearer reports whether the client, which holds nothing, should look for a nearer server
-// before it lists.
-func (c *Client) listsNearer(connected connection) bool {
+// shouldListNearer reports whether the client has no state yet and should look for a server in its own
+// zone.
+func (c *Client) shouldListNearer(connected connection) bool {
 	return c.discover != nil && c.sink.Revision() == 0 && c.position.To(connected.conn.Peer.GetZone()) != places.SameZone
 }
 
-// watchUnlessNearer changes over to a nearer server that the first digest names, or asks the present
-// one for the state.
-func (c *Client) watchUnlessNearer(ctx context.Context, connected connection) {
+// switchNearerOrWatch switches to a nearer server named in the first digest, or requests the state
+// from the current one.
+func (c *Client) switchNearerOrWatch(ctx context.Context, connected connection) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-connected.conn.Done():
 		return
-	case <-connected.first:
-	case <-time.After(firstDigestLimit):
+	case <-connected.firstDigest:
+	case <-time.After(discoveryDigestTimeout):
 	}
 	if nearer, found := c.connectNearer(ctx, connected); found {
-		c.moveTo(nearer, connected)
+		c.switchTo(nearer, connected)
 		return
 	}
-	if c.sendWatch(connected.conn) != nil {
+	if c.sendWatchRequest(connected.conn) != nil {
 		connected.conn.Close()
 	}
 }
 
-// connectNearer connects to one of the first servers that stand nearer than the present one.
 func (c *Client) connectNearer(ctx context.Context, connected connection) (connection, bool) {
-	present := c.position.To(connected.conn.Peer.GetZone())
-	nearer := slices.DeleteFunc(c.preferredTo(connected.address), func(server Upstream) bool {
-		return server.Zone == "" || c.position.To(server.Zone) >= present
+	currentProximity := c.position.To(connected.conn.Peer.GetZone())
+	nearer := slices.DeleteFunc(c.preferredOver(connected.address), func(server Upstream) bool {
+		return server.Zone == "" || c.position.To(server.Zone) >= currentProximity
 	})
 	if len(nearer) == 0 {
 		return connection{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, nearerLimit)
+	ctx, cancel := context.WithTimeout(ctx, nearerConnectTimeout)
 	defer cancel()
-	found, err := connectAny(ctx, nearer[:min(len(nearer), nearerTries)], c.dial)
+	found, err := connectAny(ctx, nearer[:min(len(nearer), maxNearerAttempts)], c.dial)
 	if err != nil {
-		return connection{}, false // The present server is as good as any.
+		return connection{}, false
 	}
 	return found, true
 }
--- a/internal/feed/permit.go
+++ b/internal/feed/permit.go
@@ -10,12 +10,12 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// PermitFunc asks the leader whether one request may be sent to a machine that warms up, or that names
-// a limit. On an error it may not.
+// PermitFunc asks the leader whether a request may be sent to a machine that is warming up or rate
+// limited. An error means no.
 type PermitFunc func(ctx context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error)
 
-// Permit asks the leader for a permit; see PermitFunc. An answer that comes when a permit is of no
-// use any more is not waited for.
+// Permit asks the leader for a permit; see PermitFunc. It waits no longer than the lifetime of a
+// permit.
 func (c *Client) Permit(ctx context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, permits.Lifetime)
 	defer cancel()
@@ -25,7 +25,7 @@
 	}
 	reply := answer.GetPermitReply()
 	if reply == nil || reply.GetUnavailable() {
-		return nil, fault.Unavailable.New("the leader could not be asked")
+		return nil, fault.Unavailable.New("the leader could not be reached")
 	}
 	return reply, nil
 }
@@ -35,24 +35,22 @@
 	return c.client.Permit(ctx, request)
 }
 
-// AnswerPermit asks for the permit that a request on a connection is about, and sends the reply
-// back under the same request id. Without an answer there is no permit; why, is logged here, since
-// the reply does not carry it.
+// AnswerPermit requests a permit and sends the reply with the given request ID. The reply does not
+// carry the reason of a failure, so it is logged.
 func AnswerPermit(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.PermitRequest, ask PermitFunc, logger *slog.Logger) {
 	ctx, cancel := context.WithTimeout(ctx, permits.Lifetime)
 	defer cancel()
 	reply, err := ask(ctx, request)
 	if err != nil || reply == nil {
-		logger.Debug("permit_unavailable", "machine", request.GetMachine(), "error", reasonOf(err))
+		logger.Debug("permit_unavailable", "machine", request.GetMachine(), "error", permitErrorReason(err))
 		reply = &wirepb.PermitReply{Unavailable: true}
 	}
 	_ = conn.Send(&wirepb.Envelope{RequestId: requestID, Body: &wirepb.Envelope_PermitReply{PermitReply: reply}})
 }
 
-// reasonOf tells why a permit could not be asked for.
-func reasonOf(err error) string {
+func permitErrorReason(err error) string {
 	if err == nil {
-		return "the answer was empty"
+		return "the reply was empty"
 	}
 	return fault.Message(err)
 }
--- a/internal/feed/permit_test.go
+++ b/internal/feed/permit_test.go
@@ -10,7 +10,6 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// permitBackend permits requests to one machine.
 type permitBackend struct {
 	digestBackend
 	permitted string
@@ -18,19 +17,19 @@
 
 func (b *permitBackend) Permit(_ context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 	if request.GetMachine() != b.permitted {
-		return nil, fault.Unavailable.New("there is no leader")
+		return nil, fault.Unavailable.New("no leader is available")
 	}
 	return &wirepb.PermitReply{Granted: true}, nil
 }
 
-// TestPermitsPassRelays: a router behind a relay gets its permits from the same leader, and no
-// permit where the leader could not be asked.
-func TestPermitsPassRelays(t *testing.T) {
+// TestRelayForwardsPermits checks that a router behind a relay gets permits from the leader, and an
+// error if the leader can't be reached.
+func TestRelayForwardsPermits(t *testing.T) {
 	backend := &permitBackend{digestBackend: digestBackend{changed: signal.New(), sequence: 1}, permitted: "m"}
-	parts := newRunning(t)
-	relay := parts.relay(parts.serve("control", backend))
-	router := client("router", parts.serve("relay", relay), nullSink{})
-	parts.run(router.Run)
+	env := newTestEnvironment(t)
+	relay := env.startRelay(env.startServer("control", backend))
+	router := newTestClient("router", env.startServer("relay", relay), nullSink{})
+	env.start(router.Run)
 	ctx := t.Context()
 	for {
 		reply, err := router.Permit(ctx, &wirepb.PermitRequest{Machine: "m"})
@@ -38,11 +37,11 @@
 			break
 		}
 		if t.Context().Err() != nil {
-			t.Fatal("no permit")
+			t.Fatal("no permit before the test ended")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	if reply, err := router.Permit(ctx, &wirepb.PermitRequest{Machine: "another"}); err == nil {
-		t.Errorf("without a leader the answer is %v", reply)
+		t.Errorf("got a reply without a leader: %v", reply)
 	}
 }
--- a/internal/feed/preference.go
+++ b/internal/feed/preference.go
@@ -11,14 +11,14 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// Upstream is where a control node or a relay listens for nodes.
+// Upstream is a control node or relay that serves nodes.
 type Upstream struct {
 	Address string
-	// Zone is where it stands; empty while that is not known.
+	// Zone is empty if it is unknown.
 	Zone string
 }
 
-// Upstreams returns servers of which only the addresses are known.
+// Upstreams returns servers with unknown zones.
 func Upstreams(addresses []string) []Upstream {
 	servers := make([]Upstream, 0, len(addresses))
 	for _, address := range addresses {
@@ -27,22 +27,20 @@
 	return servers
 }
 
-// UpstreamsOf returns the control nodes that a roster lists.
+// UpstreamsOf returns the control nodes of a roster.
 func UpstreamsOf(roster *wirepb.Roster) []Upstream {
 	servers := Upstreams(roster.GetControl())
-	for position, zone := range roster.GetControlZones() {
-		if position < len(servers) {
-			servers[position].Zone = zone
+	for index, zone := range roster.GetControlZones() {
+		if index < len(servers) {
+			servers[index].Zone = zone
 		}
 	}
 	return servers
 }
 
-// byPreference orders servers for a client: the nearest first, because each stream that leaves a
-// zone or a region is paid for; among those equally near each client has its own order
-// (rendezvous hashing), so that clients spread evenly and those of a server that is lost spread
-// over all that are next. With one order for all clients, a single server that is cut off would
-// leave all of them without digests, and they would move on to the same next one.
+// byPreference orders servers by proximity to a client, to avoid traffic between zones and regions.
+// Equally near servers are ordered by rendezvous hashing, so that clients spread evenly, and those of
+// a failed server spread over the remaining ones.
 func byPreference(client string, position places.Position, servers []Upstream) []Upstream {
 	ordered := slices.Clone(servers)
 	weight := func(server Upstream) uint64 { return xxhash.Sum64String(client + "\x00" + server.Address) }
@@ -55,84 +53,81 @@
 	return ordered
 }
 
-// merge returns the servers without repetition, each with its zone where any mention has one.
-func merge(servers []Upstream) []Upstream {
+// mergeUpstreams removes duplicate addresses and keeps a known zone.
+func mergeUpstreams(servers []Upstream) []Upstream {
 	var merged []Upstream
 	for _, server := range servers {
-		position := slices.IndexFunc(merged, func(other Upstream) bool { return other.Address == server.Address })
+		index := slices.IndexFunc(merged, func(other Upstream) bool { return other.Address == server.Address })
 		switch {
-		case position < 0:
+		case index < 0:
 			merged = append(merged, server)
 		case server.Zone != "":
-			merged[position].Zone = server.Zone
+			merged[index].Zone = server.Zone
 		}
 	}
 	return merged
 }
 
-// settledAfter is how long a client must have followed a server before it forgets which others it
-// left earlier: several times what it takes to find out that a server is of no use.
-const settledAfter = 5 * time.Second
+// stableAfter is the time after which a connection counts as stable and earlier failures are
+// forgotten. It is several times longer than the detection of a stale server takes.
+const stableAfter = 5 * time.Second
 
-// departure is one loss of a server.
-type departure struct {
+type serverFailure struct {
 	at time.Time
-	// cutOff is set where the server was up and heard no leader, or not all of it: whoever
-	// stands near it may share the reason.
-	cutOff bool
-	zone   string
+	// isStale is set if the server was up but isolated from the leader or behind. Servers near it are
+	// probably affected as well.
+	isStale bool
+	zone    string
 }
 
-// departures holds the servers that a client left since it last followed one for settledAfter, by
-// address.
-type departures map[string]departure
+// failureHistory holds the last failure of each server since the last stable connection, by address.
+type failureHistory map[string]serverFailure
 
-// note notes that a server is left that was followed since a time.
-func (d departures) note(since time.Time, address string, left departure) {
-	if left.at.Sub(since) >= settledAfter {
-		clear(d)
+// record adds a failure, and forgets the earlier ones if the connection was stable.
+func (h failureHistory) record(followedSince time.Time, address string, failure serverFailure) {
+	if failure.at.Sub(followedSince) >= stableAfter {
+		clear(h)
 	}
-	d[address] = left
+	h[address] = failure
 }
 
-// inTurn returns the servers in the order in which to try them: those that were left come at the
-// end, the one that was left last behind all others; before them those that stand near one that
-// was cut off, the nearest last. So a client whose near servers are all cut off reaches one that
-// is not as soon as it can: fresh state goes before nearness.
-func (d departures) inTurn(regions places.Map, servers []Upstream) []Upstream {
+// attemptOrder returns the servers in the order in which to try them: first those without failures,
+// then by time of the failure, oldest first. Among those without failures, servers near a stale one
+// come last, so that a client whose nearby servers are all isolated soon reaches one that is not.
+func (h failureHistory) attemptOrder(zones places.Map, servers []Upstream) []Upstream {
 	ordered := slices.Clone(servers)
 	slices.SortStableFunc(ordered, func(left, right Upstream) int {
 		return cmp.Or(
-			d[left.Address].at.Compare(d[right.Address].at),
-			cmp.Compare(d.sharedFate(regions, left.Zone), d.sharedFate(regions, right.Zone)),
+			h[left.Address].at.Compare(h[right.Address].at),
+			cmp.Compare(h.correlatedProximity(zones, left.Zone), h.correlatedProximity(zones, right.Zone)),
 		)
 	})
 	return ordered
 }
 
-// sharedFate is how near a zone is to a server that was cut off: 0 if it is far from all.
-func (d departures) sharedFate(regions places.Map, zone string) int {
-	shared := 0
-	for _, left := range d {
-		if left.cutOff {
-			shared = max(shared, int(places.Further-regions.Between(zone, left.zone)))
+// correlatedProximity returns how near a zone is to the nearest stale server, or 0 if none is in its
+// region.
+func (h failureHistory) correlatedProximity(zones places.Map, zone string) int {
+	highest := 0
+	for _, failure := range h {
+		if failure.isStale {
+			highest = max(highest, int(places.Further-zones.Between(zone, failure.zone)))
 		}
 	}
-	return shared
+	return highest
 }
 
-// crowdedShare is how many times its fair share of all nodes a server may have before a client
-// passes it over for the sake of nearness alone. Twice lets a zone have half of the nodes and a
-// quarter of the control nodes; beyond, the zone's server would be the bottleneck of all its
-// nodes, and its loss theirs.
-const crowdedShare = 2
+// maxFairShareFactor is the multiple of the average number of nodes per server from which on clients
+// no longer move to a server because it is near. It keeps the only server of a large zone from
+// becoming a bottleneck.
+const maxFairShareFactor = 2
 
-// crowded reports whether a server has so many followers that nearness is no reason to become
-// one more.
-func crowded(followers, nodes uint32, servers int) bool {
+// exceedsFairShare reports whether a server has too many followers to take on more for proximity
+// alone.
+func exceedsFairShare(followers, nodes uint32, servers int) bool {
 	if nodes == 0 || servers == 0 {
 		return false
 	}
-	fair := (nodes + uint32(servers) - 1) / uint32(servers)
-	return followers >= crowdedShare*fair
+	fairShare := (nodes + uint32(servers) - 1) / uint32(servers)
+	return followers >= maxFairShareFactor*fairShare
 }
--- a/internal/feed/preference_test.go
+++ b/internal/feed/preference_test.go
@@ -11,39 +11,39 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestClientsSpreadOverServers: clients that all follow the one control node that is up first
-// would, when it is cut off, all be without digests and move on to the same next.
-func TestClientsSpreadOverServers(t *testing.T) {
+// TestPreferenceSpreadsClients checks that clients spread over the servers, and spread again when
+// their server fails.
+func TestPreferenceSpreadsClients(t *testing.T) {
 	const clients, servers = 300, 8
 	known := make([]Upstream, 0, servers)
 	for number := range servers {
 		known = append(known, Upstream{Address: "10." + strconv.Itoa(number) + ".0.5:7400"})
 	}
-	first, next := map[string]int{}, map[string]map[string]int{}
+	firstChoices, nextChoices := map[string]int{}, map[string]map[string]int{}
 	for number := range clients {
 		order := byPreference("node-"+strconv.Itoa(number), places.Position{}, known)
 		if len(order) != servers {
 			t.Fatalf("%v", order)
 		}
-		lost := order[0].Address
-		first[lost]++
-		if next[lost] == nil {
-			next[lost] = map[string]int{}
+		failed := order[0].Address
+		firstChoices[failed]++
+		if nextChoices[failed] == nil {
+			nextChoices[failed] = map[string]int{}
 		}
-		left := departures{lost: {at: time.Unix(100, 0)}}
-		next[lost][left.inTurn(places.Map{}, order)[0].Address]++
+		failures := failureHistory{failed: {at: time.Unix(100, 0)}}
+		nextChoices[failed][failures.attemptOrder(places.Map{}, order)[0].Address]++
 	}
 	for _, server := range known {
-		if first[server.Address] < clients/servers/2 || first[server.Address] > 2*clients/servers {
-			t.Errorf("%s is the first choice of %d clients of %d", server.Address, first[server.Address], clients)
+		if firstChoices[server.Address] < clients/servers/2 || firstChoices[server.Address] > 2*clients/servers {
+			t.Errorf("%s is the first choice of %d clients of %d", server.Address, firstChoices[server.Address], clients)
 		}
-		if len(next[server.Address]) < servers/2 {
-			t.Errorf("the clients of %s move on to %v", server.Address, next[server.Address])
+		if len(nextChoices[server.Address]) < servers/2 {
+			t.Errorf("next choices of the clients of %s: %v", server.Address, nextChoices[server.Address])
 		}
 	}
 }
 
-// fourZones are two control nodes in each of four zones, two to a region, and their map.
+// fourZones returns two control nodes in each of four zones, and a map with two zones per region.
 func fourZones() (places.Map, []Upstream) {
 	var servers []Upstream
 	for number := range 8 {
@@ -53,27 +53,27 @@
 	return places.NewMap(map[string]string{"zone-0": "east", "zone-1": "east", "zone-2": "west", "zone-3": "west"}), servers
 }
 
-// TestNearestServersComeFirst: each stream that leaves a zone is paid for. Clients of a zone still
-// spread over its servers, and those of one that is lost over the next nearest.
-func TestNearestServersComeFirst(t *testing.T) {
-	regions, servers := fourZones()
-	position := places.Position{Zone: "zone-1", Map: regions}
-	first, third := map[string]int{}, map[string]int{}
+// TestPreferenceOrdersByProximity checks that nearer servers come first, and that clients of a zone
+// spread over equally near servers.
+func TestPreferenceOrdersByProximity(t *testing.T) {
+	zones, servers := fourZones()
+	position := places.Position{Zone: "zone-1", Map: zones}
+	firstChoices, thirdChoices := map[string]int{}, map[string]int{}
 	for number := range 200 {
 		order := byPreference("node-"+strconv.Itoa(number), position, servers)
-		for step, server := range order {
-			if wanted := []places.Nearness{0, 0, 1, 1, 2, 2, 2, 2}[step]; position.To(server.Zone) != wanted {
-				t.Fatalf("choice %d stands in %s", step, server.Zone)
+		for rank, server := range order {
+			if expected := []places.Nearness{0, 0, 1, 1, 2, 2, 2, 2}[rank]; position.To(server.Zone) != expected {
+				t.Fatalf("choice %d is in %s", rank, server.Zone)
 			}
 		}
-		first[order[0].Address]++
-		third[order[2].Address]++
+		firstChoices[order[0].Address]++
+		thirdChoices[order[2].Address]++
 	}
-	for _, chosen := range []map[string]int{first, third} {
-		if len(chosen) != 2 {
-			t.Fatalf("the choice is %v", chosen)
+	for _, choices := range []map[string]int{firstChoices, thirdChoices} {
+		if len(choices) != 2 {
+			t.Fatalf("choices: %v", choices)
 		}
-		for address, count := range chosen {
+		for address, count := range choices {
 			if count < 70 {
 				t.Errorf("%s is the choice of %d clients of 200", address, count)
 			}
@@ -81,80 +81,81 @@
 	}
 }
 
-// TestNoServerIsTriedAgainBeforeTheOthers: a client whose near servers lag, or are cut off with
-// it, reaches a further one instead of changing to and fro between the near ones.
-func TestNoServerIsTriedAgainBeforeTheOthers(t *testing.T) {
-	regions, servers := fourZones()
-	order := byPreference("node", places.Position{Zone: "zone-3", Map: regions}, servers)
-	left, now := departures{}, time.Unix(100, 0)
-	for step := range order {
-		next := left.inTurn(places.Map{}, order)[0]
-		if next != order[step] {
-			t.Fatalf("after %d servers the client turns to %v, not to %v", step, next, order[step])
+// TestAttemptOrderTriesAllServers guards against alternating between nearby servers that are
+// behind or isolated.
+func TestAttemptOrderTriesAllServers(t *testing.T) {
+	zones, servers := fourZones()
+	order := byPreference("node", places.Position{Zone: "zone-3", Map: zones}, servers)
+	failures, now := failureHistory{}, time.Unix(100, 0)
+	for attempt := range order {
+		next := failures.attemptOrder(places.Map{}, order)[0]
+		if next != order[attempt] {
+			t.Fatalf("after %d failures: next server is %v, want %v", attempt, next, order[attempt])
 		}
-		left.note(now, next.Address, departure{at: now.Add(settledAfter / 2)})
-		now = now.Add(settledAfter)
+		failures.record(now, next.Address, serverFailure{at: now.Add(stableAfter / 2)})
+		now = now.Add(stableAfter)
 	}
-	if again := left.inTurn(places.Map{}, order)[0]; again != order[0] {
-		t.Errorf("once all were left, the client turns to %v", again)
+	if again := failures.attemptOrder(places.Map{}, order)[0]; again != order[0] {
+		t.Errorf("after failures of all servers: next server is %v", again)
 	}
-	left.note(now, order[4].Address, departure{at: now.Add(settledAfter)})
-	if next := left.inTurn(places.Map{}, order); next[0] != order[0] || next[len(next)-1] != order[4] {
-		t.Errorf("a client that had settled with a further server turns to %v", next)
+	failures.record(now, order[4].Address, serverFailure{at: now.Add(stableAfter)})
+	if next := failures.attemptOrder(places.Map{}, order); next[0] != order[0] || next[len(next)-1] != order[4] {
+		t.Errorf("after a stable connection to a distant server: order %v", next)
 	}
 }
 
-// TestServersThatShareAFateComeLater: where the link from a zone to the leader's is cut, all servers
-// of the zone are without news, and each takes a client most of a second to find out about.
-func TestServersThatShareAFateComeLater(t *testing.T) {
-	regions, servers := fourZones()
-	position := places.Position{Zone: "zone-3", Map: regions}
+// TestAttemptOrderDefersCorrelatedServers checks that after a stale server, the others of its zone are
+// tried last. They are probably isolated as well, and detecting that takes initialDigestTimeout for
+// each.
+func TestAttemptOrderDefersCorrelatedServers(t *testing.T) {
+	zones, servers := fourZones()
+	position := places.Position{Zone: "zone-3", Map: zones}
 	order := byPreference("node", position, servers)
 	now := time.Unix(100, 0)
 	for _, test := range []struct {
-		name   string
-		left   departure
-		zones  string
-		second string
+		name    string
+		failure serverFailure
+		zones   string
+		second  string
 	}{
-		{name: "a server that ended", left: departure{at: now, zone: "zone-3"}, zones: "zone-3", second: "zone-2"},
-		{name: "one that was cut off", left: departure{at: now, zone: "zone-3", cutOff: true}, zones: "zone-0 zone-1", second: "zone-0 zone-1"},
+		{name: "a closed connection", failure: serverFailure{at: now, zone: "zone-3"}, zones: "zone-3", second: "zone-2"},
+		{name: "a stale server", failure: serverFailure{at: now, zone: "zone-3", isStale: true}, zones: "zone-0 zone-1", second: "zone-0 zone-1"},
 	} {
-		next := departures{order[0].Address: test.left}.inTurn(regions, order)
+		next := failureHistory{order[0].Address: test.failure}.attemptOrder(zones, order)
 		if !strings.Contains(test.zones, next[0].Zone) || !strings.Contains(test.second, next[1].Zone) || next[len(next)-1] != order[0] {
-			t.Errorf("after %s come %v", test.name, next)
+			t.Errorf("order after %s: %v", test.name, next)
 		}
-		if test.left.cutOff && next[len(next)-2].Zone != "zone-3" {
-			t.Errorf("the other server of the zone is not the last choice but one: %v", next)
+		if test.failure.isStale && next[len(next)-2].Zone != "zone-3" {
+			t.Errorf("the other server of the zone is not second to last: %v", next)
 		}
 	}
 }
 
-// TestAddressesGetTheirZones: the settings name some control nodes without their zones.
-func TestAddressesGetTheirZones(t *testing.T) {
+// TestMergeUpstreamsAddsZones checks that zones of the roster are added to servers known only by
+// address.
+func TestMergeUpstreamsAddsZones(t *testing.T) {
 	roster := &wirepb.Roster{Control: []string{"a", "b", "c"}, ControlZones: []string{"east", ""}}
-	merged := merge(append(Upstreams([]string{"b", "a"}), UpstreamsOf(roster)...))
-	wanted := []Upstream{{Address: "b"}, {Address: "a", Zone: "east"}, {Address: "c"}}
-	if !slices.Equal(merged, wanted) {
+	merged := mergeUpstreams(append(Upstreams([]string{"b", "a"}), UpstreamsOf(roster)...))
+	expected := []Upstream{{Address: "b"}, {Address: "a", Zone: "east"}, {Address: "c"}}
+	if !slices.Equal(merged, expected) {
 		t.Errorf("merged %v", merged)
 	}
 }
 
-// TestCrowded tables the share of a server.
-func TestCrowded(t *testing.T) {
+func TestExceedsFairShare(t *testing.T) {
 	for _, test := range []struct {
 		followers, nodes uint32
 		servers          int
-		crowded          bool
+		exceeds          bool
 	}{
-		{followers: 20, nodes: 80, servers: 8, crowded: true},
+		{followers: 20, nodes: 80, servers: 8, exceeds: true},
 		{followers: 19, nodes: 80, servers: 8},
 		{followers: 40, nodes: 81, servers: 4},
-		{followers: 42, nodes: 81, servers: 4, crowded: true},
+		{followers: 42, nodes: 81, servers: 4, exceeds: true},
 		{followers: 300, nodes: 0, servers: 4},
 		{followers: 1, nodes: 1, servers: 3},
 	} {
-		if crowded(test.followers, test.nodes, test.servers) != test.crowded {
+		if exceedsFairShare(test.followers, test.nodes, test.servers) != test.exceeds {
 			t.Errorf("%+v", test)
 		}
 	}
--- a/internal/feed/relayreports_test.go
+++ b/internal/feed/relayreports_test.go
@@ -10,36 +10,35 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// reportBackend keeps the reports that it gets.
 type reportBackend struct {
 	digestBackend
-	taken   sync.Mutex
-	reports []*wirepb.NodeReport
+	reportsMutex sync.Mutex
+	reports      []*wirepb.NodeReport
 }
 
 func (b *reportBackend) Report(reports ...*wirepb.NodeReport) {
-	b.taken.Lock()
-	defer b.taken.Unlock()
+	b.reportsMutex.Lock()
+	defer b.reportsMutex.Unlock()
 	b.reports = append(b.reports, reports...)
 }
 
 func (b *reportBackend) sequences() (sequences []uint64) {
-	b.taken.Lock()
-	defer b.taken.Unlock()
+	b.reportsMutex.Lock()
+	defer b.reportsMutex.Unlock()
 	for _, report := range b.reports {
 		sequences = append(sequences, report.GetSequence())
 	}
 	return sequences
 }
 
-// TestRelaysPassEveryReportOn: a report tells what is new since the one before, so the newest does not stand
-// for those that come with it. Seen by reading: a relay kept the newest of each node.
-func TestRelaysPassEveryReportOn(t *testing.T) {
+// TestRelayForwardsEveryReport guards against keeping only the newest report of each node. A report
+// contains only what changed after the previous one.
+func TestRelayForwardsEveryReport(t *testing.T) {
 	backend := &reportBackend{digestBackend: digestBackend{changed: signal.New(), sequence: 1}}
-	parts := newRunning(t)
-	relay := parts.relay(parts.serve("control", backend))
+	env := newTestEnvironment(t)
+	relay := env.startRelay(env.startServer("control", backend))
 	for len(backend.sequences()) == 0 {
-		relay.Report(&wirepb.NodeReport{Node: "first"}) // Lost until the relay is connected.
+		relay.Report(&wirepb.NodeReport{Node: "first"}) // Dropped until the relay is connected.
 		time.Sleep(time.Millisecond)
 	}
 	const reports = 10
@@ -49,13 +48,13 @@
 	for !slices.Contains(backend.sequences(), reports) {
 		time.Sleep(time.Millisecond)
 	}
-	missing := uint64(1)
+	nextExpected := uint64(1)
 	for _, sequence := range backend.sequences() {
-		if sequence == missing {
-			missing++
+		if sequence == nextExpected {
+			nextExpected++
 		}
 	}
-	if missing != reports+1 {
-		t.Errorf("report %d is missing, or out of order: %v", missing, backend.sequences())
+	if nextExpected != reports+1 {
+		t.Errorf("report %d is missing or out of order: %v", nextExpected, backend.sequences())
 	}
 }
--- a/internal/feed/reportqueue_test.go
+++ b/internal/feed/reportqueue_test.go
@@ -7,34 +7,34 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestReportsShareMessages: a thousand nodes' reports that come within the gap take two messages, all
-// of them arrive in order, and one that comes later goes at once.
-func TestReportsShareMessages(t *testing.T) {
+// TestReportQueueBatchesReports checks that reports within one interval are sent in order in a single
+// message, and that a report after the interval is sent at once.
+func TestReportQueueBatchesReports(t *testing.T) {
 	const nodes = 1000
 	var messages [][]*wirepb.NodeReport
-	var gapEnds func()
+	var endInterval func()
 	queue := &ReportQueue{
-		send:  func(reports []*wirepb.NodeReport) { messages = append(messages, reports) },
-		later: func(_ time.Duration, call func()) { gapEnds = call },
+		send:      func(reports []*wirepb.NodeReport) { messages = append(messages, reports) },
+		afterFunc: func(_ time.Duration, call func()) { endInterval = call },
 	}
 	for number := range nodes {
 		queue.Add([]*wirepb.NodeReport{{Sequence: uint64(number)}})
 	}
 	if len(messages) != 1 || len(messages[0]) != 1 {
-		t.Fatalf("before the end of the gap there are %d messages", len(messages))
+		t.Fatalf("%d messages before the end of the interval", len(messages))
 	}
-	gapEnds()
+	endInterval()
 	if len(messages) != 2 || len(messages[1]) != nodes-1 {
 		t.Fatalf("%d messages, %d reports in the last", len(messages), len(messages[len(messages)-1]))
 	}
 	for position, report := range messages[1] {
 		if report.GetSequence() != uint64(position+1) {
-			t.Fatalf("report %d came as number %d", report.GetSequence(), position+1)
+			t.Fatalf("report %d received at position %d", report.GetSequence(), position+1)
 		}
 	}
-	gapEnds() // Nothing has come since.
+	endInterval() // No reports are queued.
 	queue.Add([]*wirepb.NodeReport{{Sequence: nodes}})
 	if len(messages) != 3 || messages[2][0].GetSequence() != nodes {
-		t.Errorf("a report after the gap waits: %d messages", len(messages))
+		t.Errorf("a report after the interval was not sent at once: %d messages", len(messages))
 	}
 }
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -15,35 +15,32 @@
 )
 
 const (
-	// maxEventsPerBatch bounds a frame of changes.
 	maxEventsPerBatch = 512
 	proposalTimeout   = 5 * time.Second
-	// maxProposalsPerSession bounds the calls that one connection may have
-	// outstanding.
-	maxProposalsPerSession = 256
-	// servesInterval is how often a server looks whether it may be followed: a small part of
-	// the 2 s in which nodes must have changed to another.
-	servesInterval = 100 * time.Millisecond
-	// changesGap is the least time between two batches of changes to a node: a leader's pass
-	// commits many, and each batch costs the node and the server more than what it holds. The
-	// first of them goes at once; a load, which they tell of, takes seconds.
-	changesGap = 50 * time.Millisecond
+	// maxPendingCalls bounds the pending proposals and permit requests of one connection.
+	maxPendingCalls = 256
+	// readinessCheckInterval is a small part of the 2 s within which nodes must have failed over.
+	readinessCheckInterval = 100 * time.Millisecond
+	// minBatchInterval limits the number of batches per watcher, since the leader often commits many
+	// changes in a row. The first change after a pause is sent at once.
+	minBatchInterval = 50 * time.Millisecond
 )
 
-// notServing is why nodes are refused, or sent elsewhere.
-const notServing = "this node holds no state that may be followed"
+// notReadyMessage is sent to nodes whose connection is refused, and logged when connections are
+// closed.
+const notReadyMessage = "this node holds no state that may be followed"
 
-// Changes is an answer to "what came after this revision".
+// Changes holds the changes after a revision, or the whole state.
 type Changes struct {
 	Events   []*wirepb.WatchEvent
 	Revision uint64
-	// Reset is set where Events list the whole state, because the changes
-	// are no longer known.
+	// Reset is set if Events lists the whole state because the requested changes are no longer
+	// available.
 	Reset bool
 }
 
-// ChangesOf returns the changes of a state after a revision, or the whole
-// state where they are no longer kept.
+// ChangesOf returns the changes of a state after a revision, or the whole state if they are no longer
+// available.
 func ChangesOf(machine *state.Machine, revision uint64) Changes {
 	changes := Changes{Revision: machine.Revision()}
 	events, err := machine.EventsAfter(revision)
@@ -58,23 +55,23 @@
 	return changes
 }
 
-// Fresh returns what is new to a watcher that holds everything up to a
-// revision. It is what keeps a configuration from reverting: a watcher may be
-// answered late, twice, or by a server that is behind the one before.
-func Fresh(held uint64, changes Changes) (Changes, bool) {
+// Fresh removes changes that are already applied, and reports whether the rest may be applied. It keeps
+// state from reverting after late or repeated messages, or those of a server that is behind the
+// previous one.
+func Fresh(applied uint64, changes Changes) (Changes, bool) {
 	if changes.Reset {
-		return changes, changes.Revision >= held
+		return changes, changes.Revision >= applied
 	}
-	if changes.Revision <= held {
+	if changes.Revision <= applied {
 		return Changes{}, false
 	}
-	changes.Events = state.NewerEvents(changes.Events, held)
+	changes.Events = state.NewerEvents(changes.Events, applied)
 	return changes, true
 }
 
-// Backend is what a Server serves.
+// Backend provides the state that a Server serves.
 type Backend interface {
-	// ChangesAfter returns the changes after a revision.
+	// ChangesAfter returns the changes after a revision, or the whole state.
 	ChangesAfter(revision uint64) Changes
 	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
@@ -82,96 +79,92 @@
 	Digest() *wirepb.ClusterDigest
 	// DigestChanged returns a channel that is closed at the next digest.
 	DigestChanged() <-chan struct{}
-	// Report takes the reports of one or more nodes.
+	// Report receives the reports of one or more nodes.
 	Report(reports ...*wirepb.NodeReport)
-	// Status returns the leader's view of the cluster, as much as is asked for.
+	// Status returns the requested parts of the leader's view of the cluster.
 	Status(ctx context.Context, request *wirepb.StatusRequest) (*wirepb.StatusReply, error)
-	// Serves reports whether nodes may follow the backend: it holds a state, and that is
-	// kept up to date as far as it knows.
+	// Serves reports whether nodes may follow the backend: it has state and, as far as it knows, keeps
+	// it up to date.
 	Serves() bool
-	// Permit asks the leader whether one request may be sent to a machine that warms up.
+	// Permit asks the leader whether a request may be sent; see PermitFunc.
 	Permit(ctx context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error)
-	// Propose carries a command to the leader and returns its result.
+	// Propose sends a command to the leader and returns its result.
 	Propose(ctx context.Context, command *wirepb.Command) (*wirepb.CommandResult, error)
 }
 
-// Server serves a Backend to the connections that it is given.
+// Server serves the state of a Backend to nodes.
 type Server struct {
 	backend Backend
 	self    wire.Identity
 	logger  *slog.Logger
-	// peer handles connections of control nodes; nil refuses them.
-	peer func(ctx context.Context, conn *wire.Conn)
-	// confirmations asks the leader for its revision.
-	confirmations *batcher[*wirepb.StatusReply]
-	// lists are whole states for watchers that hold nothing.
-	lists listCache
-	// subsets are for watchers that know a part of the machines only.
-	subsets *subsets
+	// handlePeer handles connections of other control nodes; if nil, they are served like nodes.
+	handlePeer func(ctx context.Context, conn *wire.Conn)
+	// confirmations requests the leader's revision on behalf of several nodes at once.
+	confirmations *callCoalescer[*wirepb.StatusReply]
+	lists         listCache
+	subsets       *subsetSource
 
-	mutex sync.Mutex
-	// sessions are the connections of nodes that follow this server.
+	mutex    sync.Mutex
 	sessions map[*wire.Conn]struct{}
 }
 
-// NewServer returns a server in a place whose zones are known. The peer function takes over
-// connections whose hello carries a control id.
+// NewServer returns a server. The peer function handles connections of other control nodes, whose
+// hello has a control ID.
 func NewServer(backend Backend, self wire.Identity, zones places.Map, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
 	refuse := self.Refuse
 	self.Refuse = func(hello *wirepb.Hello) string {
 		if hello.GetControlId() == 0 && !backend.Serves() {
-			return notServing
+			return notReadyMessage
 		}
 		if refuse == nil {
 			return ""
 		}
 		return refuse(hello)
 	}
-	server := &Server{backend: backend, self: self, logger: logger, peer: peer, sessions: map[*wire.Conn]struct{}{}, subsets: newSubsets(backend, zones)}
+	server := &Server{backend: backend, self: self, logger: logger, handlePeer: peer, sessions: map[*wire.Conn]struct{}{}, subsets: newSubsetSource(backend, zones)}
 	server.self.Followers = server.followers
-	server.confirmations = newBatcher(server.confirm)
+	server.confirmations = newCallCoalescer(server.confirm)
 	return server
 }
 
-// Serve accepts connections until ctx ends, and waits for their sessions.
+// Serve accepts connections until ctx is done, and waits for their sessions to end.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
-	sessions.Go(func() { s.endSessionsUnlessServing(ctx) })
+	sessions.Go(func() { s.closeSessionsWhenNotReady(ctx) })
 	for {
-		network, err := listener.Accept()
+		netConn, err := listener.Accept()
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
 			return fault.Unavailable.Wrap(err, "accepting a connection")
 		}
-		sessions.Go(func() { s.handle(ctx, network) })
+		sessions.Go(func() { s.handle(ctx, netConn) })
 	}
 }
 
-func (s *Server) handle(ctx context.Context, network net.Conn) {
-	conn, err := wire.Accept(network, s.self)
+func (s *Server) handle(ctx context.Context, netConn net.Conn) {
+	conn, err := wire.Accept(netConn, s.self)
 	if err != nil {
-		s.logger.Warn("connection_refused", "remote", network.RemoteAddr().String(), "error", fault.Message(err))
+		s.logger.Warn("connection_refused", "remote", netConn.RemoteAddr().String(), "error", fault.Message(err))
 		return
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
-	if conn.Peer.GetControlId() != 0 && s.peer != nil {
-		s.peer(ctx, conn)
+	if conn.Peer.GetControlId() != 0 && s.handlePeer != nil {
+		s.handlePeer(ctx, conn)
 		return
 	}
 	s.serveNode(ctx, conn)
 }
 
-// endSessionsUnlessServing sends the nodes that follow this server elsewhere whenever the backend
-// may not be followed.
-func (s *Server) endSessionsUnlessServing(ctx context.Context) {
-	ticker := time.NewTicker(servesInterval)
+// closeSessionsWhenNotReady disconnects all nodes whenever the backend is not ready.
+func (s *Server) closeSessionsWhenNotReady(ctx context.Context) {
+	ticker := time.NewTicker(readinessCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -182,14 +175,14 @@
 		if s.backend.Serves() {
 			continue
 		}
-		if ended := s.endSessions(); ended > 0 {
-			s.logger.Warn("sessions_ended", "sessions", ended, "reason", notServing)
+		if closed := s.closeSessions(); closed > 0 {
+			s.logger.Warn("sessions_ended", "sessions", closed, "reason", notReadyMessage)
 		}
 	}
 }
 
-// endSessions closes the connections of all nodes and returns how many there were.
-func (s *Server) endSessions() int {
+// closeSessions closes the connections of all nodes and returns their number.
+func (s *Server) closeSessions() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for conn := range s.sessions {
@@ -198,7 +191,7 @@
 	return len(s.sessions)
 }
 
-// followers is how many nodes follow this server.
+// followers returns the number of connected nodes.
 func (s *Server) followers() uint32 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -227,10 +220,10 @@
 	defer cancel()
 	var session *subsetSession
 	if conn.Peer.GetSubset() {
-		session = s.subsets.session(conn.Peer.GetZone())
+		session = s.subsets.newSession(conn.Peer.GetZone())
 	}
 	workers.Go(func() { s.sendDigests(ctx, conn, session) })
-	slots := make(chan struct{}, maxProposalsPerSession)
+	slots := make(chan struct{}, maxPendingCalls)
 	watching := false
 	for {
 		envelope, err := conn.Receive()
@@ -246,7 +239,7 @@
 			workers.Go(func() { s.watch(ctx, conn, body.WatchRequest, session) })
 		case *wirepb.Envelope_NodeReport:
 			if session != nil {
-				session.noteDemand(body.NodeReport.GetDemand())
+				session.recordDemand(body.NodeReport.GetDemand())
 			}
 			s.backend.Report(body.NodeReport)
 		case *wirepb.Envelope_NodeReportBatch:
@@ -269,7 +262,7 @@
 	}
 }
 
-// answerStatus asks the leader; the empty reply stands for "none answers".
+// answerStatus requests the status from the leader. An empty reply means that it could not be reached.
 func (s *Server) answerStatus(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.StatusRequest) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
@@ -286,19 +279,17 @@
 	_ = conn.Send(&wirepb.Envelope{RequestId: requestID, Body: &wirepb.Envelope_StatusReply{StatusReply: reply}})
 }
 
-// confirm waits for the leader's revision: nodes that have just started wait for nothing
-// else.
+// confirm waits for the leader's revision, which nodes need before they are ready.
 func (s *Server) confirm(ctx context.Context) (*wirepb.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	return AwaitRevision(ctx, s.backend, confirmPoll)
+	return AwaitRevision(ctx, s.backend, leaderPollInterval)
 }
 
-// ProposeFunc carries a command towards the leader.
+// ProposeFunc forwards a command to the leader.
 type ProposeFunc func(ctx context.Context, command *wirepb.Command) (*wirepb.CommandResult, error)
 
-// AnswerProposal carries out a proposal that came on a connection and sends
-// the result back under the same request id.
+// AnswerProposal proposes a command and sends the result with the given request ID.
 func AnswerProposal(ctx context.Context, conn *wire.Conn, requestID uint64, command *wirepb.Command, propose ProposeFunc) {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
@@ -312,22 +303,22 @@
 	})
 }
 
-// watch sends a watcher what changes; the session is nil for one that learns of everything.
+// watch sends changes to a watcher; the session is nil for a watcher of the whole state.
 func (s *Server) watch(ctx context.Context, conn *wire.Conn, request *wirepb.WatchRequest, session *subsetSession) {
 	if session != nil {
-		s.sendSubset(ctx, conn, request, session)
+		s.sendSubsetChanges(ctx, conn, request, session)
 		return
 	}
 	s.sendChanges(ctx, conn, request)
 }
 
 func (s *Server) sendDigests(ctx context.Context, conn *wire.Conn, session *subsetSession) {
-	sender := &DigestSender{appends: session != nil}
+	sender := &DigestSender{appendsMachines: session != nil}
 	for {
 		changed := s.backend.DigestChanged()
 		if digest := s.backend.Digest(); digest != nil {
 			if session != nil {
-				digest = session.digest(digest)
+				digest = session.filterDigest(digest)
 			}
 			if conn.Send(sender.Envelope(digest)) != nil {
 				return
@@ -344,9 +335,9 @@
 }
 
 func (s *Server) sendChanges(ctx context.Context, conn *wire.Conn, request *wirepb.WatchRequest) {
-	after, listed := request.GetAfterRevision(), true
+	after, ok := request.GetAfterRevision(), true
 	if after == 0 && request.GetLists() {
-		if after, listed = s.sendList(conn); !listed {
+		if after, ok = s.sendList(conn); !ok {
 			return
 		}
 	}
@@ -355,16 +346,16 @@
 		changes := s.backend.ChangesAfter(after)
 		switch {
 		case changes.Reset && request.GetLists():
-			if after, listed = s.sendList(conn); !listed {
+			if after, ok = s.sendList(conn); !ok {
 				return
 			}
-			continue // What has changed since.
+			continue // Sends the changes after the list.
 		case changes.Reset || changes.Revision > after:
 			if sendBatches(conn, changes) != nil {
 				return
 			}
 			after = changes.Revision
-			if !pauseBetween(ctx, conn) {
+			if !waitBatchInterval(ctx, conn) {
 				return
 			}
 		}
@@ -378,10 +369,10 @@
 	}
 }
 
-// pauseBetween waits for changesGap; it returns false where the connection ends before.
-func pauseBetween(ctx context.Context, conn *wire.Conn) bool {
+// waitBatchInterval returns false if the connection ended during the wait.
+func waitBatchInterval(ctx context.Context, conn *wire.Conn) bool {
 	select {
-	case <-time.After(changesGap):
+	case <-time.After(minBatchInterval):
 		return true
 	case <-conn.Done():
 		return false
@@ -390,18 +381,18 @@
 	}
 }
 
-// sendList sends the whole state, or one of a moment ago, and returns its revision. Where it
-// can't, the connection is closed and listed is false.
-func (s *Server) sendList(conn *wire.Conn) (revision uint64, listed bool) {
+// sendList sends a list of the whole state and returns its revision. On failure it closes the
+// connection and returns false.
+func (s *Server) sendList(conn *wire.Conn) (revision uint64, ok bool) {
 	parts, revision, err := s.lists.get(s.backend)
-	return revision, s.sendParts(conn, parts, err)
+	return revision, s.sendListParts(conn, parts, err)
 }
 
-// sendParts sends a list, unless it could not be made. Where it does not get to the watcher, the
-// connection is closed and listed is false.
-func (s *Server) sendParts(conn *wire.Conn, parts []*wirepb.WatchListPart, err error) (listed bool) {
-	for position := 0; err == nil && position < len(parts); position++ {
-		err = conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_WatchListPart{WatchListPart: parts[position]}})
+// sendListParts sends the parts of a list, unless err reports that there is none. On failure it closes
+// the connection and returns false.
+func (s *Server) sendListParts(conn *wire.Conn, parts []*wirepb.WatchListPart, err error) (ok bool) {
+	for index := 0; err == nil && index < len(parts); index++ {
+		err = conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_WatchListPart{WatchListPart: parts[index]}})
 	}
 	if err != nil {
 		s.logger.Warn("list_not_sent", "remote", conn.Peer.GetNode(), "error", fault.Message(err))
@@ -430,9 +421,8 @@
 	}
 }
 
-// batchLength cuts changes between revisions only, so that a watcher never
-// holds half of an atomic write. Lists are applied whole and may be cut
-// anywhere.
+// batchLength returns the number of events in the next batch. Batches end between revisions, so that a
+// watcher never sees part of an atomic write; lists are applied as a whole and may be split anywhere.
 func batchLength(events []*wirepb.WatchEvent, reset bool) int {
 	count := min(len(events), maxEventsPerBatch)
 	if reset || count == len(events) {
--- a/internal/feed/server_test.go
+++ b/internal/feed/server_test.go
@@ -14,7 +14,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// changingBackend serves changes that come while it is watched.
+// changingBackend serves changes that are added while it is watched.
 type changingBackend struct {
 	listBackend
 	mutex   sync.Mutex
@@ -31,14 +31,13 @@
 
 func (b *changingBackend) change() {
 	b.mutex.Lock()
-	b.put(1)
+	b.addObjects(1)
 	b.mutex.Unlock()
 	b.changed.Notify()
 }
 
-// TestChangesInQuickSuccessionShareBatches: a leader's pass commits many changes, and a frame for
-// each of them to each router would cost more than what it holds.
-func TestChangesInQuickSuccessionShareBatches(t *testing.T) {
+// TestChangesAreBatched guards against one message for each of many changes in quick succession.
+func TestChangesAreBatched(t *testing.T) {
 	const changes = 400
 	ctx, cancel := context.WithCancel(t.Context())
 	var workers sync.WaitGroup
@@ -66,8 +65,8 @@
 			time.Sleep(100 * time.Microsecond)
 		}
 	})
-	batches, held := 0, uint64(0)
-	for held < changes {
+	batches, received := 0, uint64(0)
+	for received < changes {
 		envelope, err := conn.Receive()
 		if err != nil {
 			t.Fatal(err)
@@ -75,12 +74,12 @@
 		batch := envelope.GetWatchBatch()
 		batches++
 		for _, event := range batch.GetEvents() {
-			if held++; event.GetObject().GetRevision() != held {
-				t.Fatalf("change %d came as number %d", event.GetObject().GetRevision(), held)
+			if received++; event.GetObject().GetRevision() != received {
+				t.Fatalf("change %d received at position %d", event.GetObject().GetRevision(), received)
 			}
 		}
 	}
-	if allowed := 2 + int(time.Since(started)/changesGap); batches > allowed {
-		t.Errorf("%d changes came in %d batches, in the time of %d", changes, batches, allowed)
+	if maxBatches := 2 + int(time.Since(started)/minBatchInterval); batches > maxBatches {
+		t.Errorf("%d changes received in %d batches, want at most %d", changes, batches, maxBatches)
 	}
 }
--- a/internal/feed/subsets.go
+++ b/internal/feed/subsets.go
@@ -12,47 +12,45 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// revisionGap is the least time between two messages that tell a watcher only that the state has
-// moved on. What changes grows with the number of machines, and each watcher would get a message for
-// each change of any of them. It is well below behindLimit, by which a watcher takes a server that
-// does not keep up for one that is cut off.
-const revisionGap = 300 * time.Millisecond
-
-// subsets chooses what watchers learn of that know a part of the machines and replicas only; see
-// package subset.
-type subsets struct {
+// minRevisionInterval limits the messages that only advance the revision of a watcher, since most
+// changes don't concern it. It must be well below catchUpTimeout.
+const minRevisionInterval = 300 * time.Millisecond
+
+// subsetSource selects the state for watchers of a subset of the machines and replicas; see package
+// subset.
+type subsetSource struct {
 	backend Backend
-	places  places.Map
+	zones   places.Map
 
 	mutex sync.Mutex
 	index *subset.Index
-	// roster is that of the newest digest.
+	// roster indexes the roster of the newest digest.
 	roster rosterIndex
-	// lists are made once for all watchers of a zone, which begin with the same.
+	// lists holds the initial list of each zone, which all its watchers share.
 	lists map[string]*subsetList
-	// examined counts the changes that were looked at for watchers, for tests of what they cost.
-	examined int
+	// examinedEvents counts the events filtered for watchers; it is used by tests.
+	examinedEvents int
 }
 
-// subsetList is a whole state as a watcher of one zone learns of it.
+// subsetList is the initial list for the watchers of one zone.
 type subsetList struct {
 	revision uint64
 	parts    []*wirepb.WatchListPart
-	// chosen is what a watcher knows that has taken the list.
-	chosen *subset.Subset
+	// subset is the initial subset of a watcher that receives the list.
+	subset *subset.Subset
 }
 
-func newSubsets(backend Backend, zones places.Map) *subsets {
-	return &subsets{backend: backend, places: zones, index: subset.NewIndex(zones), lists: map[string]*subsetList{}}
+func newSubsetSource(backend Backend, zones places.Map) *subsetSource {
+	return &subsetSource{backend: backend, zones: zones, index: subset.NewIndex(zones), lists: map[string]*subsetList{}}
 }
 
-// catchUp brings the index up to date and returns the changes after a revision; the mutex must be
+// catchUp applies new changes to the index and returns the changes after a revision; the mutex must be
 // held.
-func (s *subsets) catchUp(after uint64) Changes {
+func (s *subsetSource) catchUp(after uint64) Changes {
 	indexed := s.index.Revision()
 	changes := s.backend.ChangesAfter(min(after, indexed))
 	if changes.Reset && after < indexed {
-		return changes // The watcher alone is too far behind; all others would list anew with it.
+		return changes // Resetting the index would force all other watchers to list again.
 	}
 	if changes.Reset {
 		s.index.Apply(changes.Events, changes.Revision, true)
@@ -64,132 +62,131 @@
 	return changes
 }
 
-// list returns the whole state for a watcher of a zone that holds a revision already, or nothing
-// while the backend is further behind.
-func (s *subsets) list(zone string, held uint64) (*subsetList, error) {
+// list returns a list for a watcher of a zone, at minRevision or later. It returns nil while the
+// backend is behind minRevision.
+func (s *subsetSource) list(zone string, minRevision uint64) (*subsetList, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if cached := s.lists[zone]; cached != nil && cached.revision >= held {
+	if cached := s.lists[zone]; cached != nil && cached.revision >= minRevision {
 		changes := s.catchUp(cached.revision)
-		if !changes.Reset && len(changes.Events) <= maxListLag {
+		if !changes.Reset && len(changes.Events) <= maxCachedListLag {
 			return cached, nil
 		}
 	}
-	listed := s.backend.ChangesAfter(0)
-	if listed.Revision < held {
+	full := s.backend.ChangesAfter(0)
+	if full.Revision < minRevision {
 		return nil, nil
 	}
-	s.catchUp(listed.Revision)
-	chosen := s.index.Subset(places.Position{Map: s.places, Zone: zone})
-	events := append(subset.Common(listed.Events), chosen.Update()...)
-	parts, err := pack(Changes{Events: events, Revision: listed.Revision})
+	s.catchUp(full.Revision)
+	selected := s.index.Subset(places.Position{Map: s.zones, Zone: zone})
+	events := append(subset.Common(full.Events), selected.Update()...)
+	parts, err := encodeList(Changes{Events: events, Revision: full.Revision})
 	if err != nil {
 		return nil, err
 	}
-	made := &subsetList{revision: listed.Revision, parts: parts, chosen: chosen}
-	s.lists[zone] = made
-	return made, nil
+	created := &subsetList{revision: full.Revision, parts: parts, subset: selected}
+	s.lists[zone] = created
+	return created, nil
 }
 
-// subsetSession is what one watcher knows.
+// subsetSession tracks the subset known to one watcher.
 type subsetSession struct {
-	subsets *subsets
-	zone    string
-	// raised is told when the watcher is to learn of more.
-	raised chan struct{}
-	// chosen is nil before the first list; it is guarded by the mutex of subsets.
-	chosen *subset.Subset
-	// digests are cut to what the watcher knows.
-	digests digestSubset
+	source *subsetSource
+	zone   string
+	// widened is signaled when demand has added replicas to the subset.
+	widened chan struct{}
+	// subset is nil before the first list; it is guarded by source.mutex.
+	subset       *subset.Subset
+	digestFilter digestFilter
 }
 
-func (s *subsets) session(zone string) *subsetSession {
-	return &subsetSession{subsets: s, zone: zone, raised: make(chan struct{}, 1)}
+func (s *subsetSource) newSession(zone string) *subsetSession {
+	return &subsetSession{source: s, zone: zone, widened: make(chan struct{}, 1)}
 }
 
-// take begins with a list.
-func (w *subsetSession) take(list *subsetList) {
-	w.subsets.mutex.Lock()
-	defer w.subsets.mutex.Unlock()
-	w.chosen = list.chosen.Clone()
+// start sets the subset to that of a list.
+func (w *subsetSession) start(list *subsetList) {
+	w.source.mutex.Lock()
+	defer w.source.mutex.Unlock()
+	w.subset = list.subset.Clone()
 }
 
-// next returns the changes after a revision that concern the watcher, and objects that it has to
-// learn besides. It is not current where the watcher has to list anew.
-func (w *subsetSession) next(after uint64) (changes Changes, added []*wirepb.WatchEvent, current bool) {
-	w.subsets.mutex.Lock()
-	defer w.subsets.mutex.Unlock()
-	changes = w.subsets.catchUp(after)
-	if changes.Reset || w.chosen.Expired() {
+// nextChanges returns the changes after a revision that concern the watcher, and the objects added to
+// its subset. isCurrent is false if the watcher needs a new list.
+func (w *subsetSession) nextChanges(after uint64) (changes Changes, added []*wirepb.WatchEvent, isCurrent bool) {
+	w.source.mutex.Lock()
+	defer w.source.mutex.Unlock()
+	changes = w.source.catchUp(after)
+	if changes.Reset || w.subset.Expired() {
 		return Changes{}, nil, false
 	}
-	w.subsets.examined += len(changes.Events)
-	changes.Events = w.chosen.Filter(changes.Events)
-	return changes, w.chosen.Update(), true
+	w.source.examinedEvents += len(changes.Events)
+	changes.Events = w.subset.Filter(changes.Events)
+	return changes, w.subset.Update(), true
 }
 
-// noteDemand lets the watcher learn of more replicas of what its requests wait for.
-func (w *subsetSession) noteDemand(demands []*wirepb.ModelDemand) {
-	w.subsets.mutex.Lock()
-	defer w.subsets.mutex.Unlock()
-	if w.chosen == nil || w.chosen.Expired() {
+// recordDemand widens the subset for models with waiting requests.
+func (w *subsetSession) recordDemand(demands []*wirepb.ModelDemand) {
+	w.source.mutex.Lock()
+	defer w.source.mutex.Unlock()
+	if w.subset == nil || w.subset.Expired() {
 		return
 	}
-	raised := false
+	widened := false
 	for _, demand := range demands {
 		if demand.GetWaiting() > 0 {
-			raised = w.chosen.Raise(demand.GetVersion(), demand.GetAdapter()) || raised
+			widened = w.subset.Raise(demand.GetVersion(), demand.GetAdapter()) || widened
 		}
 	}
-	if !raised {
+	if !widened {
 		return
 	}
 	select {
-	case w.raised <- struct{}{}:
+	case w.widened <- struct{}{}:
 	default:
 	}
 }
 
-// digest returns a digest with what it says of the machines that the watcher knows.
-func (w *subsetSession) digest(whole *wirepb.ClusterDigest) *wirepb.ClusterDigest {
-	w.subsets.mutex.Lock()
-	defer w.subsets.mutex.Unlock()
-	return w.digests.of(whole, w.chosen, &w.subsets.roster)
+func (w *subsetSession) filterDigest(full *wirepb.ClusterDigest) *wirepb.ClusterDigest {
+	w.source.mutex.Lock()
+	defer w.source.mutex.Unlock()
+	return w.digestFilter.apply(full, w.subset, &w.source.roster)
 }
 
-// sendSubset sends a watcher what concerns it, from its list on. Each change is looked at once: what
-// has been found to be of no concern is not looked at again before the revision is told.
-func (s *Server) sendSubset(ctx context.Context, conn *wire.Conn, request *wirepb.WatchRequest, session *subsetSession) {
-	// seen is up to where changes were looked at, told what the watcher knows of.
-	seen, listed := s.sendSubsetList(ctx, conn, session, request.GetAfterRevision())
-	told, toldAt := seen, time.Now()
-	for listed {
+// sendSubsetChanges sends the initial list and then the changes of a subset. It examines each change
+// only once, also before the next revision is sent.
+func (s *Server) sendSubsetChanges(ctx context.Context, conn *wire.Conn, request *wirepb.WatchRequest, session *subsetSession) {
+	// examined is the revision up to which changes have been filtered; sent is the revision known to
+	// the watcher.
+	examined, ok := s.sendSubsetList(ctx, conn, session, request.GetAfterRevision())
+	sent, sentAt := examined, time.Now()
+	for ok {
 		changed := s.backend.Changed()
-		changes, added, current := session.next(seen)
-		if !current {
-			seen, listed = s.sendSubsetList(ctx, conn, session, told)
-			told, toldAt = seen, time.Now()
+		changes, added, isCurrent := session.nextChanges(examined)
+		if !isCurrent {
+			examined, ok = s.sendSubsetList(ctx, conn, session, sent)
+			sent, sentAt = examined, time.Now()
 			continue
 		}
-		seen = changes.Revision
-		isConcerned := len(changes.Events) > 0 || len(added) > 0
-		if isConcerned || seen > told && time.Since(toldAt) >= revisionGap {
-			if sendBatches(conn, changes) != nil || sendAdded(conn, added, seen) != nil {
+		examined = changes.Revision
+		hasChanges := len(changes.Events) > 0 || len(added) > 0
+		if hasChanges || examined > sent && time.Since(sentAt) >= minRevisionInterval {
+			if sendBatches(conn, changes) != nil || sendAddedObjects(conn, added, examined) != nil {
 				return
 			}
-			told, toldAt = seen, time.Now()
+			sent, sentAt = examined, time.Now()
 		}
-		if !pauseBetween(ctx, conn) {
+		if !waitBatchInterval(ctx, conn) {
 			return
 		}
-		var untold <-chan time.Time
-		if seen > told {
-			untold = time.After(revisionGap - time.Since(toldAt))
+		var revisionDue <-chan time.Time
+		if examined > sent {
+			revisionDue = time.After(minRevisionInterval - time.Since(sentAt))
 		}
 		select {
 		case <-changed:
-		case <-untold:
-		case <-session.raised:
+		case <-revisionDue:
+		case <-session.widened:
 		case <-conn.Done():
 			return
 		case <-ctx.Done():
@@ -198,18 +195,18 @@
 	}
 }
 
-// sendSubsetList sends a list that is not older than what the watcher holds, and returns its
-// revision. Where it can't, the connection is closed and listed is false.
-func (s *Server) sendSubsetList(ctx context.Context, conn *wire.Conn, session *subsetSession, held uint64) (revision uint64, listed bool) {
+// sendSubsetList sends a list at minRevision or later and returns its revision. On failure it closes
+// the connection and returns false.
+func (s *Server) sendSubsetList(ctx context.Context, conn *wire.Conn, session *subsetSession, minRevision uint64) (revision uint64, ok bool) {
 	for {
 		changed := s.backend.Changed()
-		list, err := s.subsets.list(session.zone, held)
+		list, err := s.subsets.list(session.zone, minRevision)
 		if err != nil {
-			return 0, s.sendParts(conn, nil, err)
+			return 0, s.sendListParts(conn, nil, err)
 		}
 		if list != nil {
-			session.take(list)
-			return list.revision, s.sendParts(conn, list.parts, nil)
+			session.start(list)
+			return list.revision, s.sendListParts(conn, list.parts, nil)
 		}
 		select {
 		case <-changed:
@@ -221,8 +218,7 @@
 	}
 }
 
-// sendAdded sends objects that the watcher learns of now.
-func sendAdded(conn *wire.Conn, added []*wirepb.WatchEvent, revision uint64) error {
+func sendAddedObjects(conn *wire.Conn, added []*wirepb.WatchEvent, revision uint64) error {
 	for len(added) > 0 {
 		count := min(len(added), maxEventsPerBatch)
 		batch := &wirepb.WatchBatch{Events: added[:count], Revision: revision, Added: true}
--- a/internal/feed/subsets_test.go
+++ b/internal/feed/subsets_test.go
@@ -22,7 +22,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// fleetBackend serves machines with one replica each of one version.
+// fleetBackend serves machines that each run one replica of the same version.
 type fleetBackend struct {
 	listBackend
 	mutex   sync.Mutex
@@ -43,8 +43,8 @@
 	event := &wirepb.WatchEvent{Object: &wirepb.Object{
 		Kind: string(kind), Name: name, Revision: b.revision, Spec: []byte(spec), Status: []byte(status),
 	}}
-	b.objects = append(slices.DeleteFunc(b.objects, func(held *wirepb.WatchEvent) bool {
-		return state.KeyOf(held.GetObject()) == state.KeyOf(event.GetObject())
+	b.objects = append(slices.DeleteFunc(b.objects, func(existing *wirepb.WatchEvent) bool {
+		return state.KeyOf(existing.GetObject()) == state.KeyOf(event.GetObject())
 	}), event)
 	b.events = append(b.events, event)
 	b.mutex.Unlock()
@@ -61,21 +61,21 @@
 		`"accelerators":[0],"bytesPerAccelerator":1,"weightBytes":1,"cacheBytes":1,"maxConcurrent":8,"phase":"Ready"}`, number), "")
 }
 
-// sinkOf holds what a client was sent.
-type sinkOf struct {
+// recordingSink records the state that a client receives.
+type recordingSink struct {
 	mutex    sync.Mutex
 	revision uint64
 	objects  map[state.Key]*wirepb.Object
 	changed  *signal.Broadcast
 }
 
-func (s *sinkOf) Revision() uint64 {
+func (s *recordingSink) Revision() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.revision
 }
 
-func (s *sinkOf) Apply(changes Changes) {
+func (s *recordingSink) Apply(changes Changes) {
 	s.mutex.Lock()
 	defer s.changed.Notify()
 	defer s.mutex.Unlock()
@@ -84,7 +84,7 @@
 	}
 	for _, event := range changes.Events {
 		key := state.KeyOf(event.GetObject())
-		if held := s.objects[key]; held != nil && held.GetRevision() >= event.GetObject().GetRevision() {
+		if existing := s.objects[key]; existing != nil && existing.GetRevision() >= event.GetObject().GetRevision() {
 			continue
 		}
 		s.objects[key] = event.GetObject()
@@ -95,9 +95,9 @@
 	s.revision = changes.Revision
 }
 
-func (s *sinkOf) TakeDigest(*wirepb.ClusterDigest) {}
+func (s *recordingSink) TakeDigest(*wirepb.ClusterDigest) {}
 
-func (s *sinkOf) count(kind v1.Kind) int {
+func (s *recordingSink) count(kind v1.Kind) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := 0
@@ -109,26 +109,26 @@
 	return count
 }
 
-// await waits until the sink is as wanted.
-func (s *sinkOf) await(t *testing.T, what string, reached func() bool) {
+// await waits until a condition that depends on the sink is reached.
+func (s *recordingSink) await(t *testing.T, condition string, isReached func() bool) {
 	t.Helper()
 	for {
 		changed := s.changed.Wait()
-		if reached() {
+		if isReached() {
 			return
 		}
 		select {
 		case <-changed:
 		case <-t.Context().Done():
-			t.Fatalf("the test ended before: %s; revision %d, %d replicas", what, s.Revision(), s.count(v1.KindReplica))
+			t.Fatalf("test ended before the condition was reached: %s; revision %d, %d replicas", condition, s.Revision(), s.count(v1.KindReplica))
 		}
 	}
 }
 
-// TestNodesLearnOfASubset: a node that asks for a part is sent the configuration whole and some
-// machines, keeps up with the revision, is told what becomes of what it knows and of nothing else,
-// and learns of more once its requests wait. Another that asks for everything gets that.
-func TestNodesLearnOfASubset(t *testing.T) {
+// TestSubsetWatch checks that a watcher of a subset gets the whole configuration and some of the
+// machines, follows changes of these and the revision, and gets more replicas when requests wait. A
+// watcher without a subset gets everything.
+func TestSubsetWatch(t *testing.T) {
 	const machines = 200
 	backend := &fleetBackend{changed: signal.New()}
 	for number := range machines {
@@ -146,28 +146,28 @@
 	}
 	server := NewServer(backend, identityOf("server"), places.NewMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
-	follow := func(name string, part bool) (*sinkOf, *Client) {
+	follow := func(name string, partial bool) (*recordingSink, *Client) {
 		identity := identityOf(name)
-		identity.Hello.Subset, identity.Hello.Zone = part, "z"
-		sink := &sinkOf{changed: signal.New()}
+		identity.Hello.Subset, identity.Hello.Zone = partial, "z"
+		sink := &recordingSink{changed: signal.New()}
 		client := NewClient([]string{listener.Addr().String()}, identity, sink, slog.New(slog.DiscardHandler))
 		workers.Go(func() { client.Run(ctx) })
 		return sink, client
 	}
-	whole, _ := follow("whole", false)
+	full, _ := follow("whole", false)
 	part, client := follow("part", true)
-	for _, sink := range []*sinkOf{whole, part} {
+	for _, sink := range []*recordingSink{full, part} {
 		sink.await(t, "the list", func() bool { return sink.Revision() == backend.revision && sink.count(v1.KindLimit) == 1 })
 	}
 	known := part.count(v1.KindReplica)
 	if known == 0 || known >= machines/2 || part.count(v1.KindMachine) < known {
-		t.Fatalf("the node learnt of %d replicas on %d machines", known, part.count(v1.KindMachine))
+		t.Fatalf("subset has %d replicas on %d machines", known, part.count(v1.KindMachine))
 	}
-	if whole.count(v1.KindReplica) != machines {
-		t.Fatalf("the node that asks for all got %d replicas", whole.count(v1.KindReplica))
+	if full.count(v1.KindReplica) != machines {
+		t.Fatalf("full watcher has %d replicas", full.count(v1.KindReplica))
 	}
 
-	for number := range machines { // Half of those that it knows, and of the others.
+	for number := range machines { // Drains half of the machines, inside and outside the subset.
 		if number%2 == 0 {
 			backend.machine(number, v1.MachineLeaving)
 		}
@@ -176,47 +176,48 @@
 		part.mutex.Lock()
 		defer part.mutex.Unlock()
 		for key := range part.objects {
-			on := part.objects[state.Key{Kind: v1.KindMachine, Name: strings.Replace(key.Name, "r-", "m-", 1)}]
-			if key.Kind == v1.KindReplica && strings.Contains(string(on.GetStatus()), "Live") {
+			machine := part.objects[state.Key{Kind: v1.KindMachine, Name: strings.Replace(key.Name, "r-", "m-", 1)}]
+			if key.Kind == v1.KindReplica && strings.Contains(string(machine.GetStatus()), "Live") {
 				count++
 			}
 		}
 		return count
 	}
-	part.await(t, "others in place of those that leave", func() bool { return part.Revision() == backend.revision && usable() == known })
+	part.await(t, "replacements for machines that are leaving", func() bool { return part.Revision() == backend.revision && usable() == known })
 
 	demand := []*wirepb.ModelDemand{{Version: "v", Waiting: 3}}
 	if err := client.Send(&wirepb.Envelope{Body: &wirepb.Envelope_NodeReport{NodeReport: &wirepb.NodeReport{Demand: demand}}}); err != nil {
 		t.Fatal(err)
 	}
-	part.await(t, "twice as many for requests that wait", func() bool { return usable() == 2*known })
+	part.await(t, "twice as many replicas for waiting requests", func() bool { return usable() == 2*known })
 }
 
-// TestSubsetListsAreMadeOnceForAZone, and never from before what a node holds.
-func TestSubsetListsAreMadeOnceForAZone(t *testing.T) {
+// TestSubsetListsAreSharedPerZone also checks that a list is never older than the revision a watcher
+// has.
+func TestSubsetListsAreSharedPerZone(t *testing.T) {
 	backend := &listBackend{}
-	backend.put(100)
-	lists := newSubsets(backend, places.Map{})
-	first, err := lists.list("z", 0)
+	backend.addObjects(100)
+	source := newSubsetSource(backend, places.Map{})
+	first, err := source.list("z", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	backend.put(3)
-	if again, err := lists.list("z", 100); err != nil || again != first {
-		t.Errorf("another list was made for the same zone: %v", err)
+	backend.addObjects(3)
+	if again, err := source.list("z", 100); err != nil || again != first {
+		t.Errorf("a second list was created for the same zone: %v", err)
 	}
-	later, err := lists.list("z", 102)
+	later, err := source.list("z", 102)
 	if err != nil || later.revision != 103 {
-		t.Errorf("a list for a node at 102 is of revision %d, %v", later.revision, err)
+		t.Errorf("list for a watcher at revision 102 has revision %d, %v", later.revision, err)
 	}
-	if none, err := lists.list("z", 200); err != nil || none != nil {
-		t.Errorf("a list was made for a node that is ahead: %v, %v", none, err)
+	if none, err := source.list("z", 200); err != nil || none != nil {
+		t.Errorf("got a list for a watcher ahead of the backend: %v, %v", none, err)
 	}
 }
 
-// TestDigestsAreCutToWhatANodeKnows: the numbers of its machines stay theirs, the roster travels
-// when it or the subset has changed, and the whole digest is left alone.
-func TestDigestsAreCutToWhatANodeKnows(t *testing.T) {
+// TestDigestFilter checks that machines keep their positions, that the roster is sent only when it or
+// the subset has changed, and that the full digest is not modified.
+func TestDigestFilter(t *testing.T) {
 	index := subset.NewIndex(places.Map{})
 	var events []*wirepb.WatchEvent
 	backend := &fleetBackend{changed: signal.New()}
@@ -226,85 +227,85 @@
 	}
 	events = append(events, backend.events...)
 	index.Apply(events, backend.revision, true)
-	chosen := index.Subset(places.Position{Zone: "z"})
-	chosen.Update()
-	whole := &wirepb.ClusterDigest{
+	selected := index.Subset(places.Position{Zone: "z"})
+	selected.Update()
+	full := &wirepb.ClusterDigest{
 		Term: 1, Sequence: 7, RosterSequence: 5, Roster: &wirepb.Roster{Machines: []string{"m-0", "m-1", "m-2", "m-3", "m-4"}, Control: []string{"c"}},
 		MachineLoads: []byte{9, 1, 9, 0, 4}, MachineWarming: []byte{9, 2}, MachineWork: []byte{9, 0, 9},
 	}
-	untouched := proto.CloneOf(whole)
-	cut, positions := digestSubset{}, &rosterIndex{}
-	sender, receiver := &DigestSender{appends: true}, &DigestReceiver{}
-	send := func(whole *wirepb.ClusterDigest, chosen *subset.Subset) (sent, taken *wirepb.ClusterDigest) {
-		part := cut.of(whole, chosen, positions)
-		sent = sender.Envelope(part).GetClusterDigest()
-		taken = receiver.Complete(sent)
-		if !proto.Equal(taken, part) {
-			t.Errorf("digest %d came as %v instead of %v", whole.GetSequence(), taken, part)
+	original := proto.CloneOf(full)
+	filter, positions := digestFilter{}, &rosterIndex{}
+	sender, receiver := &DigestSender{appendsMachines: true}, &DigestReceiver{}
+	send := func(digest *wirepb.ClusterDigest, known *subset.Subset) (sent, received *wirepb.ClusterDigest) {
+		filtered := filter.apply(digest, known, positions)
+		sent = sender.Envelope(filtered).GetClusterDigest()
+		received = receiver.Complete(sent)
+		if !proto.Equal(received, filtered) {
+			t.Errorf("digest %d was received as %v, want %v", digest.GetSequence(), received, filtered)
 		}
-		return sent, taken
+		return sent, received
 	}
-	if _, nothing := send(whole, nil); len(nothing.GetRoster().GetMachines()) != 0 || len(nothing.GetMachineLoads()) != 0 || len(nothing.GetRoster().GetControl()) != 1 {
-		t.Errorf("before anything is known the digest is %v", nothing)
+	if _, empty := send(full, nil); len(empty.GetRoster().GetMachines()) != 0 || len(empty.GetMachineLoads()) != 0 || len(empty.GetRoster().GetControl()) != 1 {
+		t.Errorf("digest of an empty subset: %v", empty)
 	}
 	next := func(sequence uint64, roster *wirepb.Roster) *wirepb.ClusterDigest {
-		digest := proto.CloneOf(whole)
+		digest := proto.CloneOf(full)
 		digest.Sequence, digest.Roster = sequence, roster
-		if roster != whole.GetRoster() {
+		if roster != full.GetRoster() {
 			digest.RosterSequence = sequence
 		}
 		return digest
 	}
-	_, part := send(next(8, whole.GetRoster()), chosen)
-	if !slices.Equal(part.GetRoster().GetMachines(), []string{"m-1", "m-3", "m-4"}) {
-		t.Errorf("the roster is %v", part.GetRoster().GetMachines())
+	_, first := send(next(8, full.GetRoster()), selected)
+	if !slices.Equal(first.GetRoster().GetMachines(), []string{"m-1", "m-3", "m-4"}) {
+		t.Errorf("roster: %v", first.GetRoster().GetMachines())
 	}
-	if !slices.Equal(part.GetMachineLoads(), []byte{1, 0, 4}) || !slices.Equal(part.GetMachineWarming(), []byte{2}) || len(part.GetMachineWork()) != 0 {
-		t.Errorf("loads %v, warming %v, work %v", part.GetMachineLoads(), part.GetMachineWarming(), part.GetMachineWork())
+	if !slices.Equal(first.GetMachineLoads(), []byte{1, 0, 4}) || !slices.Equal(first.GetMachineWarming(), []byte{2}) || len(first.GetMachineWork()) != 0 {
+		t.Errorf("loads %v, warming %v, work %v", first.GetMachineLoads(), first.GetMachineWarming(), first.GetMachineWork())
 	}
-	if !proto.Equal(whole, untouched) {
-		t.Error("the digest that all share was changed")
+	if !proto.Equal(full, original) {
+		t.Error("the full digest was modified")
 	}
-	if sent, _ := send(next(9, whole.GetRoster()), chosen); sent.GetRoster() != nil || len(sent.GetAppendedMachines()) != 0 {
-		t.Errorf("the same roster travels again: %v", sent)
+	if sent, _ := send(next(9, full.GetRoster()), selected); sent.GetRoster() != nil || len(sent.GetAppendedMachines()) != 0 {
+		t.Errorf("an unchanged roster was sent again: %v", sent)
 	}
-	// Another machine comes to the fleet before all others: the numbers stay with their machines.
+	// A new machine at the start of the full roster does not change positions in the filtered one.
 	more := &wirepb.Roster{Machines: []string{"l-9", "m-0", "m-1", "m-2", "m-3", "m-4"}, Control: []string{"c"}}
 	digest := next(10, more)
 	digest.MachineLoads = []byte{7, 9, 1, 9, 0, 4}
-	if sent, taken := send(digest, chosen); sent.GetRoster() != nil || len(sent.GetAppendedMachines()) != 0 || !slices.Equal(taken.GetMachineLoads(), []byte{1, 0, 4}) {
-		t.Errorf("a machine that the node does not know brings %v", sent)
+	if sent, taken := send(digest, selected); sent.GetRoster() != nil || len(sent.GetAppendedMachines()) != 0 || !slices.Equal(taken.GetMachineLoads(), []byte{1, 0, 4}) {
+		t.Errorf("message after a new machine outside the subset: %v", sent)
 	}
-	// The node learns of a machine, and its name alone travels.
+	// A machine added to the subset is appended to the roster.
 	backend.machine(2, v1.MachineLive)
 	backend.replica(2)
 	index.Apply(backend.events[6:], backend.revision, false)
-	chosen.Filter(backend.events[6:])
-	chosen.Update()
+	selected.Filter(backend.events[6:])
+	selected.Update()
 	digest = next(11, more)
 	digest.MachineLoads = []byte{7, 9, 1, 9, 0, 4}
-	sent, taken := send(digest, chosen)
+	sent, taken := send(digest, selected)
 	if sent.GetRoster() != nil || !slices.Equal(sent.GetAppendedMachines(), []string{"m-2"}) || !slices.Equal(taken.GetMachineLoads(), []byte{1, 0, 4, 9}) {
-		t.Errorf("after the node has learnt of a machine the digest is %v", sent)
+		t.Errorf("message after a machine was added to the subset: %v", sent)
 	}
-	// What the fleet's roster lists no more may have just started.
+	// A machine missing from the full roster may have just started and is treated as warming up.
 	digest = next(12, &wirepb.Roster{Machines: []string{"m-1", "m-2", "m-4"}, Control: []string{"c"}})
 	digest.MachineLoads, digest.MachineWarming = []byte{1, 2, 3}, nil
-	if _, taken := send(digest, chosen); !slices.Equal(taken.GetMachineLoads(), []byte{1, 0, 3, 2}) || !slices.Equal(taken.GetMachineWarming(), []byte{0, 255}) {
+	if _, taken := send(digest, selected); !slices.Equal(taken.GetMachineLoads(), []byte{1, 0, 3, 2}) || !slices.Equal(taken.GetMachineWarming(), []byte{0, 255}) {
 		t.Errorf("loads %v, warming %v", taken.GetMachineLoads(), taken.GetMachineWarming())
 	}
-	// Another control node: the roster travels whole.
-	if sent, _ := send(next(13, &wirepb.Roster{Machines: more.GetMachines(), Control: []string{"c", "d"}}), chosen); len(sent.GetRoster().GetMachines()) != 4 {
-		t.Errorf("with another control node the digest is %v", sent)
+	// Another control node requires sending the whole roster.
+	if sent, _ := send(next(13, &wirepb.Roster{Machines: more.GetMachines(), Control: []string{"c", "d"}}), selected); len(sent.GetRoster().GetMachines()) != 4 {
+		t.Errorf("message after another control node was added: %v", sent)
 	}
 	if (&DigestReceiver{}).Complete(&wirepb.ClusterDigest{Term: 1, AppendedMachines: []string{"m"}, RosterBase: 3}) != nil {
-		t.Error("machines were appended to a roster that is not held")
+		t.Error("machines were appended to an unknown roster")
 	}
 }
 
-// TestChangesOfOthersBringFewMessages: what becomes of machines that a node does not know costs it
-// nothing but the revision, told now and then.
-func TestChangesOfOthersBringFewMessages(t *testing.T) {
+// TestUnrelatedChangesSendFewMessages checks that changes outside a watcher's subset cause only
+// occasional messages with the new revision.
+func TestUnrelatedChangesSendFewMessages(t *testing.T) {
 	const machines, changes = 400, 300
 	backend := &fleetBackend{changed: signal.New()}
 	for number := range machines {
@@ -334,101 +335,102 @@
 	if err := conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_WatchRequest{WatchRequest: request}}); err != nil {
 		t.Fatal(err)
 	}
-	known, held := map[string]bool{}, uint64(0)
-	lists := &listReceiver{}
+	known, revision := map[string]bool{}, uint64(0)
+	decoder := &listDecoder{}
 	for done := false; !done; {
 		envelope, err := conn.Receive()
 		if err != nil {
 			t.Fatal(err)
 		}
-		var listed Changes
-		if listed, done, err = lists.take(envelope.GetWatchListPart()); err != nil {
+		var list Changes
+		if list, done, err = decoder.add(envelope.GetWatchListPart()); err != nil {
 			t.Fatal(err)
 		}
-		for _, event := range listed.Events {
+		for _, event := range list.Events {
 			known[event.GetObject().GetName()] = true
 		}
-		held = listed.Revision
+		revision = list.Revision
 	}
-	other := 0
-	for known[fmt.Sprint("m-", other)] {
-		other++
+	unknownMachine := 0
+	for known[fmt.Sprint("m-", unknownMachine)] {
+		unknownMachine++
 	}
 	started := time.Now()
 	workers.Go(func() {
 		for number := range changes {
-			backend.machine(other, []v1.MachinePhase{v1.MachineLost, v1.MachineLive}[number%2])
+			backend.machine(unknownMachine, []v1.MachinePhase{v1.MachineLost, v1.MachineLive}[number%2])
 			time.Sleep(time.Millisecond)
 		}
 	})
-	messages, wanted := 0, held+changes
-	for held < wanted {
+	messages, finalRevision := 0, revision+changes
+	for revision < finalRevision {
 		envelope, err := conn.Receive()
 		if err != nil {
 			t.Fatal(err)
 		}
 		messages++
-		held = envelope.GetWatchBatch().GetRevision()
+		revision = envelope.GetWatchBatch().GetRevision()
 		if events := envelope.GetWatchBatch().GetEvents(); len(events) > 0 {
-			t.Fatalf("the node is told of %v", events)
+			t.Fatalf("received events outside the subset: %v", events)
 		}
 	}
-	if allowed := 2 + int(time.Since(started)/revisionGap); messages > allowed {
-		t.Errorf("%d changes of a machine that the node does not know came in %d messages, in the time of %d", changes, messages, allowed)
+	if maxMessages := 2 + int(time.Since(started)/minRevisionInterval); messages > maxMessages {
+		t.Errorf("%d changes outside the subset caused %d messages, want at most %d", changes, messages, maxMessages)
 	}
 	server.subsets.mutex.Lock()
 	defer server.subsets.mutex.Unlock()
-	if server.subsets.examined > changes {
-		t.Errorf("%d changes were looked at %d times for one node", changes, server.subsets.examined)
+	if server.subsets.examinedEvents > changes {
+		t.Errorf("%d changes were examined %d times for one watcher", changes, server.subsets.examinedEvents)
 	}
 }
 
-// TestOneWatcherFarBehindListsAlone: the changes that it lacks are no longer kept. All others have
-// taken them, and go on.
-func TestOneWatcherFarBehindListsAlone(t *testing.T) {
+// TestLaggingWatcherRelistsAlone checks that a watcher whose changes are no longer available does not
+// make the others list again.
+func TestLaggingWatcherRelistsAlone(t *testing.T) {
 	backend := &listBackend{}
-	backend.put(10)
-	lists := newSubsets(backend, places.Map{})
+	backend.addObjects(10)
+	source := newSubsetSource(backend, places.Map{})
 	sessions := map[string]*subsetSession{}
-	for _, name := range []string{"behind", "in step"} {
-		list, err := lists.list("z", 0)
+	for _, name := range []string{"behind", "up to date"} {
+		list, err := source.list("z", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sessions[name] = lists.session("z")
-		sessions[name].take(list)
+		sessions[name] = source.newSession("z")
+		sessions[name].start(list)
 	}
-	backend.put(10)
-	if _, _, current := sessions["in step"].next(10); !current {
-		t.Fatal("a watcher must list anew though all changes are kept")
+	backend.addObjects(10)
+	if _, _, isCurrent := sessions["up to date"].nextChanges(10); !isCurrent {
+		t.Fatal("a watcher has to list again although all changes are available")
 	}
-	backend.forget()
-	if _, _, current := sessions["behind"].next(10); current {
-		t.Error("a watcher goes on without changes that are no longer kept")
+	backend.compact()
+	if _, _, isCurrent := sessions["behind"].nextChanges(10); isCurrent {
+		t.Error("a watcher continues although changes are no longer available")
 	}
-	if _, _, current := sessions["in step"].next(20); !current {
-		t.Error("a watcher that has taken all changes must list anew because of another")
+	if _, _, isCurrent := sessions["up to date"].nextChanges(20); !isCurrent {
+		t.Error("an up-to-date watcher has to list again because of another one")
 	}
 }
 
-// TestDigestsFollowANewSubset: a watcher that lists anew may know other machines, and as many changes.
-func TestDigestsFollowANewSubset(t *testing.T) {
+// TestDigestFilterFollowsNewSubset guards against keeping the roster of the previous subset if both
+// have had the same number of machine changes.
+func TestDigestFilterFollowsNewSubset(t *testing.T) {
 	subsetOf := func(number int) *subset.Subset {
 		backend := &fleetBackend{changed: signal.New()}
 		backend.machine(number, v1.MachineLive)
 		backend.replica(number)
 		index := subset.NewIndex(places.Map{})
 		index.Apply(backend.events, backend.revision, true)
-		chosen := index.Subset(places.Position{Zone: "z"})
-		chosen.Update()
-		return chosen
+		selected := index.Subset(places.Position{Zone: "z"})
+		selected.Update()
+		return selected
 	}
-	whole := &wirepb.ClusterDigest{Term: 1, Sequence: 1, RosterSequence: 1, Roster: &wirepb.Roster{Machines: []string{"m-1", "m-2"}}}
-	cut := digestSubset{}
+	full := &wirepb.ClusterDigest{Term: 1, Sequence: 1, RosterSequence: 1, Roster: &wirepb.Roster{Machines: []string{"m-1", "m-2"}}}
+	filter := digestFilter{}
 	for _, number := range []int{1, 2} {
-		part := cut.of(whole, subsetOf(number), &rosterIndex{})
-		if name := fmt.Sprint("m-", number); !slices.Contains(part.GetRoster().GetMachines(), name) {
-			t.Errorf("%s is known and not in the roster %v", name, part.GetRoster().GetMachines())
+		filtered := filter.apply(full, subsetOf(number), &rosterIndex{})
+		if name := fmt.Sprint("m-", number); !slices.Contains(filtered.GetRoster().GetMachines(), name) {
+			t.Errorf("%s is in the subset but not in the roster %v", name, filtered.GetRoster().GetMachines())
 		}
 	}
 }
