--- a/internal/control/oneway_test.go
+++ b/internal/control/oneway_test.go
@@ -25,99 +25,98 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// memoryStorage keeps nothing: no node of these tests restarts.
+// memoryStorage discards everything, since no node of these tests restarts.
 type memoryStorage struct{}
 
 func (memoryStorage) Append(*wirepb.WalRecord) error                         { return nil }
 func (memoryStorage) SaveSnapshot(*wirepb.Snapshot, *wirepb.WalRecord) error { return nil }
 
-// outgoing carries the connections that one control node dials to another. Once
-// cut, what the dialler sends is read and dropped, and what it is sent still
-// arrives: a cut of one direction, with each side's connection standing.
-type outgoing struct {
+// outgoingProxy carries the connections that one control node dials to another. Once cut, it drops
+// what the dialer sends and still delivers what it receives, with both connections open.
+type outgoingProxy struct {
 	listener net.Listener
 	target   string
 	cut      *atomic.Bool
 
 	mutex sync.Mutex
-	// open holds, for each connection, whether it has fallen silent: what the dialler sends
-	// on it is dropped, while new connections work.
-	open []*atomic.Bool
-	// answers holds the same for what the dialler is sent.
-	answers []*atomic.Bool
+	// requests holds, for each connection, whether what the dialer sends is dropped; new
+	// connections work.
+	requests []*atomic.Bool
+	// replies holds the same for what the dialer receives.
+	replies []*atomic.Bool
 }
 
-// silenceAnswers makes all connections that are open carry nothing back.
-func (o *outgoing) silenceAnswers() {
+// dropReplies drops what the dialer receives on the open connections.
+func (o *outgoingProxy) dropReplies() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for _, silent := range o.answers {
-		silent.Store(true)
+	for _, dropped := range o.replies {
+		dropped.Store(true)
 	}
 }
 
-// silence makes all connections that are open fall silent.
-func (o *outgoing) silence() {
+// dropRequests drops what the dialer sends on the open connections.
+func (o *outgoingProxy) dropRequests() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for _, silent := range o.open {
-		silent.Store(true)
+	for _, dropped := range o.requests {
+		dropped.Store(true)
 	}
 }
 
-func (o *outgoing) opened() (sent, answers *atomic.Bool) {
+func (o *outgoingProxy) opened() (requests, replies *atomic.Bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	sent, answers = &atomic.Bool{}, &atomic.Bool{}
-	o.open, o.answers = append(o.open, sent), append(o.answers, answers)
-	return sent, answers
+	requests, replies = &atomic.Bool{}, &atomic.Bool{}
+	o.requests, o.replies = append(o.requests, requests), append(o.replies, replies)
+	return requests, replies
 }
 
-func (o *outgoing) serve() {
+func (o *outgoingProxy) serve() {
 	for {
-		dialled, err := o.listener.Accept()
+		conn, err := o.listener.Accept()
 		if err != nil {
 			return
 		}
-		go o.carry(dialled)
+		go o.carry(conn)
 	}
 }
 
-func (o *outgoing) carry(dialled net.Conn) {
-	defer func() { _ = dialled.Close() }()
-	reached, err := net.Dial("tcp", o.target)
+func (o *outgoingProxy) carry(dialer net.Conn) {
+	defer func() { _ = dialer.Close() }()
+	target, err := net.Dial("tcp", o.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = reached.Close() }()
-	sent, answers := o.opened()
-	go func() { _, _ = io.Copy(&droppingWriter{to: dialled, cut: &atomic.Bool{}, silent: answers}, reached) }()
-	_, _ = io.Copy(&droppingWriter{to: reached, cut: o.cut, silent: sent}, dialled)
+	defer func() { _ = target.Close() }()
+	requests, replies := o.opened()
+	go func() { _, _ = io.Copy(&droppingWriter{to: dialer, cut: &atomic.Bool{}, dropped: replies}, target) }()
+	_, _ = io.Copy(&droppingWriter{to: target, cut: o.cut, dropped: requests}, dialer)
 }
 
-// droppingWriter passes bytes on until its direction is cut or its connection falls silent.
+// droppingWriter discards what it is given while its direction is cut or its connection drops
+// traffic.
 type droppingWriter struct {
-	to          io.Writer
-	cut, silent *atomic.Bool
+	to           io.Writer
+	cut, dropped *atomic.Bool
 }
 
 func (w *droppingWriter) Write(sent []byte) (int, error) {
-	if w.cut.Load() || w.silent.Load() {
+	if w.cut.Load() || w.dropped.Load() {
 		return len(sent), nil
 	}
 	return w.to.Write(sent)
 }
 
-// trio is three control nodes whose outgoing connections can be cut.
-type trio struct {
+// testCluster runs control nodes whose outgoing connections can be cut.
+type testCluster struct {
 	t         *testing.T
 	nodes     []*Node
 	addresses []string
 	cuts      []*atomic.Bool
-	// links are each node's connections to the others.
-	links [][]*outgoing
-	// clocks are the nodes' own.
-	clocks []*sleepingClock
+	// links holds each node's connections to the others.
+	links  [][]*outgoingProxy
+	clocks []*suspendClock
 }
 
 func listen(t *testing.T) net.Listener {
@@ -130,10 +129,10 @@
 	return listener
 }
 
-func startTrio(t *testing.T) *trio {
+func startCluster(t *testing.T) *testCluster {
 	t.Helper()
 	const nodes = 3
-	created := &trio{t: t}
+	created := &testCluster{t: t}
 	listeners := make([]net.Listener, 0, nodes)
 	for range nodes {
 		listener := listen(t)
@@ -160,17 +159,17 @@
 	return wire.Identity{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "test", Node: name, Zone: "z", ControlId: controlID}}
 }
 
-func (c *trio) newNode(position int) *Node {
+func (c *testCluster) newNode(position int) *Node {
 	c.t.Helper()
 	return c.newNodeWith(position, memoryStorage{}, nil)
 }
 
-func (c *trio) newNodeWith(position int, storage member.Storage, engines Engines) *Node {
+func (c *testCluster) newNodeWith(position int, storage member.Storage, engines Engines) *Node {
 	c.t.Helper()
 	return c.newNodeRecovered(position, storage, member.Recovered{}, engines)
 }
 
-func (c *trio) newNodeRecovered(position int, storage member.Storage, recovered member.Recovered, engines Engines) *Node {
+func (c *testCluster) newNodeRecovered(position int, storage member.Storage, recovered member.Recovered, engines Engines) *Node {
 	c.t.Helper()
 	name, id := "control-"+strconv.Itoa(position), uint64(position+1)
 	configuration := &settings.Settings{
@@ -201,17 +200,16 @@
 	return node
 }
 
-// clockOf is a node's clock, which runs on while its test lets the machine sleep.
-func (c *trio) clockOf(position int) *sleepingClock {
+func (c *testCluster) clockOf(position int) *suspendClock {
 	for len(c.clocks) <= position {
-		c.clocks = append(c.clocks, &sleepingClock{})
+		c.clocks = append(c.clocks, &suspendClock{})
 	}
 	return c.clocks[position]
 }
 
-// outgoingAddress is where a node dials another, through what can be cut.
-func (c *trio) outgoingAddress(position int, target string) string {
-	link := &outgoing{listener: listen(c.t), target: target, cut: c.cuts[position]}
+// outgoingAddress returns the address of a proxy by which a node dials another.
+func (c *testCluster) outgoingAddress(position int, target string) string {
+	link := &outgoingProxy{listener: listen(c.t), target: target, cut: c.cuts[position]}
 	go link.serve()
 	for len(c.links) <= position {
 		c.links = append(c.links, nil)
@@ -220,8 +218,8 @@
 	return link.listener.Addr().String()
 }
 
-// eventually asks until the answer is right. Its limit is many times what a right one takes.
-func (c *trio) eventually(what string, try func() bool) {
+// eventually retries until try returns true, and fails the test after 15 s.
+func (c *testCluster) eventually(what string, try func() bool) {
 	c.t.Helper()
 	for range 1500 {
 		if try() {
@@ -229,11 +227,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.t.Fatalf("%s: never", what)
+	c.t.Fatalf("timed out waiting for: %s", what)
 }
 
-// leaderAndFollower waits until all nodes hold the same state under one leader.
-func (c *trio) leaderAndFollower() (leader, follower int) {
+// leaderAndFollower waits for a leader and a follower that has applied the same state.
+func (c *testCluster) leaderAndFollower() (leader, follower int) {
 	c.t.Helper()
 	leader = -1
 	c.eventually("a leader", func() bool {
@@ -245,15 +243,15 @@
 		return leader >= 0
 	})
 	follower = (leader + 1) % len(c.nodes)
-	c.declareAgain(leader, c.nodes[leader].Revision()+1)
-	c.eventually("the follower in step", func() bool {
+	c.declareUntilAcknowledged(leader, c.nodes[leader].Revision()+1)
+	c.eventually("the follower has caught up", func() bool {
 		return c.nodes[follower].Revision() >= c.nodes[leader].Revision() && c.nodes[follower].Digest() != nil
 	})
 	return leader, follower
 }
 
-// declare makes the nodes accept a version, and returns the revision that holds it.
-func (c *trio) declare(position int, version uint64) uint64 {
+// declare declares a version and returns the revision that contains it.
+func (c *testCluster) declare(position int, version uint64) uint64 {
 	c.t.Helper()
 	if err := c.tryDeclare(position, version); err != nil {
 		c.t.Fatal(err)
@@ -261,7 +259,7 @@
 	return c.nodes[position].Revision()
 }
 
-func (c *trio) tryDeclare(position int, version uint64) error {
+func (c *testCluster) tryDeclare(position int, version uint64) error {
 	c.t.Helper()
 	spec, err := json.Marshal(v1.DeclarationSpec{Version: version})
 	if err != nil {
@@ -269,24 +267,24 @@
 	}
 	declared := &wirepb.Object{Kind: string(v1.KindDeclaration), Name: state.DeclarationName, Spec: spec}
 	command := &wirepb.DeclareCommand{Version: version, Document: spec, Objects: []*wirepb.Object{declared}}
-	ctx, cancel := context.WithTimeout(c.t.Context(), declareTry)
+	ctx, cancel := context.WithTimeout(c.t.Context(), declareAttemptTimeout)
 	defer cancel()
 	return c.nodes[position].Declare(ctx, command)
 }
 
 const (
-	// declareTry bounds one try: a node without a leader waits for one as long as its caller does.
-	declareTry = 2 * time.Second
-	// declareLimit is many times what it takes to find connections silent and to make new ones.
-	declareLimit = 15 * time.Second
+	// declareAttemptTimeout bounds an attempt: a node without a leader waits for one until its
+	// caller gives up.
+	declareAttemptTimeout = 2 * time.Second
+	// declareTimeout leaves time to detect broken connections and to replace them.
+	declareTimeout = 15 * time.Second
 )
 
-// declareAgain declares a version at a node, as operators do, until it is acknowledged: a leader
-// that is about to lose its term says that it does not know what came of a command. Any other
-// refusal is wrong.
-func (c *trio) declareAgain(position int, version uint64) {
+// declareUntilAcknowledged declares a version at a node until it is acknowledged, since an attempt
+// may fail when leadership changes. Any other error fails the test.
+func (c *testCluster) declareUntilAcknowledged(position int, version uint64) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(c.t.Context(), declareLimit)
+	ctx, cancel := context.WithTimeout(c.t.Context(), declareTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		err := c.tryDeclare(position, version)
@@ -298,34 +296,32 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.t.Fatalf("no declaration is acknowledged at %s", c.nodes[position].settings.Node)
+	c.t.Fatalf("no declaration was acknowledged at %s", c.nodes[position].settings.Node)
 }
 
-// expectAllInStep checks that each node has a declaration accepted, which takes its connections
-// to the leader and the leader's to the others, and that all hold what was accepted.
-func (c *trio) expectAllInStep(version uint64) {
+// expectAllCaughtUp checks that every node can declare a version, which uses its connections to the
+// leader, and that all nodes apply what was declared.
+func (c *testCluster) expectAllCaughtUp(version uint64) {
 	c.t.Helper()
 	for position := range c.nodes {
-		c.declareAgain(position, version+uint64(position))
+		c.declareUntilAcknowledged(position, version+uint64(position))
 	}
 	accepted := uint64(0)
 	for _, node := range c.nodes {
 		accepted = max(accepted, node.Revision())
 	}
 	for _, node := range c.nodes {
-		c.eventually(node.settings.Node+" in step", func() bool { return node.Revision() >= accepted })
+		c.eventually(node.settings.Node+" has caught up", func() bool { return node.Revision() >= accepted })
 	}
 }
 
-// versionsSentAhead is more than a leader sends ahead to a member that does not answer.
-const versionsSentAhead = 2 * maxInflight
+// pipelineOverrun is more entries than a leader sends to a member that does not acknowledge.
+const pipelineOverrun = 2 * maxInflight
 
-// TestRouterLeavesAControlNodeThatIsNotHeard: a control node that the leader does not hear gets
-// the leader's digests and no entries. Routers took the digests for proof that it was up to date,
-// and stayed with it: confirmed configurations were not in force there for as long as the cut
-// lasted.
-func TestRouterLeavesAControlNodeThatIsNotHeard(t *testing.T) {
-	cluster := startTrio(t)
+// TestRouterLeavesIsolatedControlNode checks that a router leaves a control node that receives
+// digests while its own messages do not reach the leader, so that it gets no log entries.
+func TestRouterLeavesIsolatedControlNode(t *testing.T) {
+	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
 	view := nodeview.New()
 	router := feed.NewClient([]string{cluster.addresses[follower], cluster.addresses[leader]}, identityOf("router", 0), view, slog.New(slog.DiscardHandler))
@@ -334,66 +330,61 @@
 	defer workers.Wait()
 	defer cancel()
 	workers.Go(func() { router.Run(ctx) })
-	cluster.eventually("the router in step", func() bool { return view.Revision() >= cluster.nodes[leader].Revision() })
+	cluster.eventually("the router has caught up", func() bool { return view.Revision() >= cluster.nodes[leader].Revision() })
 
 	cluster.cuts[follower].Store(true)
 	accepted := uint64(0)
-	for version := range uint64(versionsSentAhead) {
+	for version := range uint64(pipelineOverrun) {
 		accepted = cluster.declare(leader, version+2)
 	}
-	cluster.eventually("the accepted configuration at the router", func() bool { return view.Revision() >= accepted })
+	cluster.eventually("the router has the declared configuration", func() bool { return view.Revision() >= accepted })
 }
 
-// TestUnheardControlNodeAcknowledgesNoHeartbeats: what machines told a control node that the
-// leader did not hear was acknowledged and lost, so that the leader took them to be gone while
-// they had no reason to turn to another node.
-func TestUnheardControlNodeAcknowledgesNoHeartbeats(t *testing.T) {
-	cluster := startTrio(t)
+// TestIsolatedControlNodeRejectsHeartbeats checks that a control node whose messages do not reach
+// the leader acknowledges no heartbeats, which would be lost.
+func TestIsolatedControlNodeRejectsHeartbeats(t *testing.T) {
+	cluster := startCluster(t)
 	_, follower := cluster.leaderAndFollower()
 	heartbeat := func() error {
 		return cluster.nodes[follower].Heartbeat(t.Context(), &wirepb.InstanceReport{Machine: "m", Sequence: 1})
 	}
 	cluster.eventually("an acknowledged heartbeat", func() bool { return heartbeat() == nil })
 	cluster.cuts[follower].Store(true)
-	cluster.eventually("a heartbeat that is not acknowledged", func() bool { return heartbeat() != nil })
+	cluster.eventually("a rejected heartbeat", func() bool { return heartbeat() != nil })
 }
 
-// TestSilentConnectionsBetweenControlNodesAreReplaced: connections may stop carrying anything
-// without a reset, while new ones work. A control node stayed behind for as long as TCP took its
-// connection to be sound.
-func TestSilentConnectionsBetweenControlNodesAreReplaced(t *testing.T) {
-	cluster := startTrio(t)
+// TestBrokenConnectionsAreReplaced checks that connections which stop carrying data without a reset
+// are replaced.
+func TestBrokenConnectionsAreReplaced(t *testing.T) {
+	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
 	for _, link := range cluster.links[follower] {
-		link.silence()
+		link.dropRequests()
 	}
-	for version := range uint64(versionsSentAhead) {
-		cluster.declareAgain(leader, version+2)
+	for version := range uint64(pipelineOverrun) {
+		cluster.declareUntilAcknowledged(leader, version+2)
 	}
-	cluster.expectAllInStep(versionsSentAhead + 2)
+	cluster.expectAllCaughtUp(pipelineOverrun + 2)
 
-	// The same in the other direction: the leader's connection to one follower, which it goes on
-	// leading without.
+	// The leader's connection to one follower, without which it keeps its quorum.
 	leader, follower = cluster.leaderAndFollower()
-	cluster.links[leader][follower].silence()
-	cluster.expectAllInStep(4 * versionsSentAhead)
+	cluster.links[leader][follower].dropRequests()
+	cluster.expectAllCaughtUp(4 * pipelineOverrun)
 
-	// All of the leader's connections. It may lose its term by that, and with it what it was told
-	// meanwhile.
+	// All connections of the leader, which may lose its term and uncommitted entries.
 	leader, _ = cluster.leaderAndFollower()
 	for _, link := range cluster.links[leader] {
-		link.silence()
+		link.dropRequests()
 	}
-	cluster.expectAllInStep(10 * versionsSentAhead)
+	cluster.expectAllCaughtUp(10 * pipelineOverrun)
 }
 
-// TestConnectionsWithoutAnswersAreReplaced: where only answers are lost, the leader hears a follower
-// and the follower gets the log, on a connection of the leader's. No call passed on to the leader was
-// answered, for as long as TCP took the connection to be sound.
-func TestConnectionsWithoutAnswersAreReplaced(t *testing.T) {
-	cluster := startTrio(t)
+// TestConnectionsThatLoseRepliesAreReplaced checks that a connection that loses only replies is
+// replaced, although raft messages still reach both nodes.
+func TestConnectionsThatLoseRepliesAreReplaced(t *testing.T) {
+	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
-	cluster.declareAgain(follower, versionsSentAhead)
-	cluster.links[follower][leader].silenceAnswers()
-	cluster.declareAgain(follower, versionsSentAhead+1)
+	cluster.declareUntilAcknowledged(follower, pipelineOverrun)
+	cluster.links[follower][leader].dropReplies()
+	cluster.declareUntilAcknowledged(follower, pipelineOverrun+1)
 }
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -8,24 +8,24 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// maxExtraVoters is by how many voters more than the least the spread over zones and regions may
-// ask for: each one more makes each commit wait for more disks and links.
+// maxExtraVoters bounds the voters added above the minimum to tolerate zone or region losses, since
+// each makes commits wait for more disks and links.
 const maxExtraVoters = 4
 
-// Tolerance is how many machines, zones or regions may be lost at once, each taken alone, so that
-// a quorum is left.
+// Tolerance is how many machines, zones or regions may be lost, each taken alone, with a quorum
+// left.
 type Tolerance struct {
 	Machines, Zones, Regions int
 }
 
-// ToleranceOf returns what the voters of a membership bear.
+// ToleranceOf returns the tolerance of a membership's voters.
 func ToleranceOf(current *wirepb.Membership, policy Policy) Tolerance {
 	counts := countsOf(current, policy, current.GetVoters())
-	return Tolerance{Machines: counts.spare(), Zones: counts.bearable(counts.zones), Regions: counts.bearable(counts.regions)}
+	return Tolerance{Machines: counts.machineTolerance(), Zones: counts.groupTolerance(counts.zones), Regions: counts.groupTolerance(counts.regions)}
 }
 
-// counts are numbers of voters by where they stand. Voters of zones without a known region count
-// as one region.
+// counts holds the numbers of voters by zone and region. Zones without a known region count as one
+// region.
 type counts struct {
 	total          int
 	zones, regions map[string]int
@@ -45,51 +45,51 @@
 	c.regions[policy.Places.Region(zone)]++
 }
 
-// spare is how many voters may be lost.
-func (c *counts) spare() int {
+// machineTolerance returns how many voters may be lost.
+func (c *counts) machineTolerance() int {
 	return max(c.total-1, 0) / 2
 }
 
-// bearable is how many of the groups, whichever, may be lost.
-func (c *counts) bearable(groups map[string]int) int {
-	borne := 0
-	for borne < len(groups) && c.shortOf(groups, borne+1) == 0 {
-		borne++
+// groupTolerance returns how many groups may be lost, whichever they are.
+func (c *counts) groupTolerance(groups map[string]int) int {
+	tolerated := 0
+	for tolerated < len(groups) && c.shortfallOf(groups, tolerated+1) == 0 {
+		tolerated++
 	}
-	return borne
+	return tolerated
 }
 
-// shortOf is how many voters too many the largest groups hold for these to be lost.
-func (c *counts) shortOf(groups map[string]int, lost int) int {
+// shortfallOf returns by how many voters the largest groups exceed what may be lost with them.
+func (c *counts) shortfallOf(groups map[string]int, lost int) int {
 	sizes := slices.Sorted(maps.Values(groups))
-	held := 0
+	heldVoters := 0
 	for _, size := range sizes[max(len(sizes)-lost, 0):] {
-		held += size
+		heldVoters += size
 	}
-	return max(held-c.spare(), 0)
+	return max(heldVoters-c.machineTolerance(), 0)
 }
 
-// short is by how much the voters miss what zones and regions must bear.
-func (c *counts) short(policy Policy) int {
-	return c.shortOf(c.zones, policy.Zones) + c.shortOf(c.regions, policy.Regions)
+// shortfall returns by how many voters the placement misses the policy.
+func (c *counts) shortfall(policy Policy) int {
+	return c.shortfallOf(c.zones, policy.Zones) + c.shortfallOf(c.regions, policy.Regions)
 }
 
-// spread rates a choice of voters: what must be borne first; then evenly over zones, and over
-// regions, which bears more than was asked for.
-type spread struct {
-	short, zones, regions int
+// placementScore ranks sets of voters; lower is better. The policy's shortfall comes first, then
+// even distribution over zones, then over regions.
+type placementScore struct {
+	shortfall, zones, regions int
 }
 
-func (s spread) less(other spread) bool {
-	return cmp.Or(cmp.Compare(s.short, other.short), cmp.Compare(s.zones, other.zones), cmp.Compare(s.regions, other.regions)) < 0
+func (s placementScore) betterThan(other placementScore) bool {
+	return cmp.Or(cmp.Compare(s.shortfall, other.shortfall), cmp.Compare(s.zones, other.zones), cmp.Compare(s.regions, other.regions)) < 0
 }
 
-func (c *counts) spread(policy Policy) spread {
-	return spread{short: c.short(policy), zones: squares(c.zones), regions: squares(c.regions)}
+func (c *counts) score(policy Policy) placementScore {
+	return placementScore{shortfall: c.shortfall(policy), zones: sumOfSquares(c.zones), regions: sumOfSquares(c.regions)}
 }
 
-// squares is least where the groups are even.
-func squares(groups map[string]int) int {
+// sumOfSquares is lowest for groups of equal size.
+func sumOfSquares(groups map[string]int) int {
 	sum := 0
 	for _, size := range groups {
 		sum += size * size
@@ -97,41 +97,40 @@
 	return sum
 }
 
-func (i Input) spreadOf(voters []uint64) spread {
+func (i Input) scoreOf(voters []uint64) placementScore {
 	counted := countsOf(i.Current, i.Policy, voters)
-	return counted.spread(i.Policy)
+	return counted.score(i.Policy)
 }
 
-// voters is how many voters are aimed at: as few as bear what is asked for where the members
-// stand. Where no number does, it is the least, or the present one: losses that can't be borne
-// are no reason to bear fewer others.
-func (i Input) voters() int {
-	least := max(i.Policy.Voters, 2*i.Policy.Zones+1, 2*i.Policy.Regions+1)
+// targetVoters returns the smallest number of voters that can satisfy the policy with the known
+// zones. If none can, it returns the minimum, or the current number if that is higher and valid.
+func (i Input) targetVoters() int {
+	minimum := max(i.Policy.Voters, 2*i.Policy.Zones+1, 2*i.Policy.Regions+1)
 	zones := map[string]bool{}
 	for _, held := range i.Current.GetAddresses() {
 		zones[held.GetZone()] = true
 	}
-	for number := least; number <= least+maxExtraVoters; number += 2 {
-		placed := place(i.Policy, slices.Sorted(maps.Keys(zones)), number)
-		if placed.short(i.Policy) == 0 {
-			return number
+	for count := minimum; count <= minimum+maxExtraVoters; count += 2 {
+		placement := placeVoters(i.Policy, slices.Sorted(maps.Keys(zones)), count)
+		if placement.shortfall(i.Policy) == 0 {
+			return count
 		}
 	}
-	present := len(i.Current.GetVoters())
-	if present%2 == 1 && present > least && present <= least+maxExtraVoters {
-		return present
+	current := len(i.Current.GetVoters())
+	if current%2 == 1 && current > minimum && current <= minimum+maxExtraVoters {
+		return current
 	}
-	return least
+	return minimum
 }
 
-// place spreads a number of voters over zones as evenly as can be, and over regions first where
-// these must be borne.
-func place(policy Policy, zones []string, number int) counts {
+// placeVoters distributes a number of voters evenly over zones; if region losses must be tolerated,
+// over regions first.
+func placeVoters(policy Policy, zones []string, count int) counts {
 	placed := counts{zones: map[string]int{}, regions: map[string]int{}}
 	if len(zones) == 0 {
 		return placed
 	}
-	for range number {
+	for range count {
 		placed.add(policy, slices.MinFunc(zones, func(left, right string) int {
 			byZone := cmp.Compare(placed.zones[left], placed.zones[right])
 			byRegion := cmp.Compare(placed.regions[policy.Places.Region(left)], placed.regions[policy.Places.Region(right)])
@@ -144,29 +143,29 @@
 	return placed
 }
 
-// balance makes a voter of a learner where one voter less elsewhere then leaves a set that bears
-// more of what is asked for; shrink takes that one. The learner comes first: all voters are up,
-// and one more bears the loss of as many as before.
-func balance(input Input) *wirepb.Membership {
+// rebalance promotes a learner if replacing a voter with it improves the shortfall;
+// removeExcessVoter then removes that voter. The learner is added first, so that no tolerance is
+// lost in between.
+func rebalance(input Input) *wirepb.Membership {
 	voters := input.Current.GetVoters()
-	best := input.spreadOf(voters)
-	if best.short == 0 || len(voters) != input.voters() || len(liveVoters(input)) < len(voters) || !input.knowsZones() {
+	bestScore := input.scoreOf(voters)
+	if bestScore.shortfall == 0 || len(voters) != input.targetVoters() || len(liveVoters(input)) < len(voters) || !input.allZonesKnown() {
 		return nil
 	}
 	var next *wirepb.Membership
 	for _, learner := range readyLearners(input) {
 		for _, voter := range voters {
-			swapped := input.spreadOf(append(removed(voters, voter), learner))
-			if voter != input.Status.ID && swapped.short < best.short {
-				best, next = swapped, promote(input, learner)
+			swapped := input.scoreOf(append(withoutID(voters, voter), learner))
+			if voter != input.Status.ID && swapped.shortfall < bestScore.shortfall {
+				bestScore, next = swapped, promote(input, learner)
 			}
 		}
 	}
 	return next
 }
 
-// knowsZones reports whether it is known where all voters stand. Seeds are known by their
-// addresses only before they have said more.
-func (i Input) knowsZones() bool {
+// allZonesKnown reports whether the zones of all voters are known. At first only the addresses of
+// seeds are known.
+func (i Input) allZonesKnown() bool {
 	return !slices.ContainsFunc(i.Current.GetVoters(), func(id uint64) bool { return zoneOf(i.Current, id) == "" })
 }
--- a/internal/raft/patience.go
+++ b/internal/raft/patience.go
@@ -5,104 +5,100 @@
 	"time"
 )
 
-// The election timeout of the settings is made for short links. Where a round trip takes a good
-// part of it, a late or repeated packet costs the leader its lease, and the followers their
-// leader. So a leader measures the round trips of its heartbeats and asks its followers for more
-// patience.
+// Where a round trip takes a large part of the configured election timeout, a delayed packet costs
+// the leader its lease. The leader therefore measures heartbeat round trips and requests a longer
+// election timeout from its followers.
 //
-// It is safe whatever each node uses: a follower promises at least the election timeout of its
-// own settings, says in each reply what it has promised, and has stored the longest promise before
-// it says so; the leader counts its lease by what a quorum has promised, not by what it asked for.
+// This is safe whatever timeout each node uses: a follower promises at least its configured
+// election timeout, stores a longer promise before it reports it, and the leader derives its lease
+// from the promises reported by a quorum.
 
 const (
-	// maxStretch is how many times the election timeout of the settings a leader may ask for: one
-	// that is lost is missed for as long. A round trip of up to that timeout is granted whole.
-	maxStretch = 2
-	// nearDivisor is by what the heartbeat interval is divided for the longest round trip that
-	// counts as short.
-	nearDivisor = 4
-	// patienceSteps is how many steps the election timeout of the settings has: the patience
-	// changes by whole steps only, since a longer promise has to be stored.
-	patienceSteps = 8
-	// sampleDivisor is the inverse of the weight of a new sample in the estimate of a round trip,
-	// as TCP has it (RFC 6298). Deviations are left out: they are those of lost packets, whose time
-	// does not grow with the link, and a lossy short link would make lost leaders be missed for
-	// longer.
-	sampleDivisor = 8
+	// maxTimeoutFactor bounds the requested election timeout as a multiple of the configured one,
+	// and with it the time to detect a lost leader.
+	maxTimeoutFactor = 2
+	// shortLinkDivisor is the heartbeat interval divided by the longest round trip that needs no
+	// longer timeout.
+	shortLinkDivisor = 4
+	// timeoutSteps is the number of steps per configured election timeout in which the requested
+	// timeout changes: each longer promise has to be stored.
+	timeoutSteps = 8
+	// roundTripSmoothing is the inverse weight of a new round trip sample, as in RFC 6298. The
+	// deviation is not used: on a lossy short link it would only delay the detection of a lost
+	// leader.
+	roundTripSmoothing = 8
 )
 
-// smoothed returns the estimate of a round trip with one more sample; 0 stands for none yet.
-func smoothed(estimate, sample time.Duration) time.Duration {
+// smoothRoundTrip adds a sample to the estimate, which is 0 if there is none yet.
+func smoothRoundTrip(estimate, sample time.Duration) time.Duration {
 	if estimate == 0 {
 		return sample
 	}
-	return estimate + (sample-estimate)/sampleDivisor
+	return estimate + (sample-estimate)/roundTripSmoothing
 }
 
-// patienceFor returns for how long followers should wait for a leader, where a round trip to a
-// quorum takes so long: longer by one round trip, by which the replies come later that the lease
-// counts on. It changes from what is asked for now by whole steps, and goes back only by two or
-// more.
-func (c *Config) patienceFor(roundTrip, asked time.Duration) time.Duration {
-	wanted := c.ElectionTimeout
-	if roundTrip > c.HeartbeatInterval/nearDivisor {
-		wanted += roundTrip
+// electionTimeoutFor returns the election timeout to request for a round trip time to a quorum: the
+// configured timeout plus one round trip, rounded up to whole steps. It is lowered only by two
+// steps or more.
+func (c *Config) electionTimeoutFor(roundTrip, current time.Duration) time.Duration {
+	timeout := c.ElectionTimeout
+	if roundTrip > c.HeartbeatInterval/shortLinkDivisor {
+		timeout += roundTrip
 	}
-	step := max(c.ElectionTimeout/patienceSteps, time.Millisecond)
-	steps := (wanted - c.ElectionTimeout + step - 1) / step
-	wanted = min(c.ElectionTimeout+steps*step, maxStretch*c.ElectionTimeout)
-	if wanted < asked && asked-wanted < 2*step {
-		return asked
+	step := max(c.ElectionTimeout/timeoutSteps, time.Millisecond)
+	steps := (timeout - c.ElectionTimeout + step - 1) / step
+	timeout = min(c.ElectionTimeout+steps*step, maxTimeoutFactor*c.ElectionTimeout)
+	if timeout < current && current-timeout < 2*step {
+		return current
 	}
-	return wanted
+	return timeout
 }
 
-// patience is for how long this node's part in its term holds without news: as leader what it
-// asked for, else what it promised.
-func (n *Node) patience() time.Duration {
+// activeElectionTimeout is the election timeout in force: as leader the requested one, otherwise
+// the promised one.
+func (n *Node) activeElectionTimeout() time.Duration {
 	if n.role == Leader {
-		return n.asked
+		return n.requestedTimeout
 	}
 	return n.promise
 }
 
-// measure notes what a heartbeat's round trip took, and asks for as much patience as a quorum's
-// round trips need.
-func (n *Node) measure(state *progress, round uint64) {
-	sent, known := n.lease.sentAt[round]
+// recordRoundTrip records the round trip of a heartbeat and updates the requested election timeout
+// by the round trips to the nearest quorum.
+func (n *Node) recordRoundTrip(state *progress, round uint64) {
+	sentAt, known := n.lease.sentAt[round]
 	if !known {
 		return
 	}
-	state.roundTrip = smoothed(state.roundTrip, n.now-sent)
-	trips := make([]time.Duration, 0, len(n.membership.GetVoters()))
+	state.roundTrip = smoothRoundTrip(state.roundTrip, n.now-sentAt)
+	roundTrips := make([]time.Duration, 0, len(n.membership.GetVoters()))
 	for _, peer := range n.membership.GetVoters() {
-		measured := n.progress[peer]
-		if peer == n.config.ID || measured == nil || measured.roundTrip == 0 {
+		peerState := n.progress[peer]
+		if peer == n.config.ID || peerState == nil || peerState.roundTrip == 0 {
 			continue
 		}
-		trips = append(trips, measured.roundTrip)
+		roundTrips = append(roundTrips, peerState.roundTrip)
 	}
-	others := n.quorum() - 1
-	if others == 0 || len(trips) < others {
+	needed := n.quorum() - 1
+	if needed == 0 || len(roundTrips) < needed {
 		return
 	}
-	slices.Sort(trips)
-	n.asked = n.config.patienceFor(trips[others-1], n.asked)
+	slices.Sort(roundTrips)
+	n.requestedTimeout = n.config.electionTimeoutFor(roundTrips[needed-1], n.requestedTimeout)
 }
 
-// hearAsked takes what a leader asks for, as far as it is allowed.
-func (n *Node) hearAsked(asked time.Duration) {
-	n.promise = min(max(asked, n.config.ElectionTimeout), maxStretch*n.config.ElectionTimeout)
+// acceptTimeout adopts the election timeout that the leader requests, within the allowed bounds.
+func (n *Node) acceptTimeout(requested time.Duration) {
+	n.promise = min(max(requested, n.config.ElectionTimeout), maxTimeoutFactor*n.config.ElectionTimeout)
 	n.longestPromise = max(n.longestPromise, n.promise)
 }
 
-// keepPromise begins the time of a promise anew.
-func (n *Node) keepPromise() {
+func (n *Node) renewPromise() {
 	n.promisedUntil = max(n.promisedUntil, n.now+n.promise)
 }
 
-// storedPromise is the longest promise as it is stored. One that is no longer than the settings say
-// is stored too: the settings may be shorter at the next start.
+// storedPromise returns the longest promise in milliseconds. It is stored even if it is not longer
+// than the configured timeout, which may be shorter at the next start.
 func (n *Node) storedPromise() uint32 {
 	return uint32(n.longestPromise.Milliseconds())
 }
