--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -109,7 +109,7 @@
 
 // receiveDigest keeps the digest if it is newer than the current one.
 func (n *Node) receiveDigest(digest *wirepb.ClusterDigest) {
-	if !feed.Newer(digest, n.digest.Load()) {
+	if !feed.IsNewerDigest(digest, n.digest.Load()) {
 		return
 	}
 	if history := controller.HistoryOf(digest); history != nil {
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -304,7 +304,7 @@
 }
 
 func (c *controlNode) takeDigest(digest *wirepb.ClusterDigest) {
-	if feed.Newer(digest, c.digest) {
+	if feed.IsNewerDigest(digest, c.digest) {
 		c.digest = digest
 		c.mergeLimits(digest.GetLimits())
 	}
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -161,7 +161,7 @@
 	}
 	r.liveness.Take(r.wall(), answer.digest, r.heldForLiveness(answer.digest))
 	before := r.view.Digest()
-	r.view.TakeDigest(answer.digest)
+	r.view.ApplyDigest(answer.digest)
 	if r.view.Digest() == before {
 		return
 	}
--- a/internal/feed/balance.go
+++ b/internal/feed/balance.go
@@ -115,7 +115,7 @@
 		digest := digests.Complete(body.ClusterDigest)
 		c.mutex.Lock()
 		// Without a digest to compare with, an outdated digest can't be recognized.
-		isNewer := digest != nil && c.liveness.newest != nil && Newer(digest, c.liveness.newest)
+		isNewer := digest != nil && c.liveness.newest != nil && IsNewerDigest(digest, c.liveness.newest)
 		c.mutex.Unlock()
 		if isNewer {
 			return digest
--- a/internal/feed/balance_test.go
+++ b/internal/feed/balance_test.go
@@ -45,9 +45,9 @@
 // nullSink ignores everything it receives.
 type nullSink struct{}
 
-func (nullSink) Revision() uint64                 { return 1 }
-func (nullSink) Apply(Changes)                    {}
-func (nullSink) TakeDigest(*wirepb.ClusterDigest) {}
+func (nullSink) Revision() uint64                  { return 1 }
+func (nullSink) Apply(Changes)                     {}
+func (nullSink) ApplyDigest(*wirepb.ClusterDigest) {}
 
 func identityOf(name string) wire.Identity {
 	return wire.Identity{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "c", Node: name}}
@@ -225,7 +225,7 @@
 	digest atomic.Pointer[wirepb.ClusterDigest]
 }
 
-func (s *digestSink) TakeDigest(digest *wirepb.ClusterDigest) { s.digest.Store(digest) }
+func (s *digestSink) ApplyDigest(digest *wirepb.ClusterDigest) { s.digest.Store(digest) }
 
 // TestListFromNearServer checks that a node that starts with a distant server requests its list from a
 // near one named in the first digest.
--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -101,8 +101,8 @@
 	c.events = append([]*wirepb.WatchEvent(nil), c.events[dropped:]...)
 }
 
-// TakeDigest implements Sink.
-func (c *Cache) TakeDigest(digest *wirepb.ClusterDigest) {
+// ApplyDigest implements Sink.
+func (c *Cache) ApplyDigest(digest *wirepb.ClusterDigest) {
 	c.mutex.Lock()
 	defer c.digestChanged.Notify()
 	defer c.mutex.Unlock()
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -19,8 +19,8 @@
 	Revision() uint64
 	// Apply applies changes; with Reset set they replace the whole state.
 	Apply(changes Changes)
-	// TakeDigest receives a digest.
-	TakeDigest(digest *wirepb.ClusterDigest)
+	// ApplyDigest replaces the cluster digest.
+	ApplyDigest(digest *wirepb.ClusterDigest)
 }
 
 // Client follows one of several servers and fails over to the next one.
@@ -278,7 +278,7 @@
 func (c *Client) handleDigest(digest *wirepb.ClusterDigest) {
 	applied := c.sink.Revision()
 	c.updateLiveness(func(now time.Time) { c.liveness.Take(now, digest, applied) })
-	c.sink.TakeDigest(digest)
+	c.sink.ApplyDigest(digest)
 }
 
 func (c *Client) recordApplied() {
--- a/internal/feed/digest_test.go
+++ b/internal/feed/digest_test.go
@@ -49,11 +49,11 @@
 	}
 }
 
-func TestNewer(t *testing.T) {
+func TestIsNewerDigest(t *testing.T) {
 	order := []*wirepb.ClusterDigest{nil, digestOf(1, 5, 1), digestOf(1, 6, 1), digestOf(2, 1, 1)}
 	for currentIndex, current := range order {
 		for index, digest := range order[1:] {
-			if Newer(digest, current) != (index+1 > currentIndex) {
+			if IsNewerDigest(digest, current) != (index+1 > currentIndex) {
 				t.Errorf("wrong order of digests %d and %d", index+1, currentIndex)
 			}
 		}
--- a/internal/feed/liveness.go
+++ b/internal/feed/liveness.go
@@ -65,7 +65,7 @@
 
 // Take records a digest and the revision applied so far.
 func (l *Liveness) Take(now time.Time, digest *wirepb.ClusterDigest, applied uint64) {
-	if !Newer(digest, l.newest) {
+	if !IsNewerDigest(digest, l.newest) {
 		return
 	}
 	l.newest = digest
--- a/internal/feed/subsets_test.go
+++ b/internal/feed/subsets_test.go
@@ -95,7 +95,7 @@
 	s.revision = changes.Revision
 }
 
-func (s *recordingSink) TakeDigest(*wirepb.ClusterDigest) {}
+func (s *recordingSink) ApplyDigest(*wirepb.ClusterDigest) {}
 
 func (s *recordingSink) count(kind v1.Kind) int {
 	s.mutex.Lock()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -119,7 +119,7 @@
 	}))
 	for range 2 { // The second digest proves that the view is current.
 		d.sequence++
-		d.view.TakeDigest(&wirepb.ClusterDigest{Term: 1, Sequence: d.sequence, Routers: 1, Revision: 1})
+		d.view.ApplyDigest(&wirepb.ClusterDigest{Term: 1, Sequence: d.sequence, Routers: 1, Revision: 1})
 	}
 }
 
