--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -53,7 +53,7 @@
 func (n *Node) ChangesAfter(revision uint64) feed.Changes {
 	n.stateMutex.RLock()
 	defer n.stateMutex.RUnlock()
-	return feed.ChangesOf(n.member.State, revision)
+	return feed.ChangesSince(n.member.State, revision)
 }
 
 // Changed implements feed.Backend.
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -221,7 +221,7 @@
 	} else if urgent {
 		c.pass()
 	}
-	return watchReply{changes: feed.ChangesOf(c.member.State, revision), digest: c.digest}
+	return watchReply{changes: feed.ChangesSince(c.member.State, revision), digest: c.digest}
 }
 
 // take keeps a router's report. It reports whether the leader should act on it at once.
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -145,7 +145,7 @@
 }
 
 func (r *routerNode) take(answer watchReply) {
-	changes, fresh := feed.Fresh(r.view.Revision(), answer.changes)
+	changes, fresh := feed.NewerChanges(r.view.Revision(), answer.changes)
 	if r.world.mutation == MutationRevert && answer.changes.Revision < r.view.Revision() {
 		r.view = nodeview.New()
 		changes, fresh = answer.changes, true
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -268,7 +268,7 @@
 		}
 		return nil
 	}
-	if newer, isNewer := Fresh(c.sink.Revision(), changes); isNewer {
+	if newer, isNewer := NewerChanges(c.sink.Revision(), changes); isNewer {
 		c.sink.Apply(newer)
 		c.recordApplied()
 	}
@@ -302,7 +302,7 @@
 
 // applyList replaces the whole state, which takes long enough to delay the receipt of digests.
 func (c *Client) applyList(changes Changes) {
-	newer, isNewer := Fresh(c.sink.Revision(), changes)
+	newer, isNewer := NewerChanges(c.sink.Revision(), changes)
 	if !isNewer {
 		return
 	}
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -39,9 +39,9 @@
 	Reset bool
 }
 
-// ChangesOf returns the changes of a state after a revision, or the whole state if they are no longer
+// ChangesSince returns the changes of a state after a revision, or the whole state if they are no longer
 // available.
-func ChangesOf(machine *state.Machine, revision uint64) Changes {
+func ChangesSince(machine *state.Machine, revision uint64) Changes {
 	changes := Changes{Revision: machine.Revision()}
 	events, err := machine.EventsAfter(revision)
 	if err == nil {
@@ -55,10 +55,10 @@
 	return changes
 }
 
-// Fresh removes changes that are already applied, and reports whether the rest may be applied. It keeps
+// NewerChanges removes changes that are already applied, and reports whether the rest may be applied. It keeps
 // state from reverting after late or repeated messages, or those of a server that is behind the
 // previous one.
-func Fresh(applied uint64, changes Changes) (Changes, bool) {
+func NewerChanges(applied uint64, changes Changes) (Changes, bool) {
 	if changes.Reset {
 		return changes, changes.Revision >= applied
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	result := d.state.Apply(data)
-	d.view.Apply(feed.ChangesOf(d.state, d.view.Revision()))
+	d.view.Apply(feed.ChangesSince(d.state, d.view.Revision()))
 	return result, nil
 }
 
