--- a/internal/feed/balance_test.go
+++ b/internal/feed/balance_test.go
@@ -73,18 +73,18 @@
 		addresses = append(addresses, listener.Addr().String())
 	}
 	var order []string
-	for _, server := range byPreference("client", places.Position{}, Upstreams(addresses)) {
+	for _, server := range byPreference("client", places.Position{}, UpstreamsFromAddresses(addresses)) {
 		order = append(order, server.Address)
 	}
 	backends[order[0]].isFrozen = true
 	client := NewClient([]string{order[2]}, identityOf("client"), nullSink{}, slog.New(slog.DiscardHandler))
 	client.rebalanceInterval = time.Millisecond
 	var known sync.Map
-	client.Discover(func() []Upstream {
+	client.SetDiscovery(func() []Upstream {
 		if _, all := known.Load("all"); all {
-			return Upstreams(order)
+			return UpstreamsFromAddresses(order)
 		}
-		return Upstreams(order[1:])
+		return UpstreamsFromAddresses(order[1:])
 	})
 	workers.Go(func() { client.Run(ctx) })
 	followedAddress := func() string {
@@ -200,7 +200,7 @@
 	if _, ok := client.probe(ctx, address); ok {
 		t.Error("probe accepted a server with twice its fair share of followers")
 	}
-	if connected, err := connectAny(ctx, Upstreams([]string{address}), client.dial); err != nil {
+	if connected, err := connectAny(ctx, UpstreamsFromAddresses([]string{address}), client.dial); err != nil {
 		t.Error("an overloaded server refused a node that has no other server")
 	} else {
 		connected.conn.Close()
@@ -253,8 +253,8 @@
 	}
 	sink := &digestSink{recordingSink: recordingSink{changed: signal.New()}}
 	client := NewClient(roster.GetControl()[:1], identityOf("client"), sink, slog.New(slog.DiscardHandler))
-	client.Discover(func() []Upstream { return UpstreamsOf(sink.digest.Load().GetRoster()) })
-	client.Prefer(places.Position{Zone: "near", Map: zones})
+	client.SetDiscovery(func() []Upstream { return UpstreamsFromRoster(sink.digest.Load().GetRoster()) })
+	client.SetLocation(places.Position{Zone: "near", Map: zones})
 	workers.Go(func() { client.Run(ctx) })
 	sink.await(t, "the state", func() bool { return sink.Revision() == 100 })
 	if backends["far"].listCount != 0 || backends["near"].listCount == 0 {
--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -37,8 +37,8 @@
 	return cache
 }
 
-// Attach sets the client that connects the cache to its upstream.
-func (c *Cache) Attach(client *Client) {
+// SetClient sets the client that connects the cache to its upstream.
+func (c *Cache) SetClient(client *Client) {
 	c.client = client
 }
 
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -28,7 +28,7 @@
 	// name is the name of this node; it determines the order of equally near servers.
 	name              string
 	upstreams         []string
-	position          places.Position
+	location          places.Position
 	rebalanceInterval time.Duration
 	// discover returns the servers known in addition to upstreams; it may be nil.
 	discover  func() []Upstream
@@ -64,7 +64,7 @@
 		if connected, err := c.connect(ctx); err == nil {
 			c.lastAddress = connected.address
 			c.logger.Info("upstream_connected", "address", connected.address, "zone", connected.conn.Peer.GetZone(),
-				"nearness", c.position.To(connected.conn.Peer.GetZone()).String())
+				"nearness", c.location.To(connected.conn.Peer.GetZone()).String())
 			connectedAt := time.Now()
 			c.follow(ctx, connected)
 			c.recordDisconnect(connected, connectedAt)
@@ -91,15 +91,15 @@
 		"revision", c.sink.Revision(), "leader_term", newestDigest.GetTerm(), "leader_revision", newestDigest.GetRevision())
 }
 
-// Discover sets a function that returns further servers, such as those named in digests. It must be
+// SetDiscovery sets a function that returns further servers, such as those named in digests. It must be
 // called before Run.
-func (c *Client) Discover(discover func() []Upstream) {
+func (c *Client) SetDiscovery(discover func() []Upstream) {
 	c.discover = discover
 }
 
-// Prefer makes the client prefer servers near a position. It must be called before Run.
-func (c *Client) Prefer(position places.Position) {
-	c.position = position
+// SetLocation makes the client prefer servers near a location. It must be called before Run.
+func (c *Client) SetLocation(location places.Position) {
+	c.location = location
 }
 
 // connect returns the connection to a better server if rebalancing has established one, and otherwise
@@ -109,7 +109,7 @@
 	c.mutex.Lock()
 	handover := c.handover
 	c.handover = nil
-	servers = c.failures.attemptOrder(c.position.Map, servers)
+	servers = c.failures.attemptOrder(c.location.Map, servers)
 	c.mutex.Unlock()
 	if handover != nil {
 		return *handover, nil
@@ -120,11 +120,11 @@
 // servers returns the known servers in the order of preference, or in the configured order without
 // discovery.
 func (c *Client) servers() []Upstream {
-	servers := Upstreams(c.upstreams)
+	servers := UpstreamsFromAddresses(c.upstreams)
 	if c.discover == nil {
 		return servers
 	}
-	return byPreference(c.name, c.position, mergeUpstreams(append(servers, c.discover()...)))
+	return byPreference(c.name, c.location, mergeUpstreams(append(servers, c.discover()...)))
 }
 
 func (c *Client) follow(ctx context.Context, connected connection) {
@@ -186,9 +186,9 @@
 	return lost
 }
 
-// Woke reconnects after this machine was suspended. The monotonic clock stopped meanwhile, so the
+// Resumed reconnects after this machine was suspended. The monotonic clock stopped meanwhile, so the
 // liveness check would treat outdated state as fresh.
-func (c *Client) Woke() {
+func (c *Client) Resumed() {
 	c.mutex.Lock()
 	conn := c.conn
 	if conn != nil {
--- a/internal/feed/connect_test.go
+++ b/internal/feed/connect_test.go
@@ -33,7 +33,7 @@
 		{},
 	}
 	for _, test := range tests {
-		connected, err := connectAny(t.Context(), Upstreams(test.servers), dial)
+		connected, err := connectAny(t.Context(), UpstreamsFromAddresses(test.servers), dial)
 		if connects := err == nil; connects != test.connects {
 			t.Errorf("%v: connected %t", test.servers, connects)
 		}
@@ -50,7 +50,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if _, err := connectAny(ctx, Upstreams([]string{"silent", "silent too"}), dial); err == nil {
+	if _, err := connectAny(ctx, UpstreamsFromAddresses([]string{"silent", "silent too"}), dial); err == nil {
 		t.Error("connected to an unresponsive server")
 	}
 }
--- a/internal/feed/harness_test.go
+++ b/internal/feed/harness_test.go
@@ -52,7 +52,7 @@
 
 func (e *testEnvironment) startRelay(address string) *Cache {
 	relay := NewCache()
-	relay.Attach(newTestClient("relay", address, relay))
+	relay.SetClient(newTestClient("relay", address, relay))
 	e.start(relay.Run)
 	return relay
 }
--- a/internal/feed/liveness_test.go
+++ b/internal/feed/liveness_test.go
@@ -11,8 +11,8 @@
 // TestAttemptOrderPutsFailedServersLast guards against returning to a failed server when further
 // servers have been discovered.
 func TestAttemptOrderPutsFailedServersLast(t *testing.T) {
-	seeds := Upstreams([]string{"a", "b", "c"})
-	allServers := Upstreams([]string{"a", "b", "c", "d"})
+	seeds := UpstreamsFromAddresses([]string{"a", "b", "c"})
+	allServers := UpstreamsFromAddresses([]string{"a", "b", "c", "d"})
 	now := time.Unix(1000, 0)
 	for _, last := range allServers {
 		order := failureHistory{last.Address: {at: now}}.attemptOrder(places.Map{}, allServers)
--- a/internal/feed/preference.go
+++ b/internal/feed/preference.go
@@ -18,8 +18,8 @@
 	Zone string
 }
 
-// Upstreams returns servers with unknown zones.
-func Upstreams(addresses []string) []Upstream {
+// UpstreamsFromAddresses returns servers with unknown zones.
+func UpstreamsFromAddresses(addresses []string) []Upstream {
 	servers := make([]Upstream, 0, len(addresses))
 	for _, address := range addresses {
 		servers = append(servers, Upstream{Address: address})
@@ -27,9 +27,9 @@
 	return servers
 }
 
-// UpstreamsOf returns the control nodes of a roster.
-func UpstreamsOf(roster *wirepb.Roster) []Upstream {
-	servers := Upstreams(roster.GetControl())
+// UpstreamsFromRoster returns the control nodes of a roster.
+func UpstreamsFromRoster(roster *wirepb.Roster) []Upstream {
+	servers := UpstreamsFromAddresses(roster.GetControl())
 	for index, zone := range roster.GetControlZones() {
 		if index < len(servers) {
 			servers[index].Zone = zone
@@ -41,12 +41,12 @@
 // byPreference orders servers by proximity to a client, to avoid traffic between zones and regions.
 // Equally near servers are ordered by rendezvous hashing, so that clients spread evenly, and those of
 // a failed server spread over the remaining ones.
-func byPreference(client string, position places.Position, servers []Upstream) []Upstream {
+func byPreference(client string, location places.Position, servers []Upstream) []Upstream {
 	ordered := slices.Clone(servers)
 	weight := func(server Upstream) uint64 { return xxhash.Sum64String(client + "\x00" + server.Address) }
 	slices.SortStableFunc(ordered, func(left, right Upstream) int {
 		return cmp.Or(
-			cmp.Compare(position.To(left.Zone), position.To(right.Zone)),
+			cmp.Compare(location.To(left.Zone), location.To(right.Zone)),
 			cmp.Compare(weight(right), weight(left)),
 		)
 	})
--- a/internal/feed/preference_test.go
+++ b/internal/feed/preference_test.go
@@ -57,12 +57,12 @@
 // spread over equally near servers.
 func TestPreferenceOrdersByProximity(t *testing.T) {
 	zones, servers := fourZones()
-	position := places.Position{Zone: "zone-1", Map: zones}
+	location := places.Position{Zone: "zone-1", Map: zones}
 	firstChoices, thirdChoices := map[string]int{}, map[string]int{}
 	for number := range 200 {
-		order := byPreference("node-"+strconv.Itoa(number), position, servers)
+		order := byPreference("node-"+strconv.Itoa(number), location, servers)
 		for rank, server := range order {
-			if expected := []places.Nearness{0, 0, 1, 1, 2, 2, 2, 2}[rank]; position.To(server.Zone) != expected {
+			if expected := []places.Nearness{0, 0, 1, 1, 2, 2, 2, 2}[rank]; location.To(server.Zone) != expected {
 				t.Fatalf("choice %d is in %s", rank, server.Zone)
 			}
 		}
@@ -109,8 +109,8 @@
 // each.
 func TestAttemptOrderDefersCorrelatedServers(t *testing.T) {
 	zones, servers := fourZones()
-	position := places.Position{Zone: "zone-3", Map: zones}
-	order := byPreference("node", position, servers)
+	location := places.Position{Zone: "zone-3", Map: zones}
+	order := byPreference("node", location, servers)
 	now := time.Unix(100, 0)
 	for _, test := range []struct {
 		name    string
@@ -135,7 +135,7 @@
 // address.
 func TestMergeUpstreamsAddsZones(t *testing.T) {
 	roster := &wirepb.Roster{Control: []string{"a", "b", "c"}, ControlZones: []string{"east", ""}}
-	merged := mergeUpstreams(append(Upstreams([]string{"b", "a"}), UpstreamsOf(roster)...))
+	merged := mergeUpstreams(append(UpstreamsFromAddresses([]string{"b", "a"}), UpstreamsFromRoster(roster)...))
 	expected := []Upstream{{Address: "b"}, {Address: "a", Zone: "east"}, {Address: "c"}}
 	if !slices.Equal(merged, expected) {
 		t.Errorf("merged %v", merged)
