--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -159,7 +159,7 @@
 	if answer.digest == nil {
 		return
 	}
-	r.liveness.Take(r.wall(), answer.digest, r.heldForLiveness(answer.digest))
+	r.liveness.DigestReceived(r.wall(), answer.digest, r.heldForLiveness(answer.digest))
 	before := r.view.Digest()
 	r.view.ApplyDigest(answer.digest)
 	if r.view.Digest() == before {
--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -30,14 +30,14 @@
 	digestChanged *signal.Broadcast
 }
 
-// NewCache returns an empty cache; call Attach before using it.
+// NewCache returns an empty cache; call SetClient before using it.
 func NewCache() *Cache {
 	cache := &Cache{objects: map[state.Key]*wirepb.Object{}, changed: signal.New(), digestChanged: signal.New()}
 	cache.reports = NewReportQueue(cache.sendReports)
 	return cache
 }
 
-// SetClient sets the client that connects the cache to its upstream.
+// SetClient sets the client, which connects the cache to its upstream.
 func (c *Cache) SetClient(client *Client) {
 	c.client = client
 }
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -179,7 +179,7 @@
 func (c *Client) checkLiveness() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	reason, lost := c.liveness.Look(time.Now())
+	reason, lost := c.liveness.Check(time.Now())
 	if lost {
 		c.liveness.reason = reason
 	}
@@ -255,7 +255,7 @@
 	if batch.GetReset_() {
 		list = append(list, batch.GetEvents()...)
 		if batch.GetMore() {
-			c.updateLiveness(c.liveness.TakePart)
+			c.updateLiveness(c.liveness.ListPartReceived)
 			return list
 		}
 		c.applyList(Changes{Events: list, Revision: batch.GetRevision(), Reset: true})
@@ -277,7 +277,7 @@
 
 func (c *Client) handleDigest(digest *wirepb.ClusterDigest) {
 	applied := c.sink.Revision()
-	c.updateLiveness(func(now time.Time) { c.liveness.Take(now, digest, applied) })
+	c.updateLiveness(func(now time.Time) { c.liveness.DigestReceived(now, digest, applied) })
 	c.sink.ApplyDigest(digest)
 }
 
@@ -288,7 +288,7 @@
 
 // handleListPart adds a part of a compressed list. It returns false if the connection must be closed.
 func (c *Client) handleListPart(decoder *listDecoder, part *wirepb.WatchListPart) bool {
-	c.updateLiveness(c.liveness.TakePart)
+	c.updateLiveness(c.liveness.ListPartReceived)
 	changes, done, err := decoder.add(part)
 	if err != nil {
 		c.logger.Warn("list_not_taken", "server", c.lastAddress, "error", fault.Message(err))
@@ -306,9 +306,9 @@
 	if !isNewer {
 		return
 	}
-	c.updateLiveness(func(now time.Time) { c.liveness.Apply(now, true) })
+	c.updateLiveness(func(now time.Time) { c.liveness.SetApplying(now, true) })
 	c.sink.Apply(newer)
-	c.updateLiveness(func(now time.Time) { c.liveness.Apply(now, false) })
+	c.updateLiveness(func(now time.Time) { c.liveness.SetApplying(now, false) })
 	c.recordApplied()
 }
 
--- a/internal/feed/liveness.go
+++ b/internal/feed/liveness.go
@@ -63,8 +63,8 @@
 	l.missingSince, l.lastCheck = now, now
 }
 
-// Take records a digest and the revision applied so far.
-func (l *Liveness) Take(now time.Time, digest *wirepb.ClusterDigest, applied uint64) {
+// DigestReceived records a digest and the revision applied so far.
+func (l *Liveness) DigestReceived(now time.Time, digest *wirepb.ClusterDigest, applied uint64) {
 	if !IsNewerDigest(digest, l.newest) {
 		return
 	}
@@ -91,19 +91,19 @@
 	}
 }
 
-// TakePart extends the deadline after a part of a list. Digests queue behind the parts, and sending a
+// ListPartReceived extends the deadline after a part of a list. Digests queue behind the parts, and sending a
 // large list over a slow link may take longer than the timeouts. An isolated server sends no more
 // parts once its list is complete.
-func (l *Liveness) TakePart(now time.Time) {
+func (l *Liveness) ListPartReceived(now time.Time) {
 	if deadline := now.Add(initialDigestTimeout); deadline.After(l.deadline) {
 		l.deadline = deadline
 	}
 	l.missingSince = now
 }
 
-// Apply records the start or end of applying a list, during which the client does not read from the
+// SetApplying records the start or end of applying a list, during which the client does not read from the
 // connection.
-func (l *Liveness) Apply(now time.Time, applying bool) {
+func (l *Liveness) SetApplying(now time.Time, applying bool) {
 	l.applying = applying
 	if deadline := now.Add(initialDigestTimeout); !applying && deadline.After(l.deadline) {
 		l.deadline = deadline
@@ -111,9 +111,9 @@
 	l.missingSince = now
 }
 
-// Look is like Lost, but must be called every livenessCheckInterval. After a stall of this process it
+// Check is like Lost, but must be called every livenessCheckInterval. After a stall of this process it
 // extends the deadline, since digests that arrived meanwhile have not been read yet.
-func (l *Liveness) Look(now time.Time) (reason DisconnectReason, lost bool) {
+func (l *Liveness) Check(now time.Time) (reason DisconnectReason, lost bool) {
 	if now.Sub(l.lastCheck) > stallThreshold {
 		if deadline := now.Add(initialDigestTimeout); deadline.After(l.deadline) {
 			l.deadline = deadline
--- a/internal/feed/liveness_test.go
+++ b/internal/feed/liveness_test.go
@@ -46,7 +46,7 @@
 	}
 	liveness := &Liveness{}
 	liveness.Connected(start)
-	liveness.Take(start, digest(2, 7), 0)
+	liveness.DigestReceived(start, digest(2, 7), 0)
 	if isLost(liveness, start.Add(digestTimeout)) {
 		t.Error("lost before the timeout")
 	}
@@ -55,11 +55,11 @@
 		t.Error("not lost after the timeout")
 	}
 	liveness.Connected(later)
-	liveness.Take(later, digest(2, 7), 0)
+	liveness.DigestReceived(later, digest(2, 7), 0)
 	if !isLost(liveness, later.Add(initialDigestTimeout+time.Millisecond)) {
 		t.Error("an old digest extended the deadline")
 	}
-	liveness.Take(later, digest(2, 8), 0)
+	liveness.DigestReceived(later, digest(2, 8), 0)
 	if isLost(liveness, later.Add(initialDigestTimeout+time.Millisecond)) {
 		t.Error("a newer digest did not extend the deadline")
 	}
@@ -76,14 +76,14 @@
 		if isLost(liveness, now) {
 			t.Fatal("lost while receiving parts of a list")
 		}
-		liveness.TakePart(now)
+		liveness.ListPartReceived(now)
 	}
-	liveness.Apply(now, true)
+	liveness.SetApplying(now, true)
 	now = now.Add(10 * initialDigestTimeout)
 	if isLost(liveness, now) {
 		t.Error("lost while applying a list")
 	}
-	liveness.Apply(now, false)
+	liveness.SetApplying(now, false)
 	if isLost(liveness, now.Add(initialDigestTimeout)) {
 		t.Error("lost before a digest could be read after applying a list")
 	}
@@ -106,12 +106,12 @@
 	}
 	liveness := &Liveness{}
 	liveness.Connected(now)
-	liveness.Take(now, digest(1, 40), 40)
+	liveness.DigestReceived(now, digest(1, 40), 40)
 	if isLost(liveness, now.Add(digestTimeout)) {
 		t.Error("lost although no revision is missing")
 	}
-	liveness.Take(now, digest(2, 45), 40)
-	liveness.Take(now.Add(catchUpTimeout/2), digest(3, 46), 40)
+	liveness.DigestReceived(now, digest(2, 45), 40)
+	liveness.DigestReceived(now.Add(catchUpTimeout/2), digest(3, 46), 40)
 	if isLost(liveness, now.Add(catchUpTimeout)) {
 		t.Error("lost before the timeout")
 	}
@@ -129,7 +129,7 @@
 	}
 	// A new connection restarts the timeout, and parts of a list extend it.
 	liveness.Connected(later.Add(catchUpTimeout))
-	liveness.TakePart(later.Add(2 * catchUpTimeout))
+	liveness.ListPartReceived(later.Add(2 * catchUpTimeout))
 	if isLost(liveness, later.Add(2*catchUpTimeout+catchUpTimeout/2)) {
 		t.Error("lost while receiving parts of a list")
 	}
@@ -146,16 +146,16 @@
 	now := time.Unix(1000, 0)
 	checkAfter := func(liveness *Liveness, elapsed time.Duration) bool {
 		now = now.Add(elapsed)
-		_, lost := liveness.Look(now)
+		_, lost := liveness.Check(now)
 		return lost
 	}
 	liveness := &Liveness{}
 	liveness.Connected(now)
-	liveness.Take(now, &wirepb.ClusterDigest{Term: 1, Sequence: 1, Revision: 5}, 4)
+	liveness.DigestReceived(now, &wirepb.ClusterDigest{Term: 1, Sequence: 1, Revision: 5}, 4)
 	if checkAfter(liveness, 2*time.Second) {
 		t.Error("lost right after a stall of the client")
 	}
-	liveness.Take(now, &wirepb.ClusterDigest{Term: 1, Sequence: 2, Revision: 5}, 5)
+	liveness.DigestReceived(now, &wirepb.ClusterDigest{Term: 1, Sequence: 2, Revision: 5}, 5)
 	liveness.Applied(now, 5)
 	for range int(digestTimeout / livenessCheckInterval) {
 		if checkAfter(liveness, livenessCheckInterval) {
