--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -37,10 +37,10 @@
 	return history.versions, age
 }
 
-// Serves implements feed.Backend. A node does not serve before it is a member, nor while its
+// Ready implements feed.Backend. A node does not serve before it is a member, nor while its
 // messages do not reach the leader: it may then lag behind the log and can't forward calls. It does
 // serve without a leader, since every other node is in the same situation.
-func (n *Node) Serves() bool {
+func (n *Node) Ready() bool {
 	return len(n.membership.Load().GetVoters()) > 0 && !n.isIsolated()
 }
 
--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -109,8 +109,8 @@
 	c.digest = digest
 }
 
-// Serves implements Backend. Nodes may connect to a relay that has not received any state yet.
-func (c *Cache) Serves() bool { return true }
+// Ready implements Backend. Nodes may connect to a relay that has not received any state yet.
+func (c *Cache) Ready() bool { return true }
 
 // ChangesAfter implements Backend.
 func (c *Cache) ChangesAfter(revision uint64) Changes {
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -26,7 +26,7 @@
 	minBatchInterval = 50 * time.Millisecond
 )
 
-// notReadyMessage is sent to nodes whose connection is refused, and logged when connections are
+// notReadyMessage is sent to nodes whose connection is refused, and logged when sessions are
 // closed.
 const notReadyMessage = "this node holds no state that may be followed"
 
@@ -55,7 +55,7 @@
 	return changes
 }
 
-// NewerChanges removes changes that are already applied, and reports whether the rest may be applied. It keeps
+// NewerChanges returns the changes that are not applied yet, and whether they may be applied. It keeps
 // state from reverting after late or repeated messages, or those of a server that is behind the
 // previous one.
 func NewerChanges(applied uint64, changes Changes) (Changes, bool) {
@@ -83,9 +83,9 @@
 	Report(reports ...*wirepb.NodeReport)
 	// Status returns the requested parts of the leader's view of the cluster.
 	Status(ctx context.Context, request *wirepb.StatusRequest) (*wirepb.StatusReply, error)
-	// Serves reports whether nodes may follow the backend: it has state and, as far as it knows, keeps
+	// Ready reports whether nodes may follow the backend: it has state and, as far as it knows, keeps
 	// it up to date.
-	Serves() bool
+	Ready() bool
 	// Permit asks the leader whether a request may be sent; see PermitFunc.
 	Permit(ctx context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error)
 	// Propose sends a command to the leader and returns its result.
@@ -113,7 +113,7 @@
 func NewServer(backend Backend, self wire.Identity, zones places.Map, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
 	refuse := self.Refuse
 	self.Refuse = func(hello *wirepb.Hello) string {
-		if hello.GetControlId() == 0 && !backend.Serves() {
+		if hello.GetControlId() == 0 && !backend.Ready() {
 			return notReadyMessage
 		}
 		if refuse == nil {
@@ -172,7 +172,7 @@
 			return
 		case <-ticker.C:
 		}
-		if s.backend.Serves() {
+		if s.backend.Ready() {
 			continue
 		}
 		if closed := s.closeSessions(); closed > 0 {
