--- a/internal/feed/permit.go
+++ b/internal/feed/permit.go
@@ -35,9 +35,9 @@
 	return c.client.Permit(ctx, request)
 }
 
-// AnswerPermit requests a permit and sends the reply with the given request ID. The reply does not
+// HandlePermitRequest requests a permit and sends the reply with the given request ID. The reply does not
 // carry the reason of a failure, so it is logged.
-func AnswerPermit(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.PermitRequest, ask PermitFunc, logger *slog.Logger) {
+func HandlePermitRequest(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.PermitRequest, ask PermitFunc, logger *slog.Logger) {
 	ctx, cancel := context.WithTimeout(ctx, permits.Lifetime)
 	defer cancel()
 	reply, err := ask(ctx, request)
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -245,25 +245,25 @@
 		case *wirepb.Envelope_NodeReportBatch:
 			s.backend.Report(body.NodeReportBatch.GetReports()...)
 		case *wirepb.Envelope_StatusRequest:
-			workers.Go(func() { s.answerStatus(ctx, conn, envelope.GetRequestId(), body.StatusRequest) })
+			workers.Go(func() { s.handleStatusRequest(ctx, conn, envelope.GetRequestId(), body.StatusRequest) })
 		case *wirepb.Envelope_PermitRequest:
 			slots <- struct{}{}
 			workers.Go(func() {
 				defer func() { <-slots }()
-				AnswerPermit(ctx, conn, envelope.GetRequestId(), body.PermitRequest, s.backend.Permit, s.logger)
+				HandlePermitRequest(ctx, conn, envelope.GetRequestId(), body.PermitRequest, s.backend.Permit, s.logger)
 			})
 		case *wirepb.Envelope_Proposal:
 			slots <- struct{}{}
 			workers.Go(func() {
 				defer func() { <-slots }()
-				AnswerProposal(ctx, conn, envelope.GetRequestId(), body.Proposal, s.backend.Propose)
+				HandleProposal(ctx, conn, envelope.GetRequestId(), body.Proposal, s.backend.Propose)
 			})
 		}
 	}
 }
 
-// answerStatus requests the status from the leader. An empty reply means that it could not be reached.
-func (s *Server) answerStatus(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.StatusRequest) {
+// handleStatusRequest requests the status from the leader. An empty reply means that it could not be reached.
+func (s *Server) handleStatusRequest(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.StatusRequest) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	var reply *wirepb.StatusReply
@@ -289,8 +289,8 @@
 // ProposeFunc forwards a command to the leader.
 type ProposeFunc func(ctx context.Context, command *wirepb.Command) (*wirepb.CommandResult, error)
 
-// AnswerProposal proposes a command and sends the result with the given request ID.
-func AnswerProposal(ctx context.Context, conn *wire.Conn, requestID uint64, command *wirepb.Command, propose ProposeFunc) {
+// HandleProposal proposes a command and sends the result with the given request ID.
+func HandleProposal(ctx context.Context, conn *wire.Conn, requestID uint64, command *wirepb.Command, propose ProposeFunc) {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	result, err := propose(ctx, command)
