--- a/internal/feed/digest.go
+++ b/internal/feed/digest.go
@@ -6,8 +6,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// IsNewerDigest reports whether a digest supersedes the current one, which may be nil. Digests are ordered by
-// term and sequence, so that late digests of a former leader are ignored.
+// IsNewerDigest reports whether a digest supersedes the current one, which may be nil. Digests are
+// ordered by term and sequence, so that late digests of a former leader are ignored.
 func IsNewerDigest(digest, current *wirepb.ClusterDigest) bool {
 	if current == nil || digest.GetTerm() != current.GetTerm() {
 		return current == nil || digest.GetTerm() > current.GetTerm()
--- a/internal/feed/liveness.go
+++ b/internal/feed/liveness.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// ListPartReceived extends the deadline after a part of a list. Digests queue behind the parts, and sending a
-// large list over a slow link may take longer than the timeouts. An isolated server sends no more
-// parts once its list is complete.
+// ListPartReceived extends the deadline after a part of a list. Digests queue behind the parts, and
+// sending a large list over a slow link may take longer than the timeouts. An isolated server sends no
+// more parts once its list is complete.
 func (l *Liveness) ListPartReceived(now time.Time) {
 	if deadline := now.Add(initialDigestTimeout); deadline.After(l.deadline) {
 		l.deadline = deadline
@@ -101,8 +101,8 @@
 	l.missingSince = now
 }
 
-// SetApplying records the start or end of applying a list, during which the client does not read from the
-// connection.
+// SetApplying records the start or end of applying a list, during which the client does not read from
+// the connection.
 func (l *Liveness) SetApplying(now time.Time, applying bool) {
 	l.applying = applying
 	if deadline := now.Add(initialDigestTimeout); !applying && deadline.After(l.deadline) {
--- a/internal/feed/permit.go
+++ b/internal/feed/permit.go
@@ -35,8 +35,8 @@
 	return c.client.Permit(ctx, request)
 }
 
-// HandlePermitRequest requests a permit and sends the reply with the given request ID. The reply does not
-// carry the reason of a failure, so it is logged.
+// HandlePermitRequest requests a permit and sends the reply with the given request ID. The reply does
+// not carry the reason of a failure, so it is logged.
 func HandlePermitRequest(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.PermitRequest, ask PermitFunc, logger *slog.Logger) {
 	ctx, cancel := context.WithTimeout(ctx, permits.Lifetime)
 	defer cancel()
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -39,8 +39,8 @@
 	Reset bool
 }
 
-// ChangesSince returns the changes of a state after a revision, or the whole state if they are no longer
-// available.
+// ChangesSince returns the changes of a state after a revision, or the whole state if they are no
+// longer available.
 func ChangesSince(machine *state.Machine, revision uint64) Changes {
 	changes := Changes{Revision: machine.Revision()}
 	events, err := machine.EventsAfter(revision)
@@ -262,7 +262,8 @@
 	}
 }
 
-// handleStatusRequest requests the status from the leader. An empty reply means that it could not be reached.
+// handleStatusRequest requests the status from the leader. An empty reply means that it could not be
+// reached.
 func (s *Server) handleStatusRequest(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.StatusRequest) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
