--- a/internal/feed/subsets.go
+++ b/internal/feed/subsets.go
@@ -135,7 +135,7 @@
 	widened := false
 	for _, demand := range demands {
 		if demand.GetWaiting() > 0 {
-			widened = w.subset.Raise(demand.GetVersion(), demand.GetAdapter()) || widened
+			widened = w.subset.RaiseLimits(demand.GetVersion(), demand.GetAdapter()) || widened
 		}
 	}
 	if !widened {
