--- a/internal/feed/balance_test.go
+++ b/internal/feed/balance_test.go
@@ -67,13 +67,13 @@
 			t.Fatal(err)
 		}
 		backend := &digestBackend{changed: signal.New(), sequence: 1}
-		server := NewServer(backend, identityOf("server-"+strconv.Itoa(number)), places.Map{}, slog.New(slog.DiscardHandler), nil)
+		server := NewServer(backend, identityOf("server-"+strconv.Itoa(number)), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 		workers.Go(func() { _ = server.Serve(ctx, listener) })
 		backends[listener.Addr().String()] = backend
 		addresses = append(addresses, listener.Addr().String())
 	}
 	var order []string
-	for _, server := range byPreference("client", places.Position{}, UpstreamsFromAddresses(addresses)) {
+	for _, server := range byPreference("client", places.Location{}, UpstreamsFromAddresses(addresses)) {
 		order = append(order, server.Address)
 	}
 	backends[order[0]].isFrozen = true
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	backend := &digestBackend{changed: signal.New(), sequence: 7}
-	server := NewServer(backend, identityOf("server"), places.Map{}, slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	client := NewClient([]string{"127.0.0.1:1"}, identityOf("client"), nullSink{}, slog.New(slog.DiscardHandler))
 	if _, ok := client.probe(ctx, listener.Addr().String()); ok {
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	backend := &digestBackend{changed: signal.New(), sequence: 7}
-	server := NewServer(backend, identityOf("server"), places.Map{}, slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	address := listener.Addr().String()
 	follower, err := wire.Dial(ctx, address, identityOf("follower"))
@@ -234,7 +234,7 @@
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer cancel()
-	zones := places.NewMap(map[string]string{"far": "r", "near": "r"})
+	zones := places.NewZoneMap(map[string]string{"far": "r", "near": "r"})
 	roster := &wirepb.Roster{}
 	backends := map[string]*rosterBackend{}
 	for _, zone := range []string{"far", "near"} {
@@ -254,7 +254,7 @@
 	sink := &digestSink{recordingSink: recordingSink{changed: signal.New()}}
 	client := NewClient(roster.GetControl()[:1], identityOf("client"), sink, slog.New(slog.DiscardHandler))
 	client.SetDiscovery(func() []Upstream { return UpstreamsFromRoster(sink.digest.Load().GetRoster()) })
-	client.SetLocation(places.Position{Zone: "near", Map: zones})
+	client.SetLocation(places.Location{Zone: "near", Zones: zones})
 	workers.Go(func() { client.Run(ctx) })
 	sink.await(t, "the state", func() bool { return sink.Revision() == 100 })
 	if backends["far"].listCount != 0 || backends["near"].listCount == 0 {
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -28,7 +28,7 @@
 	// name is the name of this node; it determines the order of equally near servers.
 	name              string
 	upstreams         []string
-	location          places.Position
+	location          places.Location
 	rebalanceInterval time.Duration
 	// discover returns the servers known in addition to upstreams; it may be nil.
 	discover  func() []Upstream
@@ -64,7 +64,7 @@
 		if connected, err := c.connect(ctx); err == nil {
 			c.lastAddress = connected.address
 			c.logger.Info("upstream_connected", "address", connected.address, "zone", connected.conn.Peer.GetZone(),
-				"nearness", c.location.To(connected.conn.Peer.GetZone()).String())
+				"nearness", c.location.ProximityOf(connected.conn.Peer.GetZone()).String())
 			connectedAt := time.Now()
 			c.follow(ctx, connected)
 			c.recordDisconnect(connected, connectedAt)
@@ -98,7 +98,7 @@
 }
 
 // SetLocation makes the client prefer servers near a location. It must be called before Run.
-func (c *Client) SetLocation(location places.Position) {
+func (c *Client) SetLocation(location places.Location) {
 	c.location = location
 }
 
@@ -109,7 +109,7 @@
 	c.mutex.Lock()
 	handover := c.handover
 	c.handover = nil
-	servers = c.failures.attemptOrder(c.location.Map, servers)
+	servers = c.failures.attemptOrder(c.location.Zones, servers)
 	c.mutex.Unlock()
 	if handover != nil {
 		return *handover, nil
--- a/internal/feed/harness_test.go
+++ b/internal/feed/harness_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		e.t.Fatal(err)
 	}
-	server := NewServer(backend, identityOf(name), places.Map{}, slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf(name), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 	e.start(func(ctx context.Context) { _ = server.Serve(ctx, listener) })
 	return listener.Addr().String()
 }
--- a/internal/feed/liveness_test.go
+++ b/internal/feed/liveness_test.go
@@ -15,7 +15,7 @@
 	allServers := UpstreamsFromAddresses([]string{"a", "b", "c", "d"})
 	now := time.Unix(1000, 0)
 	for _, last := range allServers {
-		order := failureHistory{last.Address: {at: now}}.attemptOrder(places.Map{}, allServers)
+		order := failureHistory{last.Address: {at: now}}.attemptOrder(places.ZoneMap{}, allServers)
 		if order[0] == last || order[len(order)-1] != last || len(order) != len(allServers) {
 			t.Errorf("order after a failure of %s: %v", last, order)
 		}
@@ -23,17 +23,17 @@
 	visited, failures := map[string]bool{}, failureHistory{"c": {at: now}}
 	for range seeds {
 		now = now.Add(time.Second)
-		next := failures.attemptOrder(places.Map{}, seeds)[0].Address
+		next := failures.attemptOrder(places.ZoneMap{}, seeds)[0].Address
 		failures.record(now, next, serverFailure{at: now})
 		visited[next] = true
 	}
 	if len(visited) != len(seeds) {
 		t.Errorf("visited %v of %v", visited, seeds)
 	}
-	if next := failures.attemptOrder(places.Map{}, allServers)[0].Address; next != "d" {
+	if next := failures.attemptOrder(places.ZoneMap{}, allServers)[0].Address; next != "d" {
 		t.Errorf("%s is tried before the discovered server after failures of all seeds", next)
 	}
-	if next := (failureHistory{"unknown": {at: now}}).attemptOrder(places.Map{}, seeds)[0].Address; next != "a" {
+	if next := (failureHistory{"unknown": {at: now}}).attemptOrder(places.ZoneMap{}, seeds)[0].Address; next != "a" {
 		t.Errorf("%s is tried first after the failure of an unknown server", next)
 	}
 }
--- a/internal/feed/nearer.go
+++ b/internal/feed/nearer.go
@@ -24,7 +24,7 @@
 // shouldListNearer reports whether the client has no state yet and should look for a server in its own
 // zone.
 func (c *Client) shouldListNearer(connected connection) bool {
-	return c.discover != nil && c.sink.Revision() == 0 && c.location.To(connected.conn.Peer.GetZone()) != places.SameZone
+	return c.discover != nil && c.sink.Revision() == 0 && c.location.ProximityOf(connected.conn.Peer.GetZone()) != places.SameZone
 }
 
 // switchNearerOrWatch switches to a nearer server named in the first digest, or requests the state
@@ -48,9 +48,9 @@
 }
 
 func (c *Client) connectNearer(ctx context.Context, connected connection) (connection, bool) {
-	currentProximity := c.location.To(connected.conn.Peer.GetZone())
+	currentProximity := c.location.ProximityOf(connected.conn.Peer.GetZone())
 	nearer := slices.DeleteFunc(c.preferredOver(connected.address), func(server Upstream) bool {
-		return server.Zone == "" || c.location.To(server.Zone) >= currentProximity
+		return server.Zone == "" || c.location.ProximityOf(server.Zone) >= currentProximity
 	})
 	if len(nearer) == 0 {
 		return connection{}, false
--- a/internal/feed/preference.go
+++ b/internal/feed/preference.go
@@ -41,12 +41,12 @@
 // byPreference orders servers by proximity to a client, to avoid traffic between zones and regions.
 // Equally near servers are ordered by rendezvous hashing, so that clients spread evenly, and those of
 // a failed server spread over the remaining ones.
-func byPreference(client string, location places.Position, servers []Upstream) []Upstream {
+func byPreference(client string, location places.Location, servers []Upstream) []Upstream {
 	ordered := slices.Clone(servers)
 	weight := func(server Upstream) uint64 { return xxhash.Sum64String(client + "\x00" + server.Address) }
 	slices.SortStableFunc(ordered, func(left, right Upstream) int {
 		return cmp.Or(
-			cmp.Compare(location.To(left.Zone), location.To(right.Zone)),
+			cmp.Compare(location.ProximityOf(left.Zone), location.ProximityOf(right.Zone)),
 			cmp.Compare(weight(right), weight(left)),
 		)
 	})
@@ -94,7 +94,7 @@
 // attemptOrder returns the servers in the order in which to try them: first those without failures,
 // then by time of the failure, oldest first. Among those without failures, servers near a stale one
 // come last, so that a client whose nearby servers are all isolated soon reaches one that is not.
-func (h failureHistory) attemptOrder(zones places.Map, servers []Upstream) []Upstream {
+func (h failureHistory) attemptOrder(zones places.ZoneMap, servers []Upstream) []Upstream {
 	ordered := slices.Clone(servers)
 	slices.SortStableFunc(ordered, func(left, right Upstream) int {
 		return cmp.Or(
@@ -107,11 +107,11 @@
 
 // correlatedProximity returns how near a zone is to the nearest stale server, or 0 if none is in its
 // region.
-func (h failureHistory) correlatedProximity(zones places.Map, zone string) int {
+func (h failureHistory) correlatedProximity(zones places.ZoneMap, zone string) int {
 	highest := 0
 	for _, failure := range h {
 		if failure.isStale {
-			highest = max(highest, int(places.Further-zones.Between(zone, failure.zone)))
+			highest = max(highest, int(places.OtherRegion-zones.Proximity(zone, failure.zone)))
 		}
 	}
 	return highest
--- a/internal/feed/preference_test.go
+++ b/internal/feed/preference_test.go
@@ -21,7 +21,7 @@
 	}
 	firstChoices, nextChoices := map[string]int{}, map[string]map[string]int{}
 	for number := range clients {
-		order := byPreference("node-"+strconv.Itoa(number), places.Position{}, known)
+		order := byPreference("node-"+strconv.Itoa(number), places.Location{}, known)
 		if len(order) != servers {
 			t.Fatalf("%v", order)
 		}
@@ -31,7 +31,7 @@
 			nextChoices[failed] = map[string]int{}
 		}
 		failures := failureHistory{failed: {at: time.Unix(100, 0)}}
-		nextChoices[failed][failures.attemptOrder(places.Map{}, order)[0].Address]++
+		nextChoices[failed][failures.attemptOrder(places.ZoneMap{}, order)[0].Address]++
 	}
 	for _, server := range known {
 		if firstChoices[server.Address] < clients/servers/2 || firstChoices[server.Address] > 2*clients/servers {
@@ -44,25 +44,25 @@
 }
 
 // fourZones returns two control nodes in each of four zones, and a map with two zones per region.
-func fourZones() (places.Map, []Upstream) {
+func fourZones() (places.ZoneMap, []Upstream) {
 	var servers []Upstream
 	for number := range 8 {
 		zone := "zone-" + strconv.Itoa(number%4)
 		servers = append(servers, Upstream{Address: "10.0.0." + strconv.Itoa(number) + ":7400", Zone: zone})
 	}
-	return places.NewMap(map[string]string{"zone-0": "east", "zone-1": "east", "zone-2": "west", "zone-3": "west"}), servers
+	return places.NewZoneMap(map[string]string{"zone-0": "east", "zone-1": "east", "zone-2": "west", "zone-3": "west"}), servers
 }
 
 // TestPreferenceOrdersByProximity checks that nearer servers come first, and that clients of a zone
 // spread over equally near servers.
 func TestPreferenceOrdersByProximity(t *testing.T) {
 	zones, servers := fourZones()
-	location := places.Position{Zone: "zone-1", Map: zones}
+	location := places.Location{Zone: "zone-1", Zones: zones}
 	firstChoices, thirdChoices := map[string]int{}, map[string]int{}
 	for number := range 200 {
 		order := byPreference("node-"+strconv.Itoa(number), location, servers)
 		for rank, server := range order {
-			if expected := []places.Nearness{0, 0, 1, 1, 2, 2, 2, 2}[rank]; location.To(server.Zone) != expected {
+			if expected := []places.Proximity{0, 0, 1, 1, 2, 2, 2, 2}[rank]; location.ProximityOf(server.Zone) != expected {
 				t.Fatalf("choice %d is in %s", rank, server.Zone)
 			}
 		}
@@ -85,21 +85,21 @@
 // behind or isolated.
 func TestAttemptOrderTriesAllServers(t *testing.T) {
 	zones, servers := fourZones()
-	order := byPreference("node", places.Position{Zone: "zone-3", Map: zones}, servers)
+	order := byPreference("node", places.Location{Zone: "zone-3", Zones: zones}, servers)
 	failures, now := failureHistory{}, time.Unix(100, 0)
 	for attempt := range order {
-		next := failures.attemptOrder(places.Map{}, order)[0]
+		next := failures.attemptOrder(places.ZoneMap{}, order)[0]
 		if next != order[attempt] {
 			t.Fatalf("after %d failures: next server is %v, want %v", attempt, next, order[attempt])
 		}
 		failures.record(now, next.Address, serverFailure{at: now.Add(stableAfter / 2)})
 		now = now.Add(stableAfter)
 	}
-	if again := failures.attemptOrder(places.Map{}, order)[0]; again != order[0] {
+	if again := failures.attemptOrder(places.ZoneMap{}, order)[0]; again != order[0] {
 		t.Errorf("after failures of all servers: next server is %v", again)
 	}
 	failures.record(now, order[4].Address, serverFailure{at: now.Add(stableAfter)})
-	if next := failures.attemptOrder(places.Map{}, order); next[0] != order[0] || next[len(next)-1] != order[4] {
+	if next := failures.attemptOrder(places.ZoneMap{}, order); next[0] != order[0] || next[len(next)-1] != order[4] {
 		t.Errorf("after a stable connection to a distant server: order %v", next)
 	}
 }
@@ -109,7 +109,7 @@
 // each.
 func TestAttemptOrderDefersCorrelatedServers(t *testing.T) {
 	zones, servers := fourZones()
-	location := places.Position{Zone: "zone-3", Map: zones}
+	location := places.Location{Zone: "zone-3", Zones: zones}
 	order := byPreference("node", location, servers)
 	now := time.Unix(100, 0)
 	for _, test := range []struct {
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -110,7 +110,7 @@
 
 // NewServer returns a server. The peer function handles connections of other control nodes, whose
 // hello has a control ID.
-func NewServer(backend Backend, self wire.Identity, zones places.Map, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
+func NewServer(backend Backend, self wire.Identity, zones places.ZoneMap, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
 	refuse := self.Refuse
 	self.Refuse = func(hello *wirepb.Hello) string {
 		if hello.GetControlId() == 0 && !backend.Ready() {
--- a/internal/feed/subsets.go
+++ b/internal/feed/subsets.go
@@ -20,7 +20,7 @@
 // subset.
 type subsetSource struct {
 	backend Backend
-	zones   places.Map
+	zones   places.ZoneMap
 
 	mutex sync.Mutex
 	index *subset.Index
@@ -40,7 +40,7 @@
 	subset *subset.Subset
 }
 
-func newSubsetSource(backend Backend, zones places.Map) *subsetSource {
+func newSubsetSource(backend Backend, zones places.ZoneMap) *subsetSource {
 	return &subsetSource{backend: backend, zones: zones, index: subset.NewIndex(zones), lists: map[string]*subsetList{}}
 }
 
@@ -78,7 +78,7 @@
 		return nil, nil
 	}
 	s.catchUp(full.Revision)
-	selected := s.index.Subset(places.Position{Map: s.zones, Zone: zone})
+	selected := s.index.Subset(places.Location{Zones: s.zones, Zone: zone})
 	events := append(subset.Common(full.Events), selected.Update()...)
 	parts, err := encodeList(Changes{Events: events, Revision: full.Revision})
 	if err != nil {
--- a/internal/feed/subsets_test.go
+++ b/internal/feed/subsets_test.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewServer(backend, identityOf("server"), places.NewMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.NewZoneMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	follow := func(name string, partial bool) (*recordingSink, *Client) {
 		identity := identityOf(name)
@@ -197,7 +197,7 @@
 func TestSubsetListsAreSharedPerZone(t *testing.T) {
 	backend := &listBackend{}
 	backend.addObjects(100)
-	source := newSubsetSource(backend, places.Map{})
+	source := newSubsetSource(backend, places.ZoneMap{})
 	first, err := source.list("z", 0)
 	if err != nil {
 		t.Fatal(err)
@@ -218,7 +218,7 @@
 // TestDigestFilter checks that machines keep their positions, that the roster is sent only when it or
 // the subset has changed, and that the full digest is not modified.
 func TestDigestFilter(t *testing.T) {
-	index := subset.NewIndex(places.Map{})
+	index := subset.NewIndex(places.ZoneMap{})
 	var events []*wirepb.WatchEvent
 	backend := &fleetBackend{changed: signal.New()}
 	for _, number := range []int{1, 3, 4} {
@@ -227,7 +227,7 @@
 	}
 	events = append(events, backend.events...)
 	index.Apply(events, backend.revision, true)
-	selected := index.Subset(places.Position{Zone: "z"})
+	selected := index.Subset(places.Location{Zone: "z"})
 	selected.Update()
 	full := &wirepb.ClusterDigest{
 		Term: 1, Sequence: 7, RosterSequence: 5, Roster: &wirepb.Roster{Machines: []string{"m-0", "m-1", "m-2", "m-3", "m-4"}, Control: []string{"c"}},
@@ -322,7 +322,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewServer(backend, identityOf("server"), places.NewMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.NewZoneMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	identity := identityOf("part")
 	identity.Hello.Subset, identity.Hello.Zone = true, "z"
@@ -389,7 +389,7 @@
 func TestLaggingWatcherRelistsAlone(t *testing.T) {
 	backend := &listBackend{}
 	backend.addObjects(10)
-	source := newSubsetSource(backend, places.Map{})
+	source := newSubsetSource(backend, places.ZoneMap{})
 	sessions := map[string]*subsetSession{}
 	for _, name := range []string{"behind", "up to date"} {
 		list, err := source.list("z", 0)
@@ -419,9 +419,9 @@
 		backend := &fleetBackend{changed: signal.New()}
 		backend.machine(number, v1.MachineLive)
 		backend.replica(number)
-		index := subset.NewIndex(places.Map{})
+		index := subset.NewIndex(places.ZoneMap{})
 		index.Apply(backend.events, backend.revision, true)
-		selected := index.Subset(places.Position{Zone: "z"})
+		selected := index.Subset(places.Location{Zone: "z"})
 		selected.Update()
 		return selected
 	}
