--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -95,7 +95,7 @@
 // Server serves the state of a Backend to nodes.
 type Server struct {
 	backend Backend
-	self    wire.Identity
+	self    wire.Config
 	logger  *slog.Logger
 	// handlePeer handles connections of other control nodes; if nil, they are served like nodes.
 	handlePeer func(ctx context.Context, conn *wire.Conn)
@@ -110,7 +110,7 @@
 
 // NewServer returns a server. The peer function handles connections of other control nodes, whose
 // hello has a control ID.
-func NewServer(backend Backend, self wire.Identity, zones places.ZoneMap, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
+func NewServer(backend Backend, self wire.Config, zones places.ZoneMap, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
 	refuse := self.Refuse
 	self.Refuse = func(hello *wirepb.Hello) string {
 		if hello.GetControlId() == 0 && !backend.Ready() {
