--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -7,19 +7,17 @@
 )
 
 const (
-	// ClaimGraceMillis is how long past its deadline an open claim waits for
-	// its owner before it is closed as unknown.
+	// ClaimGraceMillis is added to a claim's deadline before a sweep closes it as unknown.
 	ClaimGraceMillis = 5_000
-	// ClaimRetentionMillis is how long a closed claim answers resent requests.
+	// ClaimRetentionMillis is how long the answer of a closed claim is kept for retries.
 	ClaimRetentionMillis = 10 * 60 * 1000
 )
 
-// claimTable holds the claims of unrepeatable requests.
+// claimTable holds the claims of non-idempotent requests.
 //
-// Invariant: of all attempts under one key at most one is ever granted at a
-// time, and after a grant another follows only where the owner itself closed
-// the earlier one as not run. So a request runs at most once, wherever it is
-// resent, and a sweep never reopens a key: a frozen owner may still wake up.
+// Invariant: a key is granted to at most one owner at a time, and to another only after the
+// owner itself closed the claim as not run. So a request runs at most once. A sweep never makes
+// a key available again, because a stalled owner may still resume.
 type claimTable struct {
 	records map[string]*wirepb.ClaimRecord
 }
@@ -41,7 +39,7 @@
 		if record.GetFingerprint() != claim.GetFingerprint() {
 			return &wirepb.ClaimResult{State: wirepb.ClaimState_CLAIM_STATE_MISMATCH}
 		}
-		// A proposal that is sent twice meets its own grant.
+		// The owner's proposal was applied twice.
 		sameOwner := record.GetOwner() == claim.GetOwner()
 		if record.GetState() == wirepb.ClaimState_CLAIM_STATE_OPEN && sameOwner {
 			return &wirepb.ClaimResult{State: wirepb.ClaimState_CLAIM_STATE_GRANTED}
@@ -57,8 +55,8 @@
 	return &wirepb.ClaimResult{State: wirepb.ClaimState_CLAIM_STATE_GRANTED}
 }
 
-// resolve closes a claim on behalf of its owner. A claim that was swept as
-// unknown may still be completed: the owner learned the answer late.
+// resolve closes a claim on behalf of its owner. The owner may still complete a claim
+// that a sweep closed as unknown.
 func resolve(record *wirepb.ClaimRecord, claim *wirepb.ClaimCommand, clock int64) *wirepb.ClaimResult {
 	if record == nil {
 		return &wirepb.ClaimResult{State: wirepb.ClaimState_CLAIM_STATE_UNKNOWN}
@@ -85,8 +83,8 @@
 	return wirepb.ClaimState_CLAIM_STATE_UNKNOWN
 }
 
-// sweep closes abandoned claims and forgets old ones. It stands behind every
-// owner's own resolution, so that no claim stays open for good.
+// sweep closes expired open claims as unknown and removes closed claims after their
+// retention, so that claims of failed owners don't stay open.
 func (t *claimTable) sweep(clock int64) {
 	for key, record := range t.records {
 		if record.GetState() == wirepb.ClaimState_CLAIM_STATE_OPEN {
@@ -111,8 +109,8 @@
 	return listed
 }
 
-// OpenClaims returns how many claims are held, and how many of them are open.
-func (m *Machine) OpenClaims() (held, open int) {
+// OpenClaims returns the number of stored claims, and how many of them are open.
+func (m *Machine) OpenClaims() (total, open int) {
 	for _, record := range m.claims.records {
 		if record.GetState() == wirepb.ClaimState_CLAIM_STATE_OPEN {
 			open++
--- a/internal/state/claims_bench_test.go
+++ b/internal/state/claims_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// BenchmarkClaims opens and completes claims in batches of 128 and reports the
-// time for each request and the memory that its record takes.
+// BenchmarkClaims opens and completes claims in batches of 128. It reports the time per
+// request and the memory per record.
 func BenchmarkClaims(b *testing.B) {
 	const batch = 128
 	machine := New()
@@ -43,8 +43,8 @@
 	b.ReportMetric(b.Elapsed().Seconds()*1e6/float64(number), "µs/request")
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if held, _ := machine.OpenClaims(); held != number {
-		b.Fatalf("%d records of %d", held, number)
+	if total, _ := machine.OpenClaims(); total != number {
+		b.Fatalf("%d records, want %d", total, number)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(number), "B/record")
 }
--- a/internal/state/declare.go
+++ b/internal/state/declare.go
@@ -9,25 +9,24 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// LabelSource marks objects that were not written one by one: it names what
-// they come from.
+// LabelSource is the label of objects that were not written through the API; its value
+// names their source.
 const (
 	LabelSource        = "weldline/source"
 	SourceDocument     = "document"
 	SourceRegistration = "registration"
 )
 
-// DeclarationName is the name of the one Declaration object.
+// DeclarationName is the name of the only Declaration object.
 const DeclarationName = "current"
 
-// Declaration returns the newest document that took effect; nil if none did.
+// Declaration returns the document in effect, or nil.
 func (m *Machine) Declaration() *wirepb.Declaration {
 	return m.declaration
 }
 
-// declare replaces everything that an earlier document declared, at one
-// revision, or changes nothing. A document that is not newer than the one held
-// was overtaken: that is no failure, and its content never shows.
+// declare atomically replaces all objects of the previous document. A document whose version
+// is not higher than the current one succeeds without effect.
 func (m *Machine) declare(command *wirepb.DeclareCommand) *wirepb.CommandResult {
 	if m.declaration != nil && command.GetVersion() <= m.declaration.GetVersion() {
 		return &wirepb.CommandResult{Message: "overtaken", Write: &wirepb.WriteResult{Revision: m.revision}}
@@ -35,7 +34,7 @@
 	if err := checkDeclaredRoutes(command.GetObjects()); err != nil {
 		return &wirepb.CommandResult{
 			Code: wirepb.ResultCode_RESULT_CODE_INVALID, Message: fault.Message(err),
-			Write: failed(wirepb.ResultCode_RESULT_CODE_INVALID, fault.FieldOf(err), fault.Message(err)),
+			Write: writeFailure(wirepb.ResultCode_RESULT_CODE_INVALID, fault.FieldOf(err), fault.Message(err)),
 		}
 	}
 	result := m.applyWrites(m.declarationWrites(command.GetObjects()))
@@ -45,7 +44,7 @@
 	return &wirepb.CommandResult{Code: result.GetCode(), Message: result.GetMessage(), Write: result}
 }
 
-// CheckDeclaration returns the error that a document's objects would meet.
+// CheckDeclaration validates the objects of a document independently of the current state.
 func CheckDeclaration(objects []*wirepb.Object) error {
 	if err := checkDeclaredRoutes(objects); err != nil {
 		return err
@@ -79,30 +78,29 @@
 	return v1.CheckRoutes(routes)
 }
 
-// declarationWrites puts what is declared and deletes what no longer is.
-// Objects that are as they were cost no revision, so watchers get differences
-// only.
+// declarationWrites puts the declared objects and deletes those that the document no longer
+// declares. Unchanged objects get no new revision, so watchers receive only differences.
 func (m *Machine) declarationWrites(objects []*wirepb.Object) []*wirepb.ObjectWrite {
 	declared := make(map[Key]bool, len(objects))
 	writes := make([]*wirepb.ObjectWrite, 0, len(objects))
 	for _, object := range objects {
 		declared[KeyOf(object)] = true
-		put := copyOf(object)
+		put := shallowCopy(object)
 		put.Labels = map[string]string{LabelSource: SourceDocument}
 		writes = append(writes, &wirepb.ObjectWrite{Operation: wirepb.ObjectWrite_OPERATION_PUT, Object: put})
 	}
-	for _, held := range m.List("") {
-		if held.GetLabels()[LabelSource] != SourceDocument || declared[KeyOf(held)] {
+	for _, existing := range m.List("") {
+		if existing.GetLabels()[LabelSource] != SourceDocument || declared[KeyOf(existing)] {
 			continue
 		}
-		gone := &wirepb.Object{Kind: held.GetKind(), Name: held.GetName()}
-		writes = append(writes, &wirepb.ObjectWrite{Operation: wirepb.ObjectWrite_OPERATION_DELETE, Object: gone})
+		object := &wirepb.Object{Kind: existing.GetKind(), Name: existing.GetName()}
+		writes = append(writes, &wirepb.ObjectWrite{Operation: wirepb.ObjectWrite_OPERATION_DELETE, Object: object})
 	}
 	return writes
 }
 
-// register records what a machine said of itself. Its phase never goes back:
-// a report that comes late must not bring back a machine that is leaving.
+// register applies a machine's registration. The phase only advances, so that a delayed
+// registration does not revive a machine that is leaving.
 func (m *Machine) register(command *wirepb.RegisterCommand) *wirepb.CommandResult {
 	write := m.registerWrite(command)
 	if write == nil {
@@ -113,25 +111,25 @@
 }
 
 func (m *Machine) registerWrite(command *wirepb.RegisterCommand) *wirepb.ObjectWrite {
-	held := m.Get(v1.KindMachine, command.GetMachine())
+	existing := m.Get(v1.KindMachine, command.GetMachine())
 	object := &wirepb.Object{Kind: string(v1.KindMachine), Name: command.GetMachine()}
 	phase := v1.MachinePhase(command.GetPhase())
 	if command.GetForget() {
-		if held == nil || statusOf(held).Phase != v1.MachineGone {
+		if existing == nil || statusOf(existing).Phase != v1.MachineGone {
 			return nil
 		}
 		return &wirepb.ObjectWrite{Operation: wirepb.ObjectWrite_OPERATION_DELETE, Object: object}
 	}
-	if held == nil && len(command.GetSpec()) == 0 {
-		return nil // Nobody routes to a machine that never registered.
+	if existing == nil && len(command.GetSpec()) == 0 {
+		return nil // A machine that never registered has no record to update.
 	}
 	status := v1.MachineStatus{Phase: phase, Incarnation: RegisteredIncarnation, Reason: command.GetReason()}
-	if held != nil {
-		if statusOf(held).Phase.Rank() > phase.Rank() {
+	if existing != nil {
+		if statusOf(existing).Phase.Rank() > phase.Rank() {
 			return nil
 		}
-		spec, added := m.withStart(held, command)
-		if statusOf(held).Phase == phase && !added {
+		spec, added := m.specWithStart(existing, command)
+		if statusOf(existing).Phase == phase && !added {
 			return nil
 		}
 		object.Spec = spec
@@ -147,27 +145,27 @@
 	return &wirepb.ObjectWrite{Operation: wirepb.ObjectWrite_OPERATION_PUT, Object: object}
 }
 
-// withStart returns the spec of a record and, where it does not tell when its machine started and a
-// command does, that besides.
-func (m *Machine) withStart(held *wirepb.Object, command *wirepb.RegisterCommand) (spec []byte, added bool) {
-	known, isMachine := m.Spec(v1.KindMachine, held.GetName()).(*v1.MachineSpec)
-	if m.level < level.MachineStarts || !isMachine || known.StartedMs != 0 || len(command.GetSpec()) == 0 {
-		return held.GetSpec(), false
+// specWithStart returns the spec of a record, with the start time of the command added if the
+// record has none.
+func (m *Machine) specWithStart(existing *wirepb.Object, command *wirepb.RegisterCommand) (spec []byte, added bool) {
+	stored, isMachine := m.Spec(v1.KindMachine, existing.GetName()).(*v1.MachineSpec)
+	if m.level < level.MachineStarts || !isMachine || stored.StartedMs != 0 || len(command.GetSpec()) == 0 {
+		return existing.GetSpec(), false
 	}
 	decoded, err := v1.DecodeSpec(v1.KindMachine, command.GetSpec())
-	told, isMachine := decoded.(*v1.MachineSpec)
-	if err != nil || !isMachine || told.StartedMs == 0 {
-		return held.GetSpec(), false // The command is from before records told of starts.
+	reported, isMachine := decoded.(*v1.MachineSpec)
+	if err != nil || !isMachine || reported.StartedMs == 0 {
+		return existing.GetSpec(), false // Sent by a release that reports no start time.
 	}
-	combined := *known
-	combined.StartedMs = told.StartedMs
+	combined := *stored
+	combined.StartedMs = reported.StartedMs
 	encoded, err := json.Marshal(combined)
 	if err != nil {
-		return held.GetSpec(), false // A struct of texts and numbers can always be encoded.
+		return existing.GetSpec(), false // Unreachable: a MachineSpec always encodes.
 	}
 	return encoded, true
 }
 
-// RegisteredIncarnation is the incarnation of every registered machine: one
+// RegisteredIncarnation is the incarnation of every registered machine: a machine
 // that restarts registers under a new name.
 const RegisteredIncarnation = 1
--- a/internal/state/declare_test.go
+++ b/internal/state/declare_test.go
@@ -42,8 +42,8 @@
 	}}})
 }
 
-// TestHighestVersionWins: a document that is not newer is acknowledged, changes
-// nothing and never shows; two operators' documents of one version don't mix.
+// TestHighestVersionWins checks that a document whose version is not higher succeeds without
+// effect, and that two documents of one version are not merged.
 func TestHighestVersionWins(t *testing.T) {
 	machine := New()
 	pool := declared(t, v1.KindPool, "p", &v1.PoolSpec{})
@@ -62,15 +62,15 @@
 	for _, step := range steps {
 		result := declare(t, machine, step.version, step.document, pool, routeTo(t, "r", step.route, "p"))
 		if result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
-			t.Errorf("%s is refused: %s", step.document, result.GetMessage())
+			t.Errorf("%s is rejected: %s", step.document, result.GetMessage())
 		}
 		if held := string(machine.Declaration().GetDocument()); held != step.held {
-			t.Errorf("after %s, %s is held", step.document, held)
+			t.Errorf("after %s, the document in effect is %s", step.document, held)
 		}
 	}
 	spec, isRoute := machine.Spec(v1.KindRoute, "r").(*v1.RouteSpec)
 	if !isRoute || spec.PathPrefix != "/d/" {
-		t.Errorf("the route in force is %+v", spec)
+		t.Errorf("the route in effect is %+v", spec)
 	}
 	restored := New()
 	snapshot, err := machine.Snapshot()
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestDeclareIsWholeOrNothing, and costs watchers only what differs.
-func TestDeclareIsWholeOrNothing(t *testing.T) {
+// TestDeclareIsAtomic also checks that watchers receive only the objects that differ.
+func TestDeclareIsAtomic(t *testing.T) {
 	machine := New()
 	pool := declared(t, v1.KindPool, "p", &v1.PoolSpec{})
 	declare(t, machine, 1, "1", pool, routeTo(t, "a", "/a/", "p"), routeTo(t, "b", "/b/", "p"))
@@ -101,19 +101,19 @@
 		"unknown object": {{Kind: "Castle", Name: "p", Spec: []byte("{}")}},
 	} {
 		if result := declare(t, machine, 2, name, objects...); result.GetCode() == wirepb.ResultCode_RESULT_CODE_OK {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 		if CheckDeclaration(objects) == nil {
-			t.Errorf("%s passes the check before it is proposed", name)
+			t.Errorf("%s passes CheckDeclaration", name)
 		}
 	}
 	if machine.Revision() != before || machine.Declaration().GetVersion() != 1 {
-		t.Error("a refused document left something behind")
+		t.Error("a rejected document changed the state")
 	}
 	declare(t, machine, 3, "3", pool, routeTo(t, "a", "/a/", "p"))
 	events, err := machine.EventsAfter(before)
 	if err != nil || len(events) != 1 || !events[0].GetDeleted() || events[0].GetObject().GetName() != "b" {
-		t.Errorf("watchers get %v, %v", events, err)
+		t.Errorf("watchers receive %v, %v", events, err)
 	}
 }
 
@@ -124,9 +124,9 @@
 	}}})
 }
 
-// TestPhasesOnlyMoveOn: what was acknowledged as leaving or gone can't come back
-// by a late report, whichever node it went to.
-func TestPhasesOnlyMoveOn(t *testing.T) {
+// TestPhasesOnlyAdvance checks that a delayed registration does not revive a machine that is
+// leaving or gone.
+func TestPhasesOnlyAdvance(t *testing.T) {
 	machine := New()
 	spec := declared(t, v1.KindMachine, "m", &v1.MachineSpec{Endpoint: "http://10.0.0.9:80", Zone: "z", Pool: "p", Slots: 4}).GetSpec()
 	steps := []struct {
@@ -134,7 +134,7 @@
 		spec  []byte
 		held  v1.MachinePhase
 	}{
-		{"Leaving", nil, ""}, // Nobody routes to a machine that is not known.
+		{"Leaving", nil, ""}, // Not registered yet.
 		{"Live", spec, v1.MachineLive},
 		{"Lost", nil, v1.MachineLost},
 		{"Live", nil, v1.MachineLive},
@@ -147,20 +147,19 @@
 	}
 	for position, step := range steps {
 		if result := register(t, machine, "m", step.phase, step.spec); result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
-			t.Errorf("step %d is refused: %s", position, result.GetMessage())
+			t.Errorf("step %d is rejected: %s", position, result.GetMessage())
 		}
 		if held := machine.MachineStatus("m").Phase; held != step.held {
-			t.Errorf("after step %d the machine is %q, not %q", position, held, step.held)
+			t.Errorf("after step %d the phase is %q, want %q", position, held, step.held)
 		}
 	}
 	register(t, machine, "n", "Leaving", spec)
 	if held := machine.MachineStatus("n").Phase; held != v1.MachineLeaving {
-		t.Errorf("a machine that first shows up leaving is %q", held)
+		t.Errorf("a machine that registers as leaving has the phase %q", held)
 	}
 }
 
-// TestForgetOnlyWhatIsGone.
-func TestForgetOnlyWhatIsGone(t *testing.T) {
+func TestOnlyGoneMachinesAreForgotten(t *testing.T) {
 	machine := New()
 	spec := declared(t, v1.KindMachine, "m", &v1.MachineSpec{Endpoint: "http://10.0.0.9:80", Zone: "z", Pool: "p"}).GetSpec()
 	forget := &wirepb.Command{Body: &wirepb.Command_Register{Register: &wirepb.RegisterCommand{Machine: "m", Phase: "Gone", Forget: true}}}
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -1,15 +1,7 @@
-// Package state is the replicated state machine of the control plane.
+// Package state is the replicated state machine of the control plane: API objects, claims of
+// non-idempotent requests, results of API requests, and the cluster's level.
 //
-// The problem: operators race each other under equal versions, resend
-// requests whose answers were lost, and the nodes that apply the log must
-// come to the same state from the same commands.
-//
-// The mechanism: Apply is a function of the present state and one command. It
-// reads no clock (commands carry the proposer's) and draws no random numbers.
-// A write carries the revision that its author saw; exactly one of several
-// writers with the same one wins. The results of operators' requests are kept
-// in a bounded record that is part of the state, so a resent request gets its
-// first result from any node, also after a change of leader.
-//
-// Claims of unrepeatable requests live beside the objects; see claims.go.
+// Apply is deterministic. It reads no clock (commands carry the proposer's) and draws no random
+// numbers, so all members that apply the same log hold the same state. A conditional write
+// succeeds only if its expected revision is the object's current one.
 package state
--- a/internal/state/holders_test.go
+++ b/internal/state/holders_test.go
@@ -8,9 +8,9 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestHoldersLastAsLongAsTheirMachine: who was granted orders last is known after a
-// restart from a snapshot, and forgotten with the machine.
-func TestHoldersLastAsLongAsTheirMachine(t *testing.T) {
+// TestHoldersFollowTheirMachine checks that holders are part of snapshots and are deleted with
+// their machine.
+func TestHoldersFollowTheirMachine(t *testing.T) {
 	apply := func(machine *Machine, command *wirepb.Command) {
 		t.Helper()
 		data, err := proto.Marshal(command)
@@ -25,11 +25,11 @@
 	register := func(command *wirepb.RegisterCommand) *wirepb.Command {
 		return &wirepb.Command{Body: &wirepb.Command_Register{Register: command}}
 	}
-	held := New()
-	apply(held, register(&wirepb.RegisterCommand{Machine: "m", Phase: "Live", Spec: []byte(`{"endpoint":"http://10.0.0.1:80","zone":"z","pool":"p"}`)}))
-	apply(held, grant("1", "m", "n"))
-	apply(held, grant("2", "m"))
-	data, err := held.Snapshot()
+	original := New()
+	apply(original, register(&wirepb.RegisterCommand{Machine: "m", Phase: "Live", Spec: []byte(`{"endpoint":"http://10.0.0.1:80","zone":"z","pool":"p"}`)}))
+	apply(original, grant("1", "m", "n"))
+	apply(original, grant("2", "m"))
+	data, err := original.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	for _, machine := range []*Machine{held, restored} {
+	for _, machine := range []*Machine{original, restored} {
 		if machine.Holder("m") != "2" || machine.Holder("n") != "1" || machine.Holder("o") != "" {
 			t.Errorf("holders %q, %q, %q", machine.Holder("m"), machine.Holder("n"), machine.Holder("o"))
 		}
@@ -45,6 +45,6 @@
 	apply(restored, register(&wirepb.RegisterCommand{Machine: "m", Phase: "Gone"}))
 	apply(restored, register(&wirepb.RegisterCommand{Machine: "m", Phase: "Gone", Forget: true}))
 	if restored.Holder("m") != "" {
-		t.Errorf("a machine that is forgotten has the holder %q", restored.Holder("m"))
+		t.Errorf("a deleted machine has the holder %q", restored.Holder("m"))
 	}
 }
--- a/internal/state/level_test.go
+++ b/internal/state/level_test.go
@@ -21,7 +21,7 @@
 	apply(t, machine, &wirepb.Command{Body: &wirepb.Command_RaiseLevel{RaiseLevel: &wirepb.RaiseLevelCommand{Level: uint32(to)}}})
 }
 
-// TestLevelOnlyGrows, and a snapshot carries it.
+// TestLevelOnlyGrows also checks that a snapshot carries the level.
 func TestLevelOnlyGrows(t *testing.T) {
 	machine := New()
 	for _, to := range []level.Level{level.None, level.MachineStarts, level.None} {
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestWhatIsNotKnownStopsTheState: a command, a level or a snapshot of a later release. To pass it
-// over would leave two members with different states.
-func TestWhatIsNotKnownStopsTheState(t *testing.T) {
+// TestUnsupportedInput applies a command, a level and a snapshot of a later release. Members that
+// skipped them would diverge from the others.
+func TestUnsupportedInput(t *testing.T) {
 	unknown := New()
 	apply(t, unknown, &wirepb.Command{ProposedUnixMs: 5})
 	if !fault.Is(unknown.Unsupported(), fault.Protocol) {
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestSnapshotsBelowALevelAreAsBefore: until it is raised, members of the release before read and
-// write the very same bytes.
-func TestSnapshotsBelowALevelAreAsBefore(t *testing.T) {
+// TestSnapshotBelowLevel checks that snapshots keep the previous release's encoding until the
+// level is raised.
+func TestSnapshotBelowLevel(t *testing.T) {
 	machine := New()
 	registerStart(t, machine, "m", 0)
 	data, err := machine.Snapshot()
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	if bytes.Contains(data, []byte("startedMs")) {
-		t.Error("a snapshot of the level before holds a start")
+		t.Error("a snapshot below the level holds a start time")
 	}
 	snapshot := &wirepb.StateSnapshot{}
 	if err := proto.Unmarshal(data, snapshot); err != nil || snapshot.GetLevel() != 0 {
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestRecordsLearnOfStartsOnce, and not before the level is raised.
-func TestRecordsLearnOfStartsOnce(t *testing.T) {
+// TestStartTimeIsRecordedOnce also checks that it is not recorded before the level is raised.
+func TestStartTimeIsRecordedOnce(t *testing.T) {
 	machine := New()
 	started := func() int64 {
 		spec, _ := machine.Spec(v1.KindMachine, "m").(*v1.MachineSpec)
@@ -104,13 +104,13 @@
 	registerStart(t, machine, "m", 0)
 	registerStart(t, machine, "m", 1000)
 	if started() != 0 {
-		t.Errorf("below the level the record tells a start: %d", started())
+		t.Errorf("below the level the record has the start time %d", started())
 	}
 	raise(t, machine, level.MachineStarts)
 	registerStart(t, machine, "m", 1000)
 	registerStart(t, machine, "m", 2000)
 	if started() != 1000 {
-		t.Errorf("the record tells the start %d", started())
+		t.Errorf("the record has the start time %d", started())
 	}
 	object := machine.Get(v1.KindMachine, "m")
 	if !strings.Contains(string(object.GetSpec()), `"slots":4`) || machine.MachineStatus("m").Phase != v1.MachineLive {
@@ -118,10 +118,9 @@
 	}
 }
 
-// TestLogOfTheReleaseBefore replays what the release before wrote: each command has the result and
-// leads to the revision that it had there, and the snapshot is the same to the byte. So members of
-// both hold the same state while they run side by side.
-func TestLogOfTheReleaseBefore(t *testing.T) {
+// TestLogOfPreviousRelease replays a recorded log of the previous release. Revisions, results and
+// the snapshot must be identical, or members diverge during a rolling upgrade.
+func TestLogOfPreviousRelease(t *testing.T) {
 	recorded, err := os.ReadFile("recorded/before-levels")
 	if err != nil {
 		t.Fatal(err)
@@ -137,7 +136,7 @@
 			commands++
 			result := machine.Apply(decode(t, fields[0]))
 			if revision := strconv.FormatUint(machine.Revision(), 10); revision != fields[1] || result.GetCode().String() != fields[2] {
-				t.Errorf("line %d: revision %s, %s; there it was %s, %s", number+1, revision, result.GetCode(), fields[1], fields[2])
+				t.Errorf("line %d: revision %s, %s; recorded %s, %s", number+1, revision, result.GetCode(), fields[1], fields[2])
 			}
 		}
 	}
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -13,49 +13,46 @@
 )
 
 const (
-	// MaxRequestRecords bounds the remembered results of operators' requests.
+	// MaxRequestRecords bounds the stored results of requests that carry a request id.
 	MaxRequestRecords = 4096
-	// MaxEventsKept bounds the changes kept for watchers. A watcher that is
-	// further behind lists again.
+	// MaxEventsKept bounds the events kept for watchers. A watcher that is
+	// further behind has to list again.
 	MaxEventsKept = 16384
 )
 
-// Key identifies an object.
 type Key struct {
 	Kind v1.Kind
 	Name string
 }
 
-// KeyOf returns the key of an object.
 func KeyOf(object *wirepb.Object) Key {
 	return Key{Kind: v1.Kind(object.GetKind()), Name: object.GetName()}
 }
 
 // Machine is the replicated state. It is not safe for concurrent use.
-// Objects that it hands out must not be changed.
+// Callers must not modify the objects that it returns.
 type Machine struct {
 	revision uint64
 	clock    int64
 	objects  map[Key]*wirepb.Object
 	specs    map[Key]v1.Spec
-	// statuses holds the decoded status of each machine that has one.
+	// statuses holds the decoded status of each Machine object.
 	statuses map[string]v1.MachineStatus
 	// replicasOn and replicasOf index the replicas by machine and by model.
-	replicasOn index
-	replicasOf index
-	// suspects are the names of the Suspect objects.
+	replicasOn replicaIndex
+	replicasOf replicaIndex
+	// suspects holds the names of the Suspect objects.
 	suspects map[string]bool
 	claims   claimTable
 	requests requestTable
-	// holders are the nodes that were granted orders last, by machine.
+	// holders maps a machine to the node that was last granted the right to send it orders.
 	holders map[string]string
-	// declaration is the newest document that took effect, or nil.
+	// declaration is the document in effect, or nil.
 	declaration *wirepb.Declaration
-	// level is the level of the cluster in force.
-	level level.Level
-	// examined counts the specs that were looked at for references, for tests of what a write costs.
-	examined int
-	// unsupported is why this build can't go on with the log; nil while it can.
+	level       level.Level
+	// specsScanned counts the specs scanned for references; tests use it to bound the cost of a write.
+	specsScanned int
+	// unsupported is set once the log holds something that this build can't apply.
 	unsupported error
 	events      []*wirepb.WatchEvent
 	// compacted is the highest revision whose event is no longer kept.
@@ -68,8 +65,8 @@
 		objects:    map[Key]*wirepb.Object{},
 		specs:      map[Key]v1.Spec{},
 		statuses:   map[string]v1.MachineStatus{},
-		replicasOn: index{},
-		replicasOf: index{},
+		replicasOn: replicaIndex{},
+		replicasOf: replicaIndex{},
 		suspects:   map[string]bool{},
 		claims:     newClaimTable(),
 		requests:   newRequestTable(),
@@ -77,43 +74,42 @@
 	}
 }
 
-// Revision is the number of the newest change.
+// Revision returns the revision of the last committed write.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// ClockMillis is the newest proposer's clock seen, in Unix milliseconds.
+// ClockMillis returns the highest proposer clock applied, in Unix milliseconds.
 func (m *Machine) ClockMillis() int64 { return m.clock }
 
-// Get returns an object, or nil.
+// Get returns nil if the object does not exist.
 func (m *Machine) Get(kind v1.Kind, name string) *wirepb.Object {
 	return m.objects[Key{kind, name}]
 }
 
-// Spec returns the decoded spec of an object, or nil.
+// Spec returns the decoded spec of an object, or nil if the object does not exist.
 func (m *Machine) Spec(kind v1.Kind, name string) v1.Spec {
 	return m.specs[Key{kind, name}]
 }
 
-// MachineStatus returns the status of a machine; the zero value if it has
-// none.
+// MachineStatus returns the zero value if the machine does not exist.
 func (m *Machine) MachineStatus(name string) v1.MachineStatus {
 	return m.statuses[name]
 }
 
-// EachMachine calls visit with the name of every machine, in no order.
+// EachMachine calls visit with the name of every machine, in unspecified order.
 func (m *Machine) EachMachine(visit func(name string)) {
 	for name := range m.statuses {
 		visit(name)
 	}
 }
 
-// Each calls visit for every object, in no order.
+// Each calls visit for every object, in unspecified order.
 func (m *Machine) Each(visit func(object *wirepb.Object, spec v1.Spec)) {
 	for key, object := range m.objects {
 		visit(object, m.specs[key])
 	}
 }
 
-// List returns the objects of a kind by name; of all kinds if kind is empty.
+// List returns the objects of a kind sorted by name, or of all kinds if kind is empty.
 func (m *Machine) List(kind v1.Kind) []*wirepb.Object {
 	var listed []*wirepb.Object
 	for key, object := range m.objects {
@@ -130,7 +126,7 @@
 	return listed
 }
 
-// Apply applies one command of the log.
+// Apply applies one encoded command of the log.
 func (m *Machine) Apply(data []byte) *wirepb.CommandResult {
 	if len(data) == 0 {
 		return &wirepb.CommandResult{}
@@ -139,11 +135,11 @@
 	if err := proto.Unmarshal(data, command); err != nil {
 		return &wirepb.CommandResult{Code: wirepb.ResultCode_RESULT_CODE_INVALID, Message: "undecodable command"}
 	}
-	// Leaders' clocks differ; the state's must not run backwards.
+	// Clocks differ between leaders; the state's clock is monotonic.
 	m.clock = max(m.clock, command.GetProposedUnixMs())
 	fingerprint := fingerprintOf(command)
-	if earlier, found := m.requests.lookup(command.GetRequestId(), fingerprint); found {
-		return earlier
+	if recorded, found := m.requests.lookup(command.GetRequestId(), fingerprint); found {
+		return recorded
 	}
 	result := m.applyBody(command)
 	m.requests.record(command.GetRequestId(), fingerprint, result)
@@ -181,7 +177,7 @@
 		m.raiseLevel(level.Level(body.RaiseLevel.GetLevel()))
 		return &wirepb.CommandResult{}
 	}
-	m.unsupported = fault.Protocol.New("the log holds a command that this build does not know; it needs a later release")
+	m.unsupported = fault.Protocol.New("the log holds a command that this build does not support; upgrade to a later release")
 	return &wirepb.CommandResult{Code: wirepb.ResultCode_RESULT_CODE_INVALID, Message: "unknown command"}
 }
 
@@ -194,17 +190,17 @@
 }
 
 func unsupportedLevel(needed level.Level) error {
-	return fault.Protocol.New("the cluster is at level %d, and this build understands %d at most; it needs a later release", needed, level.Supported)
+	return fault.Protocol.New("the cluster is at level %d, but this build supports at most level %d; upgrade to a later release", needed, level.Supported)
 }
 
-// Level is the level of the cluster in force.
+// Level returns the cluster's active level.
 func (m *Machine) Level() level.Level { return m.level }
 
-// Unsupported returns why the state is not what the log says: it holds what this build does not
-// know. A member must stop then, before it acts on the state; a later release applies the log anew.
+// Unsupported returns an error if the log held something that this build can't apply. The state is
+// then incomplete, and the member must stop before it acts on it.
 func (m *Machine) Unsupported() error { return m.unsupported }
 
-// DryRun returns what a write command would do now, and changes nothing.
+// DryRun returns the result that a write command would have, without applying it.
 func (m *Machine) DryRun(writes []*wirepb.ObjectWrite) *wirepb.WriteResult {
 	batch, failure := m.stageAll(writes)
 	if failure != nil {
@@ -213,13 +209,13 @@
 	result := &wirepb.WriteResult{Revision: m.revision}
 	for _, key := range batch.order {
 		if staged := batch.staged[key]; staged.object != nil {
-			result.Objects = append(result.Objects, identityOf(staged.object))
+			result.Objects = append(result.Objects, withoutContent(staged.object))
 		}
 	}
 	return result
 }
 
-// applyWrites applies all writes at one revision, or none.
+// applyWrites applies all writes atomically at one revision.
 func (m *Machine) applyWrites(writes []*wirepb.ObjectWrite) *wirepb.WriteResult {
 	batch, failure := m.stageAll(writes)
 	if failure != nil {
@@ -228,7 +224,7 @@
 	return batch.commit()
 }
 
-// stageAll checks all writes together without making them visible.
+// stageAll validates all writes together without committing them.
 func (m *Machine) stageAll(writes []*wirepb.ObjectWrite) (*overlay, *wirepb.WriteResult) {
 	batch := newOverlay(m)
 	for position, write := range writes {
@@ -253,10 +249,10 @@
 	return batch, nil
 }
 
-func (m *Machine) put(object *wirepb.Object, spec v1.Spec) {
+func (m *Machine) putObject(object *wirepb.Object, spec v1.Spec) {
 	key := KeyOf(object)
 	m.store(key, object, spec)
-	m.remember(&wirepb.WatchEvent{Object: object})
+	m.recordEvent(&wirepb.WatchEvent{Object: object})
 }
 
 func (m *Machine) store(key Key, object *wirepb.Object, spec v1.Spec) {
@@ -289,10 +285,10 @@
 		delete(m.suspects, key.Name)
 	}
 	tombstone := &wirepb.Object{Kind: string(key.Kind), Name: key.Name, Revision: m.revision}
-	m.remember(&wirepb.WatchEvent{Deleted: true, Object: tombstone})
+	m.recordEvent(&wirepb.WatchEvent{Deleted: true, Object: tombstone})
 }
 
-func (m *Machine) remember(event *wirepb.WatchEvent) {
+func (m *Machine) recordEvent(event *wirepb.WatchEvent) {
 	m.events = append(m.events, event)
 	if len(m.events) <= 2*MaxEventsKept {
 		return
@@ -302,8 +298,8 @@
 	m.events = append([]*wirepb.WatchEvent(nil), m.events[dropped:]...)
 }
 
-// EventsAfter returns the changes after a revision in order, or an Expired
-// error where they are no longer kept.
+// EventsAfter returns the events after a revision in order, or an Expired
+// error if some of them have been compacted.
 func (m *Machine) EventsAfter(revision uint64) ([]*wirepb.WatchEvent, error) {
 	if revision < m.compacted {
 		return nil, fault.Expired.New("revision %d is too old; list again", revision)
@@ -311,8 +307,8 @@
 	return NewerEvents(m.events, revision), nil
 }
 
-// NewerEvents returns those of events in order of revision that came after
-// one. Appending to the result leaves the others alone.
+// NewerEvents returns the events after a revision; events must be sorted by revision.
+// The result's capacity is clipped, so appending to it does not overwrite events.
 func NewerEvents(events []*wirepb.WatchEvent, revision uint64) []*wirepb.WatchEvent {
 	first := sort.Search(len(events), func(i int) bool {
 		return events[i].GetObject().GetRevision() > revision
@@ -339,8 +335,8 @@
 	return data, nil
 }
 
-// Restore replaces the whole state. Watchers must list again, because the
-// changes that led to it are not known.
+// Restore replaces the whole state by a snapshot. It discards the events, so watchers
+// have to list again.
 func (m *Machine) Restore(data []byte) error {
 	snapshot := &wirepb.StateSnapshot{}
 	if err := proto.Unmarshal(data, snapshot); err != nil {
@@ -375,8 +371,7 @@
 	return nil
 }
 
-// Holder returns the node that was granted orders to a machine last; empty if none
-// was.
+// Holder returns the node that was last granted the right to send orders to a machine, or "".
 func (m *Machine) Holder(machine string) string {
 	return m.holders[machine]
 }
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -14,9 +14,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestMachine applies the commands of the tables in testdata. A write has a
-// line for each object: put or delete, kind/name, perhaps @version, then the
-// spec or status.
+// TestMachine runs the tables in testdata. A write has one line per object: put, status or
+// delete, kind/name, an optional @revision, then the spec or status.
 func TestMachine(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		table := &stateTable{t: t, machine: New()}
@@ -43,8 +42,8 @@
 		d.ScanArgs(t, "after", &seconds)
 		s.clock += seconds * 1000
 		s.apply(&wirepb.Command{Body: &wirepb.Command_ClaimSweep{ClaimSweep: &wirepb.ClaimSweep{}}})
-		held, open := s.machine.OpenClaims()
-		return fmt.Sprintf("held %d, open %d\n", held, open)
+		total, open := s.machine.OpenClaims()
+		return fmt.Sprintf("held %d, open %d\n", total, open)
 	case "restore":
 		return s.restore()
 	case "events":
@@ -122,8 +121,8 @@
 	return writes
 }
 
-// claims applies one operation a line: open, complete, not-run or unknown,
-// then key, owner and perhaps the request's fingerprint or the answer.
+// claims applies one operation per line: open, complete, not-run or unknown, then key, owner
+// and optionally the request's fingerprint or the answer.
 func (s *stateTable) claims(input string) string {
 	operations := map[string]wirepb.ClaimCommand_Operation{
 		"open": wirepb.ClaimCommand_OPERATION_OPEN, "complete": wirepb.ClaimCommand_OPERATION_COMPLETE,
@@ -142,7 +141,7 @@
 	return s.apply(&wirepb.Command{Body: &wirepb.Command_Claims{Claims: batch}})
 }
 
-// restore replaces the state by its own snapshot, which must not differ.
+// restore replaces the state by its own snapshot and reports whether snapshots of both are equal.
 func (s *stateTable) restore() string {
 	before, err := s.machine.Snapshot()
 	if err != nil {
@@ -160,8 +159,8 @@
 	return fmt.Sprintf("same snapshot: %t, %d replicas on m\n", bytes.Equal(before, after), len(restored.replicasOn["m"]))
 }
 
-// TestMachineStatusFollowsItsObject checks the decoded copy.
-func TestMachineStatusFollowsItsObject(t *testing.T) {
+// TestMachineStatus checks that the decoded status follows writes, restores and deletions.
+func TestMachineStatus(t *testing.T) {
 	table := &stateTable{t: t, machine: New()}
 	table.apply(&wirepb.Command{Body: &wirepb.Command_Write{Write: &wirepb.WriteCommand{Writes: parseWrites(t,
 		`put Machine/m {"endpoint":"http://127.0.0.1:1","zone":"z","accelerators":1,"acceleratorBytes":100}
--- a/internal/state/overlay.go
+++ b/internal/state/overlay.go
@@ -10,16 +10,15 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// overlay stages the writes of one command over the present state, so that
-// each sees the ones before it and none is visible if one fails.
+// overlay stages the writes of one command on top of the committed state: each write sees
+// the earlier ones, and nothing is committed if one fails.
 type overlay struct {
 	machine *Machine
 	staged  map[Key]*stagedObject
 	order   []Key
 }
 
-// stagedObject is the outcome of the writes to one key; a nil object stands
-// for a deletion.
+// stagedObject is the result of the staged writes to one key. A nil object is a deletion.
 type stagedObject struct {
 	object *wirepb.Object
 	spec   v1.Spec
@@ -43,7 +42,7 @@
 	o.staged[key] = &stagedObject{object: object, spec: spec}
 }
 
-func failed(code wirepb.ResultCode, field, message string) *wirepb.WriteResult {
+func writeFailure(code wirepb.ResultCode, field, message string) *wirepb.WriteResult {
 	return &wirepb.WriteResult{Code: code, Field: field, Message: message}
 }
 
@@ -51,7 +50,7 @@
 	key := KeyOf(write.GetObject())
 	current, currentSpec := o.current(key)
 	if write.ExpectedRevision != nil && write.GetExpectedRevision() != current.GetRevision() {
-		failure := failed(wirepb.ResultCode_RESULT_CODE_CONFLICT, "metadata.resourceVersion",
+		failure := writeFailure(wirepb.ResultCode_RESULT_CODE_CONFLICT, "metadata.resourceVersion",
 			string(key.Kind)+" "+key.Name+" has another version")
 		failure.CurrentRevision = current.GetRevision()
 		return failure
@@ -67,7 +66,7 @@
 
 func (o *overlay) stageDelete(key Key, current *wirepb.Object) *wirepb.WriteResult {
 	if current == nil {
-		return failed(wirepb.ResultCode_RESULT_CODE_NOT_FOUND, "metadata.name", string(key.Kind)+" "+key.Name+" does not exist")
+		return writeFailure(wirepb.ResultCode_RESULT_CODE_NOT_FOUND, "metadata.name", string(key.Kind)+" "+key.Name+" does not exist")
 	}
 	o.set(key, nil, nil)
 	return nil
@@ -75,32 +74,32 @@
 
 func (o *overlay) stageStatus(key Key, current *wirepb.Object, spec v1.Spec, next *wirepb.Object) *wirepb.WriteResult {
 	if current == nil {
-		return failed(wirepb.ResultCode_RESULT_CODE_NOT_FOUND, "metadata.name", string(key.Kind)+" "+key.Name+" does not exist")
+		return writeFailure(wirepb.ResultCode_RESULT_CODE_NOT_FOUND, "metadata.name", string(key.Kind)+" "+key.Name+" does not exist")
 	}
-	updated := copyOf(current)
+	updated := shallowCopy(current)
 	updated.Status = next.GetStatus()
 	o.set(key, updated, spec)
 	return nil
 }
 
 func (o *overlay) stagePut(key Key, current *wirepb.Object, currentSpec v1.Spec, next *wirepb.Object) *wirepb.WriteResult {
-	updated := copyOf(next)
+	updated := shallowCopy(next)
 	updated.CreateRevision = current.GetCreateRevision()
 	updated.Generation = current.GetGeneration()
 	if len(next.GetStatus()) == 0 {
 		updated.Status = current.GetStatus()
 	}
-	// What is stored has been decoded and checked before.
+	// An unchanged spec was validated when it was stored.
 	if current != nil && sameSpec(current, next) {
 		if maps.Equal(current.GetLabels(), next.GetLabels()) && len(next.GetStatus()) == 0 {
-			return nil // Nothing changes; no revision is spent.
+			return nil // A no-op write gets no revision.
 		}
 		o.set(key, updated, currentSpec)
 		return nil
 	}
 	spec, err := v1.DecodeSpec(key.Kind, next.GetSpec())
 	if err != nil {
-		return failed(wirepb.ResultCode_RESULT_CODE_INVALID, fault.FieldOf(err), fault.Message(err))
+		return writeFailure(wirepb.ResultCode_RESULT_CODE_INVALID, fault.FieldOf(err), fault.Message(err))
 	}
 	if current == nil {
 		updated.Generation = 1
@@ -108,7 +107,7 @@
 		return nil
 	}
 	if key.Kind == v1.KindModelVersion {
-		failure := failed(wirepb.ResultCode_RESULT_CODE_CONFLICT, "spec",
+		failure := writeFailure(wirepb.ResultCode_RESULT_CODE_CONFLICT, "spec",
 			"ModelVersion "+key.Name+" is declared with different content; declare a new version")
 		failure.CurrentRevision = current.GetRevision()
 		return failure
@@ -118,7 +117,7 @@
 	return nil
 }
 
-func copyOf(object *wirepb.Object) *wirepb.Object {
+func shallowCopy(object *wirepb.Object) *wirepb.Object {
 	return &wirepb.Object{
 		Kind: object.GetKind(), Name: object.GetName(), Revision: object.GetRevision(),
 		CreateRevision: object.GetCreateRevision(), Generation: object.GetGeneration(),
@@ -126,56 +125,56 @@
 	}
 }
 
-// identityOf leaves out the contents: results are remembered for resent
-// requests, and the whole objects would make that record large.
-func identityOf(object *wirepb.Object) *wirepb.Object {
+// withoutContent returns an object without its spec and status: results are stored for
+// retried requests, and whole objects would make those records large.
+func withoutContent(object *wirepb.Object) *wirepb.Object {
 	return &wirepb.Object{
 		Kind: object.GetKind(), Name: object.GetName(), Revision: object.GetRevision(),
 		CreateRevision: object.GetCreateRevision(), Generation: object.GetGeneration(),
 	}
 }
 
-// checkReferences checks that staged objects refer to existing ones and that
-// nothing refers to deleted ones.
+// checkReferences checks that staged objects refer to existing objects and that
+// no object refers to a deleted one.
 func (o *overlay) checkReferences() *wirepb.WriteResult {
-	referred := false
+	deletesReferable := false
 	for _, key := range o.order {
 		staged := o.staged[key]
 		if staged.object == nil {
-			referred = referred || key.Kind.IsReferred()
+			deletesReferable = deletesReferable || key.Kind.IsReferred()
 			continue
 		}
-		if failure := o.checkReferencesOf(key, staged.spec); failure != nil {
+		if failure := o.checkOutgoingReferences(key, staged.spec); failure != nil {
 			return failure
 		}
 	}
-	if !referred {
-		return nil // Machines and replicas go all the time; all that there is would be looked at.
+	if !deletesReferable {
+		return nil // Avoids a scan of all objects for each deleted machine or replica.
 	}
-	return o.checkNothingDangles()
+	return o.checkDanglingReferences()
 }
 
-func (o *overlay) checkReferencesOf(key Key, spec v1.Spec) *wirepb.WriteResult {
+func (o *overlay) checkOutgoingReferences(key Key, spec v1.Spec) *wirepb.WriteResult {
 	for _, reference := range spec.References() {
 		target, _ := o.current(Key{reference.Kind, reference.Name})
 		if target == nil && !reference.Optional {
-			return failed(wirepb.ResultCode_RESULT_CODE_INVALID, reference.Field,
+			return writeFailure(wirepb.ResultCode_RESULT_CODE_INVALID, reference.Field,
 				string(key.Kind)+" "+key.Name+" refers to "+string(reference.Kind)+" "+reference.Name+", which does not exist")
 		}
 	}
 	return nil
 }
 
-func (o *overlay) checkNothingDangles() *wirepb.WriteResult {
+func (o *overlay) checkDanglingReferences() *wirepb.WriteResult {
 	for key, spec := range o.machine.specs {
-		o.machine.examined++
+		o.machine.specsScanned++
 		if _, staged := o.staged[key]; staged {
 			continue
 		}
 		for _, reference := range spec.References() {
 			target, staged := o.staged[Key{reference.Kind, reference.Name}]
 			if staged && target.object == nil {
-				return failed(wirepb.ResultCode_RESULT_CODE_IN_USE, "metadata.name",
+				return writeFailure(wirepb.ResultCode_RESULT_CODE_IN_USE, "metadata.name",
 					string(reference.Kind)+" "+reference.Name+" is in use by "+string(key.Kind)+" "+key.Name)
 			}
 		}
@@ -183,7 +182,7 @@
 	return nil
 }
 
-// checkTenants checks that no two tenants share a key, where a write changes one.
+// checkTenants checks that no two tenants share an API key, if a tenant is staged.
 func (o *overlay) checkTenants() *wirepb.WriteResult {
 	if !slices.ContainsFunc(o.order, func(key Key) bool { return key.Kind == v1.KindTenant }) {
 		return nil
@@ -205,7 +204,7 @@
 	if shared == nil {
 		return nil
 	}
-	return failed(wirepb.ResultCode_RESULT_CODE_INVALID, "spec.keyHashes["+strconv.Itoa(shared.Position)+"]",
+	return writeFailure(wirepb.ResultCode_RESULT_CODE_INVALID, "spec.keyHashes["+strconv.Itoa(shared.Position)+"]",
 		"Tenant "+shared.Second+" has a key of Tenant "+shared.First)
 }
 
@@ -226,8 +225,8 @@
 		if staged.object.CreateRevision == 0 {
 			staged.object.CreateRevision = o.machine.revision
 		}
-		o.machine.put(staged.object, staged.spec)
-		result.Objects = append(result.Objects, identityOf(staged.object))
+		o.machine.putObject(staged.object, staged.spec)
+		result.Objects = append(result.Objects, withoutContent(staged.object))
 	}
 	return result
 }
--- a/internal/state/rapid_test.go
+++ b/internal/state/rapid_test.go
@@ -14,7 +14,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestMain fixes the seed, so that the verdict is the same on every run.
+// TestMain fixes the seed to make the results reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -23,11 +23,10 @@
 	os.Exit(m.Run())
 }
 
-// TestAnyCommands applies random replica decisions, some of them stale, to two
-// machines and two models. Whatever is asked: no accelerator is overcommitted,
-// no model has more replicas than it may, revisions only grow, a refused
-// command changes nothing, and a copy restored from a snapshot goes on alike.
-func TestAnyCommands(t *testing.T) {
+// TestRandomCommands applies random replica writes, some of them stale. No accelerator may be
+// overcommitted, no model may exceed its replicas, revisions must not decrease, a rejected command
+// must change nothing, and a restored copy must stay identical.
+func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := New()
 		mustApply(t, machine, &wirepb.WriteCommand{Writes: []*wirepb.ObjectWrite{
@@ -56,11 +55,11 @@
 	}
 	result, again := machine.Apply(data), twin.Apply(data)
 	if !proto.Equal(result, again) || !bytes.Equal(snapshotOf(t, machine), snapshotOf(t, twin)) {
-		t.Fatalf("the copy answered %v instead of %v", again, result)
+		t.Fatalf("the copy returned %v, want %v", again, result)
 	}
 	refused := result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK
 	if refused && command.GetRequestId() == "" && !bytes.Equal(before, snapshotOf(t, machine)) {
-		t.Fatalf("refused with %v, and changed", result)
+		t.Fatalf("rejected with %v, but the state changed", result)
 	}
 	if machine.Revision() < revision || refused && machine.Revision() != revision {
 		t.Fatalf("revision %d, then %d", revision, machine.Revision())
@@ -68,8 +67,8 @@
 	checkReplicas(t, machine)
 }
 
-// drawWrites draws one or two decisions about replicas, under the present
-// version, a stale one, or none.
+// drawWrites draws one or two replica writes, unconditional or with a current or stale
+// expected revision.
 func drawWrites(t *rapid.T, machine *Machine) []*wirepb.ObjectWrite {
 	var writes []*wirepb.ObjectWrite
 	for range rapid.IntRange(1, 2).Draw(t, "writes") {
@@ -80,7 +79,7 @@
 			rapid.SampledFrom([]v1.ReplicaPhase{v1.ReplicaLoading, v1.ReplicaReady, v1.ReplicaUnloading}).Draw(t, "phase"))
 		write := written("Replica", name, spec)
 		if held := machine.Get(v1.KindReplica, name); held != nil {
-			// A record's place never changes once it is decided.
+			// A replica never moves to another machine.
 			write.Object.Spec = held.GetSpec()
 		}
 		if rapid.IntRange(0, 3).Draw(t, "deletes") == 0 {
--- a/internal/state/references_test.go
+++ b/internal/state/references_test.go
@@ -8,9 +8,9 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestDeletionsCostWhatTheyDelete: machines and replicas come and go at the rate of the fleet's size.
-// If each deletion looked at all that there is, the log would slow down with the square of it.
-func TestDeletionsCostWhatTheyDelete(t *testing.T) {
+// TestDeletionDoesNotScanAllObjects guards against a cost of deletions that grows with the size
+// of the cluster.
+func TestDeletionDoesNotScanAllObjects(t *testing.T) {
 	examinedBy := func(machines int) int {
 		machine := New()
 		var writes []*wirepb.ObjectWrite
@@ -18,20 +18,20 @@
 			writes = append(writes, written("Machine", fmt.Sprint("m", number), `{"endpoint":"http://10.0.0.1:80","zone":"z","accelerators":1,"acceleratorBytes":100}`))
 		}
 		mustWrite(t, machine, writes)
-		before := machine.examined
+		before := machine.specsScanned
 		mustWrite(t, machine, []*wirepb.ObjectWrite{{
 			Operation: wirepb.ObjectWrite_OPERATION_DELETE, Object: &wirepb.Object{Kind: string(v1.KindMachine), Name: "m0"},
 		}})
-		return machine.examined - before
+		return machine.specsScanned - before
 	}
 	if small, large := examinedBy(10), examinedBy(1000); small != 0 || large != 0 {
-		t.Errorf("to delete a machine %d specs of 10 machines were looked at, %d of 1,000", small, large)
+		t.Errorf("deleting a machine scanned %d specs of 10 machines, %d of 1,000", small, large)
 	}
 }
 
-// TestReferredKindsAreNamed: a spec that refers to a kind which is not counted among the referred ones
-// could be left dangling.
-func TestReferredKindsAreNamed(t *testing.T) {
+// TestReferredKinds checks that IsReferred covers every kind that a spec refers to. References to
+// other kinds would dangle after a deletion.
+func TestReferredKinds(t *testing.T) {
 	for _, spec := range []v1.Spec{
 		&v1.ModelSpec{DefaultVersion: "v"}, &v1.ModelVersionSpec{Model: "m"}, &v1.AdapterSpec{Model: "m"},
 		&v1.ServiceSpec{Models: []string{"m"}}, &v1.LimitSpec{Service: "s"}, &v1.RouteSpec{Targets: []v1.RouteTarget{{Pool: "p"}}},
--- a/internal/state/requests.go
+++ b/internal/state/requests.go
@@ -7,7 +7,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// requestTable remembers the results of operators' requests, oldest first.
+// requestTable holds the results of requests that carry a request id, oldest first. A retry
+// gets the first result from any node, also after a change of leader.
 type requestTable struct {
 	order   []string
 	records map[string]*wirepb.RequestRecord
@@ -23,7 +24,7 @@
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(&wirepb.Command{Body: command.GetBody()})
 	if err != nil {
-		return 0 // Decoded a moment ago, so it can be encoded.
+		return 0 // Unreachable: a decoded message always encodes.
 	}
 	return xxhash.Sum64(data)
 }
--- a/internal/state/reservations.go
+++ b/internal/state/reservations.go
@@ -7,29 +7,28 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// index maps an owner's name to a set of replica names.
-type index map[string]map[string]struct{}
+// replicaIndex maps an owner's name to a set of replica names.
+type replicaIndex map[string]map[string]struct{}
 
-func (i index) add(owner, replica string) {
+func (i replicaIndex) add(owner, replica string) {
 	if i[owner] == nil {
 		i[owner] = map[string]struct{}{}
 	}
 	i[owner][replica] = struct{}{}
 }
 
-func (i index) remove(owner, replica string) {
+func (i replicaIndex) remove(owner, replica string) {
 	delete(i[owner], replica)
 	if len(i[owner]) == 0 {
 		delete(i, owner)
 	}
 }
 
-// checkReservations refuses new replicas that would overcommit a machine's
-// memory, exceed the model's replicas, or go to a machine that is leaving.
+// checkReservations rejects new replicas that would overcommit a machine's memory, exceed the
+// model's replica limit, or run on a machine that is leaving.
 //
-// Placement checks the same before it proposes. It is checked again here
-// because here it can't be stale: whatever a leader believed when it decided,
-// the log holds one order of decisions and each is judged after those before.
+// Placement checks the same before it proposes, but against state that may be stale. The check
+// here follows the order of the log.
 func (o *overlay) checkReservations() *wirepb.WriteResult {
 	for _, key := range o.order {
 		staged := o.staged[key]
@@ -38,7 +37,7 @@
 			continue
 		}
 		if replica.Adopted {
-			continue // The machine holds it already: a fact needs no room.
+			continue // The machine already runs it.
 		}
 		if failure := o.checkNewReplica(key, replica); failure != nil {
 			return failure
@@ -51,10 +50,10 @@
 	object, spec := o.current(Key{v1.KindMachine, replica.Machine})
 	machine, isMachine := spec.(*v1.MachineSpec)
 	if object == nil || !isMachine {
-		return failed(wirepb.ResultCode_RESULT_CODE_INVALID, "spec.machine", "machine "+replica.Machine+" does not exist")
+		return writeFailure(wirepb.ResultCode_RESULT_CODE_INVALID, "spec.machine", "machine "+replica.Machine+" does not exist")
 	}
 	if statusOf(object).Phase != v1.MachineLive || machine.Drain {
-		return failed(wirepb.ResultCode_RESULT_CODE_UNAVAILABLE, "spec.machine", "machine "+replica.Machine+" gets no new work")
+		return writeFailure(wirepb.ResultCode_RESULT_CODE_UNAVAILABLE, "spec.machine", "machine "+replica.Machine+" gets no new work")
 	}
 	if failure := o.checkMemory(replica, machine); failure != nil {
 		return failure
@@ -66,13 +65,13 @@
 	return v1.DecodeMachineStatus(object.GetStatus())
 }
 
-// checkMemory adds up every reservation on the machine, the new one included.
+// checkMemory sums the reservations on the machine, including the new one.
 func (o *overlay) checkMemory(replica *v1.ReplicaSpec, machine *v1.MachineSpec) *wirepb.WriteResult {
 	reserved := make([]int64, machine.Accelerators)
-	for _, other := range o.replicas(replica.Machine, o.machine.replicasOn, ownerMachine) {
+	for _, other := range o.replicas(replica.Machine, o.machine.replicasOn, machineOf) {
 		for _, accelerator := range other.Accelerators {
 			if accelerator < 0 || accelerator >= machine.Accelerators {
-				return failed(wirepb.ResultCode_RESULT_CODE_INVALID, "spec.accelerators",
+				return writeFailure(wirepb.ResultCode_RESULT_CODE_INVALID, "spec.accelerators",
 					"accelerator "+strconv.Itoa(accelerator)+" does not exist on machine "+replica.Machine)
 			}
 			reserved[accelerator] += other.BytesPerAccelerator
@@ -80,39 +79,39 @@
 	}
 	for accelerator, bytes := range reserved {
 		if bytes > machine.AcceleratorBytes {
-			return failed(wirepb.ResultCode_RESULT_CODE_UNAVAILABLE, "spec.bytesPerAccelerator",
+			return writeFailure(wirepb.ResultCode_RESULT_CODE_UNAVAILABLE, "spec.bytesPerAccelerator",
 				"accelerator "+strconv.Itoa(accelerator)+" of machine "+replica.Machine+" has no memory left")
 		}
 	}
 	return nil
 }
 
-// checkReplicaCount counts the model's replicas that are not on their way out.
+// checkReplicaCount counts the model's replicas that are loading or ready.
 func (o *overlay) checkReplicaCount(key Key, replica *v1.ReplicaSpec) *wirepb.WriteResult {
 	_, spec := o.current(Key{v1.KindModel, replica.Model})
 	model, isModel := spec.(*v1.ModelSpec)
 	if !isModel {
-		return failed(wirepb.ResultCode_RESULT_CODE_INVALID, "spec.model", "model "+replica.Model+" does not exist")
+		return writeFailure(wirepb.ResultCode_RESULT_CODE_INVALID, "spec.model", "model "+replica.Model+" does not exist")
 	}
 	count := 0
-	for _, other := range o.replicas(replica.Model, o.machine.replicasOf, ownerModel) {
+	for _, other := range o.replicas(replica.Model, o.machine.replicasOf, modelOf) {
 		if other.Phase == v1.ReplicaLoading || other.Phase == v1.ReplicaReady {
 			count++
 		}
 	}
 	if count > model.MaxReplicas {
-		return failed(wirepb.ResultCode_RESULT_CODE_UNAVAILABLE, "spec.model",
+		return writeFailure(wirepb.ResultCode_RESULT_CODE_UNAVAILABLE, "spec.model",
 			"model "+replica.Model+" has all its "+strconv.Itoa(model.MaxReplicas)+" replicas; "+key.Name+" is one too many")
 	}
 	return nil
 }
 
-func ownerMachine(replica *v1.ReplicaSpec) string { return replica.Machine }
+func machineOf(replica *v1.ReplicaSpec) string { return replica.Machine }
 
-func ownerModel(replica *v1.ReplicaSpec) string { return replica.Model }
+func modelOf(replica *v1.ReplicaSpec) string { return replica.Model }
 
-// replicas returns an owner's replicas as they stand with the staged writes.
-func (o *overlay) replicas(owner string, stored index, ownerOf func(*v1.ReplicaSpec) string) []*v1.ReplicaSpec {
+// replicas returns an owner's replicas with the staged writes applied.
+func (o *overlay) replicas(owner string, stored replicaIndex, ownerOf func(*v1.ReplicaSpec) string) []*v1.ReplicaSpec {
 	var found []*v1.ReplicaSpec
 	for name := range stored[owner] {
 		key := Key{v1.KindReplica, name}
--- a/internal/state/suspects.go
+++ b/internal/state/suspects.go
@@ -12,46 +12,46 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// MaxSuspects and MaxQuarantined bound the requests that are remembered because machines
-// ended under them: those that may still run, and those that may not. Both together take
-// less than 1 MB on each node (BenchmarkSuspectMemory).
+// MaxSuspects and MaxQuarantined bound the records of requests that were in flight on crashed
+// machines: those that may still run, and those that may not. BenchmarkSuspectMemory reports
+// their memory.
 const (
 	MaxSuspects    = 512
 	MaxQuarantined = 512
 )
 
-// recordCrash adds a crash to the records of the requests that were at a machine.
+// recordCrash adds a crash to the records of the requests that were in flight on a machine.
 func (m *Machine) recordCrash(command *wirepb.RecordCrashCommand) *wirepb.CommandResult {
 	var writes []*wirepb.ObjectWrite
 	written := map[Key]*v1.SuspectSpec{}
 	for position, request := range command.GetRequests() {
 		identity, err := quarantine.IdentityOf(request.GetIdentity())
 		if err != nil {
-			return refusedWrite(position, err)
+			return invalidRequest(position, err)
 		}
 		key := Key{Kind: v1.KindSuspect, Name: identity.String()}
-		held, _ := m.specs[key].(*v1.SuspectSpec)
-		next, isNews := quarantine.AddCrash(held, command.GetMachine(), time.UnixMilli(m.clock).UTC())
-		if !isNews || written[key] != nil {
+		existing, _ := m.specs[key].(*v1.SuspectSpec)
+		next, changed := quarantine.AddCrash(existing, command.GetMachine(), time.UnixMilli(m.clock).UTC())
+		if !changed || written[key] != nil {
 			continue
 		}
 		next.Route, next.Tenant = request.GetRoute(), request.GetTenant()
 		write, err := putSuspect(key, next)
 		if err != nil {
-			return refusedWrite(position, err)
+			return invalidRequest(position, err)
 		}
 		writes = append(writes, write)
 		written[key] = next
 	}
-	result := m.applyWrites(append(writes, m.suspectsGivenUp(written)...))
+	result := m.applyWrites(append(writes, m.suspectEvictions(written)...))
 	return &wirepb.CommandResult{Code: result.GetCode(), Message: result.GetMessage(), Write: result}
 }
 
-// refusedWrite is the result of a command of which one request can't be recorded.
-func refusedWrite(position int, err error) *wirepb.CommandResult {
-	refused := failed(wirepb.ResultCode_RESULT_CODE_INVALID, fault.FieldOf(err), fault.Message(err))
-	refused.FailedWrite = uint32(position)
-	return &wirepb.CommandResult{Code: refused.GetCode(), Message: refused.GetMessage(), Write: refused}
+// invalidRequest returns the result of a command with an invalid request identity.
+func invalidRequest(position int, err error) *wirepb.CommandResult {
+	failure := writeFailure(wirepb.ResultCode_RESULT_CODE_INVALID, fault.FieldOf(err), fault.Message(err))
+	failure.FailedWrite = uint32(position)
+	return &wirepb.CommandResult{Code: failure.GetCode(), Message: failure.GetMessage(), Write: failure}
 }
 
 func putSuspect(key Key, spec *v1.SuspectSpec) (*wirepb.ObjectWrite, error) {
@@ -63,25 +63,25 @@
 	return &wirepb.ObjectWrite{Operation: wirepb.ObjectWrite_OPERATION_PUT, Object: object}, nil
 }
 
-// suspectsGivenUp returns the deletions that keep the records within their bounds once the
+// suspectEvictions returns the deletions that keep the records within their bounds after the
 // given ones are written.
-func (m *Machine) suspectsGivenUp(written map[Key]*v1.SuspectSpec) []*wirepb.ObjectWrite {
+func (m *Machine) suspectEvictions(written map[Key]*v1.SuspectSpec) []*wirepb.ObjectWrite {
 	if len(m.suspects)+len(written) <= min(MaxSuspects, MaxQuarantined) {
 		return nil
 	}
 	var suspects, quarantined suspectList
 	for _, object := range m.suspectsByAge() {
 		if spec, isSuspect := m.specs[KeyOf(object)].(*v1.SuspectSpec); isSuspect && written[KeyOf(object)] == nil {
-			suspects.addTo(&quarantined, KeyOf(object), spec)
+			suspects.appendRecord(&quarantined, KeyOf(object), spec)
 		}
 	}
-	for _, key := range sortedKeys(written) {
-		suspects.addTo(&quarantined, key, written[key])
+	for _, key := range keysByName(written) {
+		suspects.appendRecord(&quarantined, key, written[key])
 	}
-	return append(suspects.deletions(MaxSuspects), quarantined.deletions(MaxQuarantined)...)
+	return append(suspects.evictions(MaxSuspects), quarantined.evictions(MaxQuarantined)...)
 }
 
-// suspectsByAge returns the records, the one that was written first at the front.
+// suspectsByAge returns the records, oldest first.
 func (m *Machine) suspectsByAge() []*wirepb.Object {
 	objects := make([]*wirepb.Object, 0, len(m.suspects))
 	for name := range m.suspects {
@@ -93,14 +93,14 @@
 	return objects
 }
 
-// suspectList is a list of records, the oldest first.
+// suspectList is a list of records, oldest first.
 type suspectList struct {
 	keys  []Key
 	specs []*v1.SuspectSpec
 }
 
-// addTo adds a record to the list, or to the other one if it is quarantined.
-func (l *suspectList) addTo(quarantined *suspectList, key Key, spec *v1.SuspectSpec) {
+// appendRecord appends a record to the list, or to quarantined if the record is quarantined.
+func (l *suspectList) appendRecord(quarantined *suspectList, key Key, spec *v1.SuspectSpec) {
 	list := l
 	if spec.Quarantined {
 		list = quarantined
@@ -108,10 +108,10 @@
 	list.keys, list.specs = append(list.keys, key), append(list.specs, spec)
 }
 
-// deletions drops what is beyond so many records.
-func (l *suspectList) deletions(most int) []*wirepb.ObjectWrite {
+// evictions returns the deletions that reduce the list to limit records.
+func (l *suspectList) evictions(limit int) []*wirepb.ObjectWrite {
 	var writes []*wirepb.ObjectWrite
-	for _, position := range quarantine.Excess(l.specs, most) {
+	for _, position := range quarantine.Excess(l.specs, limit) {
 		writes = append(writes, deleteSuspect(l.keys[position]))
 	}
 	return writes
@@ -123,29 +123,29 @@
 	}
 }
 
-// clearSuspects drops the records of requests that a machine has run to the end.
+// clearSuspects deletes the records of requests that completed.
 func (m *Machine) clearSuspects(command *wirepb.ClearSuspectsCommand) *wirepb.CommandResult {
 	cleared := map[Key]*v1.SuspectSpec{}
 	for position, encoded := range command.GetIdentities() {
 		identity, err := quarantine.IdentityOf(encoded)
 		if err != nil {
-			return refusedWrite(position, err)
+			return invalidRequest(position, err)
 		}
 		key := Key{Kind: v1.KindSuspect, Name: identity.String()}
-		if held, isHeld := m.specs[key].(*v1.SuspectSpec); isHeld {
-			cleared[key] = held
+		if existing, found := m.specs[key].(*v1.SuspectSpec); found {
+			cleared[key] = existing
 		}
 	}
 	var writes []*wirepb.ObjectWrite
-	for _, key := range sortedKeys(cleared) {
+	for _, key := range keysByName(cleared) {
 		writes = append(writes, deleteSuspect(key))
 	}
 	result := m.applyWrites(writes)
 	return &wirepb.CommandResult{Code: result.GetCode(), Message: result.GetMessage(), Write: result}
 }
 
-// sortedKeys makes what follows the same on every node.
-func sortedKeys(specs map[Key]*v1.SuspectSpec) []Key {
+// keysByName returns the keys in a deterministic order.
+func keysByName(specs map[Key]*v1.SuspectSpec) []Key {
 	keys := make([]Key, 0, len(specs))
 	for key := range specs {
 		keys = append(keys, key)
--- a/internal/state/suspects_test.go
+++ b/internal/state/suspects_test.go
@@ -45,9 +45,9 @@
 	machine := New()
 	applied(t, machine, crash("i-1", 1, 2, 3))
 	revision := machine.Revision()
-	applied(t, machine, crash("i-1", 1, 2, 3)) // Of another router, or sent again.
+	applied(t, machine, crash("i-1", 1, 2, 3)) // Reported by another router, or retried.
 	if machine.Revision() != revision {
-		t.Error("a crash that is known made a revision")
+		t.Error("a known crash created a revision")
 	}
 	if suspect := suspectOf(machine, 1); suspect == nil || suspect.Quarantined {
 		t.Fatalf("after one crash: %+v", suspect)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestWholeRunDropsTheRecord(t *testing.T) {
+func TestCompletionDeletesTheRecord(t *testing.T) {
 	machine := New()
 	applied(t, machine, crash("i-1", 1))
 	applied(t, machine, crash("i-2", 1))
@@ -80,12 +80,12 @@
 			t.Errorf("%v", result)
 		}
 		if suspect := suspectOf(machine, 1); suspect != nil {
-			t.Errorf("left: %+v", suspect)
+			t.Errorf("record still exists: %+v", suspect)
 		}
 	}
 }
 
-func TestBadIdentitiesChangeNothing(t *testing.T) {
+func TestInvalidIdentitiesAreRejected(t *testing.T) {
 	machine := New()
 	short := [][]byte{{1, 2, 3}}
 	commands := []*wirepb.Command{
@@ -100,8 +100,9 @@
 	}
 }
 
-// TestFloodPushesOutNoConviction: a caller changes its request a little each time.
-func TestFloodPushesOutNoConviction(t *testing.T) {
+// TestSuspectsDoNotEvictQuarantined checks that a caller that varies its request does not evict
+// quarantined ones.
+func TestSuspectsDoNotEvictQuarantined(t *testing.T) {
 	machine := New()
 	applied(t, machine, crash("i-1", 1))
 	applied(t, machine, crash("i-2", 1))
@@ -109,17 +110,17 @@
 		applied(t, machine, crash(fmt.Sprintf("j-%d", number), number))
 	}
 	if suspect := suspectOf(machine, 1); suspect == nil || !suspect.Quarantined {
-		t.Errorf("the conviction is gone: %+v", suspect)
+		t.Errorf("the quarantined record was evicted: %+v", suspect)
 	}
 	if held := len(machine.List(v1.KindSuspect)); held != MaxSuspects+1 {
-		t.Errorf("%d records are held, not %d", held, MaxSuspects+1)
+		t.Errorf("%d records, want %d", held, MaxSuspects+1)
 	}
 	if suspectOf(machine, 2) != nil || suspectOf(machine, 1+2*MaxSuspects) == nil {
-		t.Error("it is not the oldest that went")
+		t.Error("the oldest record was not the one evicted")
 	}
 }
 
-func TestConvictionsOutliveASnapshot(t *testing.T) {
+func TestSnapshotKeepsQuarantine(t *testing.T) {
 	machine := New()
 	applied(t, machine, crash("i-1", 1, 2))
 	applied(t, machine, crash("i-2", 1))
@@ -136,12 +137,12 @@
 	}
 	again, err := restored.Snapshot()
 	if err != nil || !bytes.Equal(encoded, again) {
-		t.Errorf("the state differs after it was restored (%v)", err)
+		t.Errorf("the restored state differs (%v)", err)
 	}
 }
 
-// TestDeclarationKeepsConvictions: a document replaces what documents declared, and nothing else.
-func TestDeclarationKeepsConvictions(t *testing.T) {
+// TestDeclarationKeepsQuarantine checks that a document replaces only objects of documents.
+func TestDeclarationKeepsQuarantine(t *testing.T) {
 	machine := New()
 	applied(t, machine, crash("i-1", 1))
 	applied(t, machine, crash("i-2", 1))
@@ -151,8 +152,8 @@
 	}
 }
 
-// BenchmarkSuspectMemory measures what as many records take as are kept, on a control node:
-// the objects and their decoded specs.
+// BenchmarkSuspectMemory measures the memory of the maximum number of records on a control node:
+// objects and decoded specs.
 func BenchmarkSuspectMemory(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
--- a/internal/state/tenants_test.go
+++ b/internal/state/tenants_test.go
@@ -22,8 +22,8 @@
 	return &wirepb.ObjectWrite{Operation: wirepb.ObjectWrite_OPERATION_PUT, Object: object}
 }
 
-// TestTenantsNeverShareAKey, whichever way they are written; a key may move in one write.
-func TestTenantsNeverShareAKey(t *testing.T) {
+// TestTenantsDoNotShareKeys also checks that one command may move a key to another tenant.
+func TestTenantsDoNotShareKeys(t *testing.T) {
 	machine := New()
 	steps := []struct {
 		name   string
