--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,4 +1,4 @@
-// Package storage keeps a control node's log and snapshot in its data folder.
+// Package storage persists a control node's write-ahead log and snapshot in its data directory.
 package storage
 
 import (
@@ -12,22 +12,21 @@
 )
 
 const (
-	logFolder    = "log"
-	snapshotFile = "snapshot"
-	// retryInterval is how long a failed append waits before it is repeated.
+	logDirectory  = "log"
+	snapshotFile  = "snapshot"
 	retryInterval = 100 * time.Millisecond
 )
 
-// Disk implements member.Storage on a data folder.
+// Disk implements member.Storage in a data directory.
 type Disk struct {
 	dir *datadir.Dir
 	log *wal.Log
-	// OnFailure is told of each failed append; may be nil.
+	// OnFailure is called after each failed attempt to write; it may be nil.
 	OnFailure func(err error, attempt int)
 	stopped   chan struct{}
 }
 
-// Open reads everything stored and opens the log for appending.
+// Open reads the snapshot and the log, and opens the log for appending.
 func Open(dir *datadir.Dir) (*Disk, member.Recovered, error) {
 	var recovered member.Recovered
 	snapshot, err := snap.Load(dir.Path(snapshotFile))
@@ -35,7 +34,7 @@
 		return nil, recovered, err
 	}
 	recovered.Snapshot = snapshot
-	log, err := wal.Open(dir.Path(logFolder), func(record *wirepb.WalRecord) error {
+	log, err := wal.Open(dir.Path(logDirectory), func(record *wirepb.WalRecord) error {
 		recovered.Records = append(recovered.Records, record)
 		return nil
 	})
@@ -50,11 +49,10 @@
 	return d.persist(func() error { return d.log.Append(record) })
 }
 
-// persist stores something. While the disk takes nothing (it may be full for a
-// time) it waits and tries again: until then nothing is promised, so for the
-// others the node is as good as silent, and it need not start anew.
-func (d *Disk) persist(store func() error) error {
-	err := store()
+// persist retries a write until it succeeds or Stop is called, so that a node survives a
+// disk that is temporarily full. The node sends nothing that depends on the write meanwhile.
+func (d *Disk) persist(write func() error) error {
+	err := write()
 	for attempt := 1; err != nil; attempt++ {
 		if d.OnFailure != nil {
 			d.OnFailure(err, attempt)
@@ -65,19 +63,19 @@
 		case <-time.After(retryInterval):
 		}
 		if err = d.log.Repair(); err == nil {
-			err = store()
+			err = write()
 		}
 	}
 	return nil
 }
 
-// Stop ends the waiting of Append; it may be called once.
+// Stop ends the retries of Append and SaveSnapshot. It must be called at most once.
 func (d *Disk) Stop() {
 	close(d.stopped)
 }
 
-// SaveSnapshot implements member.Storage. A crash between the two steps
-// leaves older records behind a newer snapshot, which replay skips.
+// SaveSnapshot implements member.Storage. A crash between its two steps leaves records in the
+// log that the snapshot covers; replay skips them.
 func (d *Disk) SaveSnapshot(snapshot *wirepb.Snapshot, rest *wirepb.WalRecord) error {
 	return d.persist(func() error {
 		if err := snap.Save(d.dir.Path(snapshotFile), snapshot); err != nil {
@@ -87,7 +85,6 @@
 	})
 }
 
-// Close closes the log.
 func (d *Disk) Close() error {
 	return d.log.Close()
 }
--- a/internal/storage/storage_bench_test.go
+++ b/internal/storage/storage_bench_test.go
@@ -15,17 +15,17 @@
 
 const commandBytes = 512
 
-// trio is three members on disks of their own, without a network between.
-type trio struct {
+// testCluster is up to three members with separate data directories that exchange messages in memory.
+type testCluster struct {
 	tb      testing.TB
 	members map[uint64]*member.Member
 	now     time.Duration
 	applied uint64
 }
 
-func newTrio(tb testing.TB, ids ...uint64) *trio {
+func newTestCluster(tb testing.TB, ids ...uint64) *testCluster {
 	tb.Helper()
-	cluster := &trio{tb: tb, members: map[uint64]*member.Member{}}
+	cluster := &testCluster{tb: tb, members: map[uint64]*member.Member{}}
 	for _, id := range ids {
 		cluster.start(id, filepath.Join(tb.TempDir(), "data"))
 	}
@@ -39,7 +39,7 @@
 	return cluster
 }
 
-func (c *trio) start(id uint64, path string) {
+func (c *testCluster) start(id uint64, path string) {
 	c.tb.Helper()
 	if err := datadir.Init(path, datadir.Identity{Cluster: "bench", ControlID: id}); err != nil {
 		c.tb.Fatal(err)
@@ -67,8 +67,8 @@
 	})
 }
 
-// settle carries out what a member has ready and all that follows from it.
-func (c *trio) settle(id uint64) {
+// settle processes a member's output and delivers messages until none is left.
+func (c *testCluster) settle(id uint64) {
 	pending := []uint64{id}
 	for len(pending) > 0 {
 		opened := c.members[pending[0]]
@@ -89,8 +89,8 @@
 	}
 }
 
-// commit proposes commands together and returns once they are applied.
-func (c *trio) commit(count int) {
+// commit proposes a batch of commands and returns after they are applied.
+func (c *testCluster) commit(count int) {
 	commands := make([][]byte, count)
 	for position := range commands {
 		commands[position] = make([]byte, commandBytes)
@@ -105,11 +105,11 @@
 	}
 }
 
-// BenchmarkCommit commits batches on three members, each with synced writes.
+// BenchmarkCommit commits batches on three members that sync every write.
 func BenchmarkCommit(b *testing.B) {
 	for _, batch := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
-			cluster := newTrio(b, 1, 2, 3)
+			cluster := newTestCluster(b, 1, 2, 3)
 			for b.Loop() {
 				cluster.commit(batch)
 			}
@@ -118,7 +118,7 @@
 	}
 }
 
-// BenchmarkPlainSync is the baseline: one write and sync of as many bytes.
+// BenchmarkPlainSync is the baseline: one write and sync of a single command's bytes.
 func BenchmarkPlainSync(b *testing.B) {
 	file, err := os.Create(filepath.Join(b.TempDir(), "file"))
 	if err != nil {
@@ -136,13 +136,13 @@
 	}
 }
 
-// BenchmarkCatchUp brings in a member that has missed a number of entries.
+// BenchmarkCatchUp replicates missed entries to a member that starts with an empty log.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, missed := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("missed=%d", missed), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				cluster := newTrio(b, 1, 2)
+				cluster := newTestCluster(b, 1, 2)
 				cluster.commit(missed)
 				cluster.start(3, filepath.Join(b.TempDir(), "data"))
 				b.StartTimer()
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -9,8 +9,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// live opens a data folder, lets a life work on it, and closes it again.
-func live(t *testing.T, path string, work func(disk *Disk, recovered member.Recovered)) {
+// withDisk opens a data directory, calls use, and closes it again.
+func withDisk(t *testing.T, path string, use func(disk *Disk, recovered member.Recovered)) {
 	t.Helper()
 	dir, _, err := datadir.Open(path, "test", 1)
 	if err != nil {
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	work(disk, recovered)
+	use(disk, recovered)
 	if err := disk.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -29,16 +29,16 @@
 	}
 }
 
-// TestRecovery lets three lives use a folder: each finds what those before
-// have appended, until a snapshot takes its place.
+// TestRecovery reopens a data directory: it must return all appended records, and after a
+// snapshot only the snapshot and the rest.
 func TestRecovery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "data")
 	if err := datadir.Init(path, datadir.Identity{Cluster: "test", ControlID: 1}); err != nil {
 		t.Fatal(err)
 	}
-	live(t, path, func(disk *Disk, recovered member.Recovered) {
+	withDisk(t, path, func(disk *Disk, recovered member.Recovered) {
 		if len(recovered.Records) != 0 || recovered.Snapshot != nil {
-			t.Errorf("a new folder holds %+v", recovered)
+			t.Errorf("a new data directory holds %+v", recovered)
 		}
 		for index := uint64(1); index <= 2; index++ {
 			if err := disk.Append(&wirepb.WalRecord{Entries: []*wirepb.Entry{{Term: 1, Index: index}}}); err != nil {
@@ -46,7 +46,7 @@
 			}
 		}
 	})
-	live(t, path, func(disk *Disk, recovered member.Recovered) {
+	withDisk(t, path, func(disk *Disk, recovered member.Recovered) {
 		if len(recovered.Records) != 2 || recovered.Records[1].GetEntries()[0].GetIndex() != 2 {
 			t.Errorf("%+v", recovered)
 		}
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 	})
-	live(t, path, func(_ *Disk, recovered member.Recovered) {
+	withDisk(t, path, func(_ *Disk, recovered member.Recovered) {
 		if recovered.Snapshot.GetMeta().GetIndex() != 2 || string(recovered.Snapshot.GetData()) != "state" {
 			t.Errorf("%+v", recovered.Snapshot)
 		}
