--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,12 +1,11 @@
 // Package wal is the segmented write-ahead log of a control node.
 //
 // A record is a 4-byte little-endian length, a 4-byte CRC-32C of the length
-// and payload, and a WalRecord as payload. Append returns only after fsync:
-// a message that promises a record must not be sent earlier.
+// and payload, and a WalRecord as payload. Append returns only after fsync, so that no message
+// depends on a record that a crash could lose.
 //
-// A crash can only tear the end of the newest segment. So a bad record there,
-// with nothing valid after it, is cut off; a bad record anywhere else means
-// that a promise was lost, and the log refuses to open.
+// A crash can only leave an incomplete record at the end of the newest segment; Open truncates
+// it. An invalid record anywhere else means that acknowledged data was lost, and Open fails.
 package wal
 
 import (
@@ -27,44 +26,45 @@
 )
 
 const (
-	// SegmentBytes is the size at which a new segment is begun.
+	// SegmentBytes is the size after which the log rotates to a new segment.
 	SegmentBytes   = 8 << 20
 	maxRecordBytes = 64 << 20
 	headerBytes    = 8
 	segmentSuffix  = ".wal"
 	fileMode       = 0o640
-	folderMode     = 0o750
+	directoryMode  = 0o750
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Log is an open write-ahead log. It is not safe for concurrent use.
 type Log struct {
-	folder   string
+	directory string
+	// segment is the newest segment; sequence and size are its number and length.
 	segment  *os.File
 	sequence uint64
 	size     int64
 	segments []uint64
-	failed   error
-	// good is the length of the newest segment before the record whose append
-	// failed.
-	good int64
+	// failed is the error of the last Append, until Repair succeeds.
+	failed error
+	// validSize is the length of the newest segment without the failed record.
+	validSize int64
 }
 
 // Open replays every record in order and opens the log for appending.
-func Open(folder string, replay func(*wirepb.WalRecord) error) (*Log, error) {
-	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, fault.Storage.Wrap(err, "creating the log folder")
+func Open(directory string, replay func(*wirepb.WalRecord) error) (*Log, error) {
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
+		return nil, fault.Storage.Wrap(err, "creating the log directory")
 	}
-	if err := datadir.SyncDir(filepath.Dir(folder)); err != nil {
+	if err := datadir.SyncDir(filepath.Dir(directory)); err != nil {
 		return nil, err
 	}
-	sequences, err := listSegments(folder)
+	sequences, err := listSegments(directory)
 	if err != nil {
 		return nil, err
 	}
-	log := &Log{folder: folder, segments: sequences}
-	newest, err := newestUsed(folder, sequences)
+	log := &Log{directory: directory, segments: sequences}
+	newest, err := newestNonEmpty(directory, sequences)
 	if err != nil {
 		return nil, err
 	}
@@ -80,11 +80,11 @@
 	return log, log.openLast()
 }
 
-// newestUsed returns the newest segment that holds anything. A rotation that
-// failed half-way leaves an empty one behind it.
-func newestUsed(folder string, sequences []uint64) (uint64, error) {
+// newestNonEmpty returns the newest segment that is not empty. A failed rotation may leave an
+// empty segment after it.
+func newestNonEmpty(directory string, sequences []uint64) (uint64, error) {
 	for position := len(sequences) - 1; position >= 0; position-- {
-		information, err := os.Stat(segmentPath(folder, sequences[position]))
+		information, err := os.Stat(segmentPath(directory, sequences[position]))
 		if err != nil {
 			return 0, fault.Storage.Wrap(err, "reading the size of a log segment")
 		}
@@ -95,12 +95,12 @@
 	return 0, nil
 }
 
-func segmentPath(folder string, sequence uint64) string {
-	return filepath.Join(folder, fmt.Sprintf("%016x%s", sequence, segmentSuffix))
+func segmentPath(directory string, sequence uint64) string {
+	return filepath.Join(directory, fmt.Sprintf("%016x%s", sequence, segmentSuffix))
 }
 
-func listSegments(folder string) ([]uint64, error) {
-	entries, err := os.ReadDir(folder)
+func listSegments(directory string) ([]uint64, error) {
+	entries, err := os.ReadDir(directory)
 	if err != nil {
 		return nil, fault.Storage.Wrap(err, "listing log segments")
 	}
@@ -126,7 +126,7 @@
 }
 
 func (l *Log) path(sequence uint64) string {
-	return segmentPath(l.folder, sequence)
+	return segmentPath(l.directory, sequence)
 }
 
 func (l *Log) replaySegment(sequence uint64, last bool, replay func(*wirepb.WalRecord) error) error {
@@ -142,7 +142,7 @@
 		return nil
 	}
 	if !last || HasValidRecordAfter(content[valid:]) {
-		return fault.Corrupt.New("log segment %d is damaged at byte %d, before its end", sequence, valid)
+		return fault.Corrupt.New("log segment %d is corrupt at byte %d, before its end", sequence, valid)
 	}
 	return truncate(l.path(sequence), int64(valid))
 }
@@ -150,20 +150,20 @@
 func truncate(path string, size int64) error {
 	file, err := os.OpenFile(path, os.O_RDWR, fileMode)
 	if err != nil {
-		return fault.Storage.Wrap(err, "opening a torn log segment")
+		return fault.Storage.Wrap(err, "opening a log segment to truncate it")
 	}
 	defer func() { _ = file.Close() }()
 	if err := file.Truncate(size); err != nil {
-		return fault.Storage.Wrap(err, "cutting off a torn record")
+		return fault.Storage.Wrap(err, "truncating a log segment")
 	}
 	if err := file.Sync(); err != nil {
-		return fault.Storage.Wrap(err, "syncing a repaired log segment")
+		return fault.Storage.Wrap(err, "syncing a truncated log segment")
 	}
 	return nil
 }
 
-// Decode calls replay for each valid record from the start of content and
-// returns how many bytes they take.
+// Decode calls replay for each record up to the first invalid one and returns the number of
+// valid bytes.
 func Decode(content []byte, replay func(*wirepb.WalRecord) error) (int, error) {
 	offset := 0
 	for {
@@ -202,8 +202,8 @@
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, payload)
 }
 
-// HasValidRecordAfter tells a torn tail from damage in the middle: it looks
-// for a whole record at any later offset.
+// HasValidRecordAfter distinguishes corruption from an incomplete record at the end of a segment:
+// it reports whether a valid record starts at any later offset.
 func HasValidRecordAfter(content []byte) bool {
 	if len(bytes.Trim(content, "\x00")) == 0 {
 		return false
@@ -216,7 +216,7 @@
 	return false
 }
 
-// Encode returns the stored form of a record.
+// Encode returns the on-disk encoding of a record.
 func Encode(record *wirepb.WalRecord) ([]byte, error) {
 	payload, err := proto.Marshal(record)
 	if err != nil {
@@ -246,44 +246,42 @@
 	return nil
 }
 
-// Append writes one record and syncs it. It takes no more than one, because a
-// torn write of several could leave a whole record behind a broken one, which
-// Open takes for damage. After a failure the log refuses every further append:
-// what reached the disk is not known any more.
+// Append writes one record and syncs it. It does not batch records, because a partial write of
+// several could leave a valid record after an invalid one, which Open treats as corruption.
+// After a failure the content of the disk is unknown, and Append fails until Repair succeeds.
 func (l *Log) Append(record *wirepb.WalRecord) error {
 	if l.failed != nil {
 		return l.failed
 	}
-	good := l.size
+	validSize := l.size
 	if err := l.append(record); err != nil {
 		l.failed = err
-		l.good = good
+		l.validSize = validSize
 		return err
 	}
 	if l.size >= SegmentBytes {
-		// Without a new segment the present one grows on.
+		// If the rotation fails, the current segment keeps growing.
 		_ = l.Rotate()
 	}
 	return nil
 }
 
-// Repair makes the log usable again after a failed Append: it cuts off whatever
-// of the record reached the newest segment. The record itself is lost, and must
-// be appended again before anything may depend on it.
+// Repair makes the log usable after a failed Append: it truncates what was written of the record.
+// The caller has to append the record again.
 func (l *Log) Repair() error {
 	if l.failed == nil {
 		return nil
 	}
-	if err := truncate(l.path(l.sequence), l.good); err != nil {
+	if err := truncate(l.path(l.sequence), l.validSize); err != nil {
 		return err
 	}
 	file, err := os.OpenFile(l.path(l.sequence), os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
-		return fault.Storage.Wrap(err, "opening a repaired log segment")
+		return fault.Storage.Wrap(err, "reopening a repaired log segment")
 	}
 	_ = l.segment.Close()
 	l.segment = file
-	l.size = l.good
+	l.size = l.validSize
 	l.failed = nil
 	return nil
 }
@@ -304,7 +302,7 @@
 	return nil
 }
 
-// Rotate begins a new segment. Where that fails, the present one stays in use.
+// Rotate starts a new segment. If that fails, the current one stays in use.
 func (l *Log) Rotate() error {
 	if l.failed != nil {
 		return l.failed
@@ -318,8 +316,8 @@
 	if err != nil {
 		return fault.Storage.Wrap(err, "creating a log segment")
 	}
-	if err := datadir.SyncDir(l.folder); err != nil {
-		// An empty segment may stay behind; it is used when this is repeated.
+	if err := datadir.SyncDir(l.directory); err != nil {
+		// The empty segment may remain; the next rotation reuses it.
 		_ = file.Close()
 		return err
 	}
@@ -333,9 +331,8 @@
 	return nil
 }
 
-// Restart begins a new segment with the given record and removes all older
-// ones. The record must hold everything still needed, because a snapshot
-// covers the rest.
+// Restart starts a new segment with a record and removes all older segments. The record must
+// hold everything that the snapshot does not cover.
 func (l *Log) Restart(record *wirepb.WalRecord) error {
 	if err := l.Rotate(); err != nil {
 		return err
@@ -343,13 +340,13 @@
 	if err := l.Append(record); err != nil {
 		return err
 	}
-	// One after the other: after a loss of power each removal may have
-	// happened or not, and a gap in the sequence would look like damage.
+	// Each removal is synced before the next one: a power loss must not leave a gap in the
+	// sequence, which Open treats as corruption.
 	for len(l.segments) > 0 && l.segments[0] < l.sequence {
 		if err := os.Remove(l.path(l.segments[0])); err != nil {
 			return fault.Storage.Wrap(err, "removing a log segment")
 		}
-		if err := datadir.SyncDir(l.folder); err != nil {
+		if err := datadir.SyncDir(l.directory); err != nil {
 			return err
 		}
 		l.segments = l.segments[1:]
@@ -362,7 +359,6 @@
 	return l.size
 }
 
-// Close closes the newest segment.
 func (l *Log) Close() error {
 	return l.segment.Close()
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -17,12 +17,12 @@
 	}
 }
 
-// written makes a log of records 1 to count and returns its folder and the
-// path of its only segment.
-func written(t *testing.T, count uint64) (folder, segment string) {
+// writeLog writes a log of records 1 to count and returns its directory and the path of its
+// only segment.
+func writeLog(t *testing.T, count uint64) (directory, segment string) {
 	t.Helper()
-	folder = t.TempDir()
-	log, err := Open(folder, func(*wirepb.WalRecord) error { return nil })
+	directory = t.TempDir()
+	log, err := Open(directory, func(*wirepb.WalRecord) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,15 +34,15 @@
 	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	segments, err := filepath.Glob(filepath.Join(folder, "*"+segmentSuffix))
+	segments, err := filepath.Glob(filepath.Join(directory, "*"+segmentSuffix))
 	if err != nil || len(segments) != 1 {
 		t.Fatal(segments, err)
 	}
-	return folder, segments[0]
+	return directory, segments[0]
 }
 
-func replayed(folder string) (terms []uint64, err error) {
-	log, err := Open(folder, func(record *wirepb.WalRecord) error {
+func replayTerms(directory string) (terms []uint64, err error) {
+	log, err := Open(directory, func(record *wirepb.WalRecord) error {
 		terms = append(terms, record.GetHardState().GetTerm())
 		return nil
 	})
@@ -52,10 +52,10 @@
 	return terms, err
 }
 
-// TestDamage damages a log of three records in every way that a crash or a bad
-// disk may. A torn end is cut off; damage before valid records is refused.
-func TestDamage(t *testing.T) {
-	cases := []struct {
+// TestCorruption modifies a log of three records as a crash or a faulty disk may. An incomplete
+// end is truncated; corruption before valid records is an error.
+func TestCorruption(t *testing.T) {
+	tests := []struct {
 		name    string
 		damage  func(content []byte) []byte
 		records int
@@ -86,37 +86,36 @@
 			return content
 		}, 0, true},
 	}
-	for _, entry := range cases {
-		t.Run(entry.name, func(t *testing.T) {
-			folder, segment := written(t, 3)
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			directory, segment := writeLog(t, 3)
 			content, err := os.ReadFile(segment)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(segment, entry.damage(content), 0o600); err != nil {
+			if err := os.WriteFile(segment, test.damage(content), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			terms, err := replayed(folder)
-			if entry.corrupt {
+			terms, err := replayTerms(directory)
+			if test.corrupt {
 				if !fault.Is(err, fault.Corrupt) {
 					t.Errorf("opened with %v", err)
 				}
 				return
 			}
-			if err != nil || len(terms) != entry.records {
+			if err != nil || len(terms) != test.records {
 				t.Fatalf("%v, %v", terms, err)
 			}
-			if again, err := replayed(folder); err != nil || len(again) != entry.records {
+			if again, err := replayTerms(directory); err != nil || len(again) != test.records {
 				t.Errorf("after the repair: %v, %v", again, err)
 			}
 		})
 	}
 }
 
-// TestMissingSegmentIsRefused removes a segment between two others.
-func TestMissingSegmentIsRefused(t *testing.T) {
-	folder := t.TempDir()
-	log, err := Open(folder, func(*wirepb.WalRecord) error { return nil })
+func TestMissingSegmentIsRejected(t *testing.T) {
+	directory := t.TempDir()
+	log, err := Open(directory, func(*wirepb.WalRecord) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,19 +128,18 @@
 		}
 	}
 	_ = log.Close()
-	segments, _ := filepath.Glob(filepath.Join(folder, "*"+segmentSuffix))
+	segments, _ := filepath.Glob(filepath.Join(directory, "*"+segmentSuffix))
 	if err := os.Remove(segments[1]); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := replayed(folder); !fault.Is(err, fault.Corrupt) {
+	if _, err := replayTerms(directory); !fault.Is(err, fault.Corrupt) {
 		t.Errorf("opened with %v", err)
 	}
 }
 
-// TestRestartKeepsOnlyTheRest replaces a log by one record.
-func TestRestartKeepsOnlyTheRest(t *testing.T) {
-	folder, _ := written(t, 3)
-	log, err := Open(folder, func(*wirepb.WalRecord) error { return nil })
+func TestRestartRemovesOlderRecords(t *testing.T) {
+	directory, _ := writeLog(t, 3)
+	log, err := Open(directory, func(*wirepb.WalRecord) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,13 +150,13 @@
 		t.Fatal(err)
 	}
 	_ = log.Close()
-	if terms, err := replayed(folder); err != nil || len(terms) != 2 || terms[0] != 9 || terms[1] != 10 {
+	if terms, err := replayTerms(directory); err != nil || len(terms) != 2 || terms[0] != 9 || terms[1] != 10 {
 		t.Errorf("%v, %v", terms, err)
 	}
 }
 
-// FuzzDecode feeds a segment of any bytes: no panic, and what is called valid
-// decodes to the same again.
+// FuzzDecode decodes arbitrary bytes. It must not panic, and the valid prefix must decode to the
+// same number of records.
 func FuzzDecode(f *testing.F) {
 	encoded, err := Encode(record(1))
 	if err != nil {
@@ -186,11 +184,11 @@
 	})
 }
 
-// TestRepairAfterAFailedAppend: a disk that took nothing for a time must not end
-// the log. What was not acknowledged is gone, what was is there.
-func TestRepairAfterAFailedAppend(t *testing.T) {
-	folder := t.TempDir()
-	log, err := Open(folder, func(*wirepb.WalRecord) error { return nil })
+// TestRepairAfterFailedAppend checks that acknowledged records survive a failed append and that
+// the failed record is gone.
+func TestRepairAfterFailedAppend(t *testing.T) {
+	directory := t.TempDir()
+	log, err := Open(directory, func(*wirepb.WalRecord) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,17 +196,17 @@
 		t.Fatal(err)
 	}
 	writable := log.segment
-	refusing, err := os.Open(writable.Name())
+	readOnly, err := os.Open(writable.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
-	log.segment = refusing
+	log.segment = readOnly
 	for range 2 {
 		if err := log.Append(record(2)); !fault.Is(err, fault.Storage) {
-			t.Fatalf("an append to a file that refuses writes: %v", err)
+			t.Fatalf("an append to a read-only file: %v", err)
 		}
 	}
-	// A part of the record had reached the file.
+	// The failed append wrote a part of the record.
 	if _, err := writable.WriteString("torn"); err != nil {
 		t.Fatal(err)
 	}
@@ -221,16 +219,16 @@
 	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	terms, err := replayed(folder)
+	terms, err := replayTerms(directory)
 	if err != nil || len(terms) != 2 || terms[0] != 1 || terms[1] != 3 {
 		t.Errorf("replayed %v, %v", terms, err)
 	}
 }
 
-// TestEmptySegmentAfterATornOne: a rotation that failed left an empty segment,
-// the one before it grew on, and its end was torn by a loss of power.
-func TestEmptySegmentAfterATornOne(t *testing.T) {
-	folder, segment := written(t, 2)
+// TestEmptySegmentAfterIncompleteRecord covers a failed rotation, which leaves an empty segment,
+// followed by a crash during an append to the previous one.
+func TestEmptySegmentAfterIncompleteRecord(t *testing.T) {
+	directory, segment := writeLog(t, 2)
 	content, err := os.ReadFile(segment)
 	if err != nil {
 		t.Fatal(err)
@@ -238,11 +236,11 @@
 	if err := os.WriteFile(segment, content[:len(content)-3], fileMode); err != nil {
 		t.Fatal(err)
 	}
-	log := &Log{folder: folder}
+	log := &Log{directory: directory}
 	if err := os.WriteFile(log.path(2), nil, fileMode); err != nil {
 		t.Fatal(err)
 	}
-	terms, err := replayed(folder)
+	terms, err := replayTerms(directory)
 	if err != nil || len(terms) != 1 || terms[0] != 1 {
 		t.Errorf("replayed %v, %v", terms, err)
 	}
