--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -17,14 +17,13 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// ProtocolVersion is the version of the internal protocol. Processes of
-// different versions refuse each other.
+// ProtocolVersion is the version of the internal protocol. Processes of different versions
+// reject each other.
 const ProtocolVersion = 1
 
 const (
-	// connectTimeout is how long a machine has to take a connection. It is
-	// below the second after which a lost first packet is sent again: a new
-	// attempt is sooner.
+	// connectTimeout is below the one second after which TCP retransmits a lost SYN, because a new
+	// attempt is faster.
 	connectTimeout   = 300 * time.Millisecond
 	handshakeTimeout = time.Second
 	writeTimeout     = 5 * time.Second
@@ -32,45 +31,41 @@
 	bufferBytes      = 32 << 10
 )
 
-// Conn is a framed connection after its handshake. Send never blocks on the
-// network: a peer that doesn't drain its queue is disconnected, because soft
-// state may be lost but must not hold up the sender.
+// Conn is a framed connection after its handshake. Send never blocks on the network: a peer that
+// does not drain its queue is disconnected, so that it can't stall the sender.
 type Conn struct {
-	network  net.Conn
-	metered  *meteredConn
-	reader   *bufio.Reader
-	outbox   chan *wirepb.Envelope
-	done     chan struct{}
-	once     sync.Once
-	counters *Counters
-	// traffic counts what goes over this connection by kind.
-	traffic *placeCounters
-	// deflateOut and deflateIn are set where the stream of that direction is compressed.
+	network        net.Conn
+	meteredNetwork *meteredConn
+	reader         *bufio.Reader
+	sendQueue      chan *wirepb.Envelope
+	done           chan struct{}
+	closeOnce      sync.Once
+	counters       *Counters
+	traffic        *peerCounters
+	// deflateOut and deflateIn tell whether the outgoing and the incoming stream are compressed.
 	deflateOut, deflateIn bool
-	// Peer is what the other side said of itself.
+	// Peer is the identity that the other side sent in the handshake.
 	Peer *wirepb.Hello
-	// Followers is how many nodes followed the other side when it took this connection; see
-	// HelloReply.
-	Followers uint32
-	// UnchangedInstances is whether the dialled side takes reports of machines without what it
-	// has; see HelloReply.
+	// Followers and UnchangedInstances are those of the server's HelloReply; they are not set on
+	// connections that were accepted.
+	Followers          uint32
 	UnchangedInstances bool
 }
 
-// Identity is what a process shows of itself on every connection.
+// Identity configures the handshakes of a process.
 type Identity struct {
 	Hello *wirepb.Hello
-	// Keys secures connections; nil leaves them in plain text.
+	// Keys enables mutual TLS; nil leaves connections in plain text.
 	Keys     *keys.Store
 	Counters *Counters
-	// Refuse returns why a server takes no connection of a peer, or an empty
-	// text; nil takes all.
+	// Refuse returns the reason why a server rejects a client, or "" to accept it. A nil Refuse
+	// accepts all.
 	Refuse func(hello *wirepb.Hello) string
-	// Followers returns how many nodes follow a server; nil where none do.
+	// Followers returns the number of nodes that follow a server; it may be nil.
 	Followers func() uint32
 }
 
-// Dial connects, shakes hands and starts the writer.
+// Dial connects to a server, performs the client's side of the handshake and starts the writer.
 func Dial(ctx context.Context, address string, self Identity) (*Conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout, Control: tcpopt.Control, KeepAliveConfig: tcpopt.KeepAlive}
 	network, err := dialer.DialContext(ctx, "tcp", address)
@@ -82,7 +77,7 @@
 	}
 	conn := newConn(network, self.Counters)
 	stop := context.AfterFunc(ctx, func() { _ = network.Close() })
-	err = conn.greet(self.Hello)
+	err = conn.handshakeAsClient(self.Hello)
 	if !stop() && err == nil {
 		err = fault.Unavailable.Wrap(ctx.Err(), "connecting to %s", address)
 	}
@@ -95,14 +90,14 @@
 	return conn, nil
 }
 
-// Accept performs the server's side of the handshake on a fresh connection.
+// Accept performs the server's side of the handshake on a new connection and starts the writer.
 func Accept(network net.Conn, self Identity) (*Conn, error) {
 	tcpopt.Apply(network)
 	if self.Keys != nil {
 		network = tls.Server(network, self.Keys.PeerServer())
 	}
 	conn := newConn(network, self.Counters)
-	if err := conn.welcome(self); err != nil {
+	if err := conn.handshakeAsServer(self); err != nil {
 		conn.releaseCompressor()
 		_ = network.Close()
 		return nil, err
@@ -117,30 +112,30 @@
 	}
 	metered := &meteredConn{Conn: network}
 	return &Conn{
-		network:  network,
-		metered:  metered,
-		reader:   bufio.NewReaderSize(metered, bufferBytes),
-		outbox:   make(chan *wirepb.Envelope, sendQueueLength),
-		done:     make(chan struct{}),
-		counters: counters,
+		network:        network,
+		meteredNetwork: metered,
+		reader:         bufio.NewReaderSize(metered, bufferBytes),
+		sendQueue:      make(chan *wirepb.Envelope, sendQueueLength),
+		done:           make(chan struct{}),
+		counters:       counters,
 	}
 }
 
-// start begins the stream of frames after the handshake.
+// start sets up the streams after the handshake and starts the writer.
 func (c *Conn) start() {
-	c.traffic = c.counters.with(c.Peer.GetZone())
-	c.metered.traffic = c.traffic
+	c.traffic = c.counters.forZone(c.Peer.GetZone())
+	c.meteredNetwork.traffic = c.traffic
 	if c.deflateIn {
-		c.reader = inflate(c.reader)
+		c.reader = newInflateReader(c.reader)
 	}
 	go c.writeLoop()
 }
 
-func (c *Conn) greet(own *wirepb.Hello) error {
+func (c *Conn) handshakeAsClient(own *wirepb.Hello) error {
 	hello := proto.CloneOf(own)
 	hello.Deflate = true
 	_ = c.network.SetDeadline(time.Now().Add(handshakeTimeout))
-	if err := c.writeNow(&wirepb.Envelope{Body: &wirepb.Envelope_Hello{Hello: hello}}); err != nil {
+	if err := c.writeAndFlush(&wirepb.Envelope{Body: &wirepb.Envelope_Hello{Hello: hello}}); err != nil {
 		return err
 	}
 	envelope, _, err := ReadFrame(c.reader)
@@ -149,10 +144,10 @@
 	}
 	reply := envelope.GetHelloReply()
 	if reply == nil {
-		return fault.Protocol.New("the first frame of the server is not a hello reply")
+		return fault.Protocol.New("the first frame of the server is not a HelloReply")
 	}
 	if reply.GetRefusal() != "" {
-		return fault.Protocol.New("refused by %s: %s", reply.GetNode(), reply.GetRefusal())
+		return fault.Protocol.New("rejected by %s: %s", reply.GetNode(), reply.GetRefusal())
 	}
 	c.Peer = &wirepb.Hello{
 		Node: reply.GetNode(), ProtocolVersion: reply.GetProtocolVersion(), ControlId: reply.GetControlId(), Zone: reply.GetZone(),
@@ -160,49 +155,49 @@
 	}
 	c.Followers, c.UnchangedInstances = reply.GetFollowers(), reply.GetUnchangedInstances()
 	c.deflateIn = reply.GetDeflate()
-	c.deflateOut = reply.GetDeflate() && dialerCompresses(hello, reply) && c.counters.takeCompressor(math.MaxInt64)
-	if err := c.checkName(); err != nil {
+	c.deflateOut = reply.GetDeflate() && dialerCompresses(hello, reply) && c.counters.reserveCompressor(math.MaxInt64)
+	if err := c.verifyPeerName(); err != nil {
 		return err
 	}
 	return c.network.SetDeadline(time.Time{})
 }
 
-func (c *Conn) welcome(self Identity) error {
+func (c *Conn) handshakeAsServer(self Identity) error {
 	_ = c.network.SetDeadline(time.Now().Add(handshakeTimeout))
 	envelope, _, err := ReadFrame(c.reader)
 	if err != nil {
 		return err
 	}
 	hello := envelope.GetHello()
-	refusal := refuseHello(hello, self.Hello)
+	refusal := helloRefusal(hello, self.Hello)
 	if refusal == "" && self.Refuse != nil {
 		refusal = self.Refuse(hello)
 	}
 	c.Peer = hello
-	if err := c.checkName(); refusal == "" && err != nil {
+	if err := c.verifyPeerName(); refusal == "" && err != nil {
 		refusal = fault.Message(err)
 	}
 	reply := &wirepb.HelloReply{
 		ProtocolVersion: ProtocolVersion, Node: self.Hello.GetNode(), Refusal: refusal, ControlId: self.Hello.GetControlId(),
 		Zone: self.Hello.GetZone(), UnchangedInstances: true, Level: self.Hello.GetLevel(),
 	}
-	c.deflateOut = refusal == "" && hello.GetDeflate() && c.counters.takeCompressor(compressorsFor(hello))
+	c.deflateOut = refusal == "" && hello.GetDeflate() && c.counters.reserveCompressor(compressorLimit(hello))
 	reply.Deflate = c.deflateOut
 	c.deflateIn = c.deflateOut && dialerCompresses(hello, reply)
 	if self.Followers != nil {
 		reply.Followers = self.Followers()
 	}
-	if err := c.writeNow(&wirepb.Envelope{Body: &wirepb.Envelope_HelloReply{HelloReply: reply}}); err != nil {
+	if err := c.writeAndFlush(&wirepb.Envelope{Body: &wirepb.Envelope_HelloReply{HelloReply: reply}}); err != nil {
 		return err
 	}
 	if refusal != "" {
-		return fault.Protocol.New("refused a connection: %s", refusal)
+		return fault.Protocol.New("rejected a connection: %s", refusal)
 	}
 	return c.network.SetDeadline(time.Time{})
 }
 
-// checkName checks, on a secured connection, that the peer is who it says.
-func (c *Conn) checkName() error {
+// verifyPeerName checks that a peer's certificate is issued for the name in its handshake.
+func (c *Conn) verifyPeerName() error {
 	secured, isSecured := c.network.(*tls.Conn)
 	if !isSecured {
 		return nil
@@ -210,7 +205,7 @@
 	return keys.CheckName(secured.ConnectionState(), c.Peer.GetNode())
 }
 
-func refuseHello(hello, self *wirepb.Hello) string {
+func helloRefusal(hello, self *wirepb.Hello) string {
 	switch {
 	case hello == nil:
 		return "the first frame is not a hello"
@@ -222,7 +217,7 @@
 	return ""
 }
 
-func (c *Conn) writeNow(envelope *wirepb.Envelope) error {
+func (c *Conn) writeAndFlush(envelope *wirepb.Envelope) error {
 	writer := bufio.NewWriter(c.network)
 	if _, err := WriteFrame(writer, envelope); err != nil {
 		return err
@@ -233,8 +228,7 @@
 	return nil
 }
 
-// Send queues an envelope. It fails, and closes the connection, when the
-// queue is full.
+// Send queues an envelope. If the queue is full, it closes the connection and returns an error.
 func (c *Conn) Send(envelope *wirepb.Envelope) error {
 	select {
 	case <-c.done:
@@ -242,7 +236,7 @@
 	default:
 	}
 	select {
-	case c.outbox <- envelope:
+	case c.sendQueue <- envelope:
 		return nil
 	default:
 		c.Close()
@@ -250,31 +244,30 @@
 	}
 }
 
-// Receive reads the next envelope.
+// Receive reads the next envelope. It closes the connection on error.
 func (c *Conn) Receive() (*wirepb.Envelope, error) {
 	envelope, size, err := ReadFrame(c.reader)
 	if err != nil {
 		c.Close()
 		return nil, err
 	}
-	c.traffic.received(envelope, size)
+	c.traffic.countReceived(envelope, size)
 	return envelope, nil
 }
 
-// Close ends the connection; queued envelopes are lost.
+// Close closes the connection and discards queued envelopes. It may be called more than once.
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		_ = c.network.Close()
 	})
 }
 
-// RemoteAddress is the peer's address.
 func (c *Conn) RemoteAddress() string {
 	return c.network.RemoteAddr().String()
 }
 
-// Done is closed when the connection is.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} {
 	return c.done
 }
@@ -282,12 +275,12 @@
 func (c *Conn) writeLoop() {
 	defer c.Close()
 	defer c.releaseCompressor()
-	out := newOutStream(c.metered, c.deflateOut)
+	out := newOutStream(c.meteredNetwork, c.deflateOut)
 	for {
 		select {
 		case <-c.done:
 			return
-		case envelope := <-c.outbox:
+		case envelope := <-c.sendQueue:
 			if !c.writeBurst(out, envelope) {
 				return
 			}
@@ -295,18 +288,18 @@
 	}
 }
 
-// writeBurst writes an envelope and all queued behind it with one flush.
+// writeBurst writes an envelope and all that are queued after it, then flushes.
 func (c *Conn) writeBurst(out *outStream, envelope *wirepb.Envelope) bool {
 	for {
-		// Each frame has its own time: a long queue on a slow link is no silence.
+		// The deadline is per frame: a long queue on a slow link must not exceed it.
 		_ = c.network.SetWriteDeadline(time.Now().Add(writeTimeout))
 		size, err := WriteFrame(out.frames, envelope)
 		if err != nil {
 			return false
 		}
-		c.traffic.sent(envelope, size)
+		c.traffic.countSent(envelope, size)
 		select {
-		case envelope = <-c.outbox:
+		case envelope = <-c.sendQueue:
 			continue
 		default:
 		}
--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -30,8 +30,8 @@
 	return self
 }
 
-// connect lets a client meet a server and returns both sides' errors. Where
-// both agree, a message goes through.
+// connect connects a client to a server, sends a message if the handshake succeeds, and returns
+// both sides' errors.
 func connect(t *testing.T, server, client wire.Identity) (serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 		defer conn.Close()
 		envelope, err := conn.Receive()
 		if err == nil && envelope.GetWatchRequest().GetAfterRevision() != 7 {
-			err = fault.Protocol.New("another message came")
+			err = fault.Protocol.New("received a different message")
 		}
 		received <- err
 	}()
@@ -70,7 +70,7 @@
 	return serverErr, clientErr
 }
 
-// TestHandshake lists who may talk to whom.
+// TestHandshake lists the combinations of clients and servers that may connect.
 func TestHandshake(t *testing.T) {
 	ours, theirs := keystest.NewAuthority(t), keystest.NewAuthority(t)
 	server, client, stranger := ours.Issue("server"), ours.Issue("client"), theirs.Issue("client")
@@ -114,7 +114,6 @@
 	}
 }
 
-// TestTrafficIsCountedByKind checks the counters on both sides.
 func TestTrafficIsCountedByKind(t *testing.T) {
 	server, client := identity(t, "server", nil), identity(t, "client", nil)
 	if serverErr, clientErr := connect(t, server, client); serverErr != nil || clientErr != nil {
@@ -126,8 +125,7 @@
 	}
 }
 
-// TestTrafficIsCountedByNearness: bytes between zones and regions are paid for, so both sides
-// count where they go.
+// TestTrafficIsCountedByNearness checks that both sides count traffic by the peer's distance.
 func TestTrafficIsCountedByNearness(t *testing.T) {
 	regions := places.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	for zone, wanted := range map[string]places.Nearness{
@@ -148,9 +146,9 @@
 	}
 }
 
-// TestDialerLearnsTheIdentity: whoever dials is told which control node answers,
-// which may be another one than was there before.
-func TestDialerLearnsTheIdentity(t *testing.T) {
+// TestDialReturnsPeerIdentity checks that the client learns which control node answers; an address
+// may be reused by another node.
+func TestDialReturnsPeerIdentity(t *testing.T) {
 	server := identity(t, "server", nil)
 	server.Hello.ControlId = 11
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// maxBodies is more than the largest field number of an envelope's body.
+	// maxBodies is an exclusive bound on the field numbers of an envelope's body.
 	maxBodies = 32
-	// maxRaftTypes is more than the largest type of a raft message.
-	maxRaftTypes = 16
-	maxKinds     = maxBodies + maxRaftTypes
-	nearnesses   = int(places.Further) + 1
+	// maxRaftTypes is an exclusive bound on the types of Raft messages.
+	maxRaftTypes  = 16
+	maxKinds      = maxBodies + maxRaftTypes
+	nearnessCount = int(places.Further) + 1
 )
 
-// Counters counts traffic by kind of message and by how near the other side is: bytes between
-// zones and regions are paid for. One may be shared by many connections; the zero value is a
-// process's that knows of no zones.
+// Counters counts traffic by kind of message and by the distance of the peer, because providers
+// charge for traffic between zones and regions. Connections share it; the zero value is ready to
+// use for a process without zones.
 type Counters struct {
-	position places.Position
-	near     [nearnesses]placeCounters
-	// compressors counts the compressed streams that go out at present.
+	position   places.Position
+	byNearness [nearnessCount]peerCounters
+	// compressors is the number of outgoing streams that are compressed.
 	compressors atomic.Int64
 }
 
-// NewCounters returns the counters of a process at a position, which are all zero.
+// NewCounters returns the counters of a process in the given zone and region.
 func NewCounters(position places.Position) *Counters {
 	return &Counters{position: position}
 }
 
-// placeCounters counts the traffic with processes of one nearness.
-type placeCounters struct {
+// peerCounters counts the traffic with peers at one distance.
+type peerCounters struct {
 	kinds [maxKinds]kindCounters
-	// networkSent and networkReceived count bytes as they go over the network.
+	// networkSent and networkReceived count bytes after compression.
 	networkSent, networkReceived atomic.Uint64
 }
 
@@ -46,18 +46,18 @@
 	messagesSent, messagesReceived atomic.Uint64
 }
 
-// NetworkTraffic is how many bytes went over the network, compressed, to and from processes of
-// one nearness since the start.
+// NetworkTraffic is the number of bytes, after compression, exchanged with peers at one distance
+// since the process started.
 type NetworkTraffic struct {
 	Nearness       places.Nearness
 	Sent, Received uint64
 }
 
-// Network lists the traffic by nearness.
+// Network returns the traffic after compression by distance, the nearest first.
 func (c *Counters) Network() []NetworkTraffic {
-	listed := make([]NetworkTraffic, 0, nearnesses)
-	for nearness := range c.near {
-		counters := &c.near[nearness]
+	listed := make([]NetworkTraffic, 0, nearnessCount)
+	for nearness := range c.byNearness {
+		counters := &c.byNearness[nearness]
 		listed = append(listed, NetworkTraffic{
 			Nearness: places.Nearness(nearness),
 			Sent:     counters.networkSent.Load(), Received: counters.networkReceived.Load(),
@@ -66,11 +66,11 @@
 	return listed
 }
 
-// KindTraffic is the traffic of one kind of message with processes of one nearness, since the
-// start. Bytes are those of the messages before they are compressed.
+// KindTraffic is the traffic of one kind of message with peers at one distance since the process
+// started. Bytes are counted before compression.
 type KindTraffic struct {
-	// Kind is the name of the envelope's body, such as "node_report"; messages of the log are
-	// told apart by their type, such as "raft_heartbeat".
+	// Kind is the field name of the envelope's body, such as "node_report", or for a Raft message
+	// its type, such as "raft_heartbeat".
 	Kind                           string
 	Nearness                       places.Nearness
 	BytesSent, BytesReceived       uint64
@@ -79,12 +79,12 @@
 
 var bodyField = (&wirepb.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body")
 
-// with returns the counters for connections to a zone.
-func (c *Counters) with(zone string) *placeCounters {
-	return &c.near[c.position.To(zone)]
+// forZone returns the counters for peers in a zone.
+func (c *Counters) forZone(zone string) *peerCounters {
+	return &c.byNearness[c.position.To(zone)]
 }
 
-func (c *placeCounters) of(envelope *wirepb.Envelope) *kindCounters {
+func (c *peerCounters) forEnvelope(envelope *wirepb.Envelope) *kindCounters {
 	if raft := envelope.GetRaft(); raft != nil && raft.GetType() < maxRaftTypes {
 		return &c.kinds[maxBodies+int(raft.GetType())]
 	}
@@ -95,24 +95,24 @@
 	return &c.kinds[field.Number()]
 }
 
-func (c *placeCounters) sent(envelope *wirepb.Envelope, size int) {
-	counters := c.of(envelope)
+func (c *peerCounters) countSent(envelope *wirepb.Envelope, size int) {
+	counters := c.forEnvelope(envelope)
 	counters.bytesSent.Add(uint64(size))
 	counters.messagesSent.Add(1)
 }
 
-func (c *placeCounters) received(envelope *wirepb.Envelope, size int) {
-	counters := c.of(envelope)
+func (c *peerCounters) countReceived(envelope *wirepb.Envelope, size int) {
+	counters := c.forEnvelope(envelope)
 	counters.bytesReceived.Add(uint64(size))
 	counters.messagesReceived.Add(1)
 }
 
-// Traffic lists the kinds of messages that were sent or received, those of the nearest first.
+// Traffic returns the kinds of messages that were sent or received, sorted by distance.
 func (c *Counters) Traffic() []KindTraffic {
 	var listed []KindTraffic
-	for nearness := range c.near {
-		for number := range c.near[nearness].kinds {
-			traffic := c.near[nearness].kinds[number].read()
+	for nearness := range c.byNearness {
+		for number := range c.byNearness[nearness].kinds {
+			traffic := c.byNearness[nearness].kinds[number].read()
 			if traffic.MessagesSent+traffic.MessagesReceived == 0 {
 				continue
 			}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// MaxFrameBytes bounds one frame. Snapshots are the largest messages.
+	// MaxFrameBytes bounds the length of a frame; snapshots are the largest messages.
 	MaxFrameBytes = 64 << 20
 	headerBytes   = 4
 )
 
-// WriteFrame writes one envelope and returns its size in bytes on the wire.
+// WriteFrame writes one envelope and returns the number of bytes of its frame.
 func WriteFrame(writer *bufio.Writer, envelope *wirepb.Envelope) (int, error) {
 	size := proto.Size(envelope)
 	if size > MaxFrameBytes {
@@ -35,7 +35,7 @@
 	return len(buffer), nil
 }
 
-// ReadFrame reads one envelope and returns its size in bytes on the wire.
+// ReadFrame reads one envelope and returns the number of bytes of its frame.
 func ReadFrame(reader io.Reader) (*wirepb.Envelope, int, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -26,8 +26,7 @@
 	return buffer.Bytes()
 }
 
-// TestBadFramesAreRefused lists what a peer may send instead of a frame.
-func TestBadFramesAreRefused(t *testing.T) {
+func TestInvalidFramesAreRejected(t *testing.T) {
 	good := frame(t, &wirepb.Envelope{RequestId: 7})
 	huge := binary.BigEndian.AppendUint32(nil, wire.MaxFrameBytes+1)
 	garbage := append(binary.BigEndian.AppendUint32(nil, 3), 0xff, 0xff, 0xff)
@@ -37,13 +36,13 @@
 		if envelope, _, err := wire.ReadFrame(bytes.NewReader(content)); err == nil {
 			t.Errorf("%s: %v", name, envelope)
 		} else if !fault.Is(err, fault.Protocol) && !fault.Is(err, fault.Unavailable) {
-			t.Errorf("%s: %v has no type of ours", name, err)
+			t.Errorf("%s: %v is not a typed error", name, err)
 		}
 	}
 }
 
-// FuzzReadFrame feeds any bytes: no panic, and what is read is written the
-// same.
+// FuzzReadFrame reads arbitrary bytes. It must not panic, and an envelope that is read must survive
+// a round trip.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(frame(f, &wirepb.Envelope{RequestId: 7}))
 	f.Add(frame(f, &wirepb.Envelope{Body: &wirepb.Envelope_Raft{Raft: &wirepb.RaftMessage{Term: 3}}}))
--- a/internal/wire/retry_test.go
+++ b/internal/wire/retry_test.go
@@ -9,19 +9,19 @@
 
 func TestRetryPause(t *testing.T) {
 	const draws = 1000
-	for _, test := range []struct{ lost, mean time.Duration }{
+	for _, test := range []struct{ unreachable, mean time.Duration }{
 		{0, wire.SoonRetry}, {wire.SoonRetries - 1, wire.SoonRetry}, {wire.SoonRetries, wire.LateRetry}, {time.Hour, wire.LateRetry},
 	} {
-		different := map[time.Duration]bool{}
+		distinct := map[time.Duration]bool{}
 		for range draws {
-			pause := wire.RetryPause(test.lost)
-			if pause < test.mean/2 || pause > test.mean*3/2 {
-				t.Fatalf("lost for %s: a pause of %s", test.lost, pause)
+			delay := wire.RetryPause(test.unreachable)
+			if delay < test.mean/2 || delay > test.mean*3/2 {
+				t.Fatalf("unreachable for %s: a delay of %s", test.unreachable, delay)
 			}
-			different[pause] = true
+			distinct[delay] = true
 		}
-		if len(different) < draws/2 {
-			t.Errorf("lost for %s: only %d different pauses", test.lost, len(different))
+		if len(distinct) < draws/2 {
+			t.Errorf("unreachable for %s: only %d distinct delays", test.unreachable, len(distinct))
 		}
 	}
 }
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -10,56 +10,52 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// deflateLevel is the lowest level that finds the same text in messages before the last one:
-// digests and changes differ little from those before, and come by turns. Higher levels take
-// longer and gain next to nothing.
+// deflateLevel is the lowest level that matches text beyond the previous message; messages of
+// several kinds alternate, each similar to the previous one of its kind.
 const deflateLevel = 2
 
-// maxCompressors bounds the memory for compressors, 0.8 MB each and as much again until it is
-// collected: control nodes run on small machines. Nodes that connect beyond it get frames as they
-// are.
+// maxCompressors bounds the memory for compressors, about 0.8 MB each. Further clients get an
+// uncompressed stream.
 const maxCompressors = 64
 
-// compressorsFor is how many compressors a server may have for one of them to go to a peer. Control
-// nodes are few, and always get one.
-func compressorsFor(hello *wirepb.Hello) int64 {
+// compressorLimit returns the number of compressors up to which a client gets one. Control nodes
+// always get one, as there are few of them.
+func compressorLimit(hello *wirepb.Hello) int64 {
 	if hello.GetControlId() != 0 {
 		return math.MaxInt64
 	}
 	return maxCompressors
 }
 
-// takeCompressor counts one compressor more, unless there are as many as there may be. It is
-// counted before the other side is told: all nodes may connect in the same moment.
-func (c *Counters) takeCompressor(most int64) bool {
-	if c.compressors.Add(1) <= most {
+// reserveCompressor reserves a compressor unless limit are in use. The handshake reserves it before it
+// replies, so that concurrent handshakes can't exceed the limit.
+func (c *Counters) reserveCompressor(limit int64) bool {
+	if c.compressors.Add(1) <= limit {
 		return true
 	}
 	c.compressors.Add(-1)
 	return false
 }
 
-// releaseCompressor counts the connection's compressor no more; it is called once, at its end.
+// releaseCompressor releases the connection's compressor. It must be called once, when the
+// connection ends.
 func (c *Conn) releaseCompressor() {
 	if c.deflateOut {
 		c.counters.compressors.Add(-1)
 	}
 }
 
-// dialerCompresses reports whether the stream of the dialling side is compressed, where both sides
-// take that; the other always is. A router sends reports of a kilobyte a second and has a small
-// machine; within a zone that is not worth the compressor's memory.
+// dialerCompresses reports whether the client's stream is compressed if the server's is. A router
+// in the server's zone sends too little for compression to be worth the memory.
 func dialerCompresses(hello *wirepb.Hello, reply *wirepb.HelloReply) bool {
 	return hello.GetControlId() != 0 || hello.GetZone() != reply.GetZone()
 }
 
-// outStream is the stream of frames to another process. Most of what is sent repeats what was
-// sent before (names of machines and models in digests, reports and changes), so all frames of a
-// connection are one compressed text, flushed with each burst.
+// outStream is the outgoing stream of frames. All frames of a connection share one compression
+// window, because most messages repeat the names of earlier ones.
 type outStream struct {
-	// frames takes frames.
 	frames *bufio.Writer
-	// deflate is nil where the other side takes frames as they are; network is behind it.
+	// deflate and network are nil if the stream is not compressed.
 	deflate *flate.Writer
 	network *bufio.Writer
 }
@@ -69,12 +65,12 @@
 		return &outStream{frames: bufio.NewWriterSize(network, bufferBytes)}
 	}
 	out := &outStream{network: bufio.NewWriterSize(network, bufferBytes)}
-	out.deflate, _ = flate.NewWriter(out.network, deflateLevel) // The level is a valid one.
+	out.deflate, _ = flate.NewWriter(out.network, deflateLevel) // Fails only for an invalid level.
 	out.frames = bufio.NewWriterSize(out.deflate, bufferBytes)
 	return out
 }
 
-// flush sends all that was written.
+// flush sends all buffered frames.
 func (s *outStream) flush() error {
 	if err := s.frames.Flush(); err != nil || s.deflate == nil {
 		return err
@@ -85,16 +81,16 @@
 	return s.network.Flush()
 }
 
-// inflate returns the frames of a compressed stream.
-func inflate(network *bufio.Reader) *bufio.Reader {
+// newInflateReader returns a reader of the frames of a compressed stream.
+func newInflateReader(network *bufio.Reader) *bufio.Reader {
 	return bufio.NewReaderSize(flate.NewReader(network), bufferBytes)
 }
 
-// meteredConn counts the bytes of a connection, as they go over the network.
+// meteredConn counts the bytes of a connection after the handshake.
 type meteredConn struct {
 	net.Conn
 	// traffic is nil during the handshake.
-	traffic *placeCounters
+	traffic *peerCounters
 }
 
 // Read implements net.Conn.
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -11,8 +11,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// digestEnvelope is soft state as it is several times a second: little differs from the one
-// before.
+// digestEnvelope returns a digest that differs little from the previous one of its sequence.
 func digestEnvelope(sequence uint64) *wirepb.Envelope {
 	digest := &wirepb.ClusterDigest{Term: 3, Sequence: sequence, Leader: "control-1", MachineLoads: make([]byte, 140)}
 	for number := range 400 {
@@ -24,9 +23,9 @@
 	return &wirepb.Envelope{Body: &wirepb.Envelope_ClusterDigest{ClusterDigest: digest}}
 }
 
-// oldServer is a process that knows nothing of compressed streams. It returns what it receives
-// after the handshake.
-func oldServer(t *testing.T, listener net.Listener, received chan<- *wirepb.Envelope) {
+// legacyServer accepts a connection as a release without compression does, and forwards the
+// envelopes after the handshake.
+func legacyServer(t *testing.T, listener net.Listener, received chan<- *wirepb.Envelope) {
 	t.Helper()
 	network, err := listener.Accept()
 	if err != nil {
@@ -51,8 +50,8 @@
 	}
 }
 
-// passOn takes a connection and passes on what it receives.
-func passOn(t *testing.T, listener net.Listener, server wire.Identity, received chan<- *wirepb.Envelope) {
+// forwardReceived accepts a connection and forwards the envelopes that it receives.
+func forwardReceived(t *testing.T, listener net.Listener, server wire.Identity, received chan<- *wirepb.Envelope) {
 	t.Helper()
 	network, err := listener.Accept()
 	if err != nil {
@@ -73,9 +72,9 @@
 	}
 }
 
-// exchange sends digests over a new connection to a listener whose server passes on what comes,
-// and checks that all of them arrive whole.
-func exchange(t *testing.T, address string, client wire.Identity, received <-chan *wirepb.Envelope) {
+// sendDigests sends digests over a new connection to a server that forwards what it receives, and
+// checks that they arrive unchanged.
+func sendDigests(t *testing.T, address string, client wire.Identity, received <-chan *wirepb.Envelope) {
 	t.Helper()
 	conn, err := wire.Dial(t.Context(), address, client)
 	if err != nil {
@@ -94,10 +93,9 @@
 
 const digestsSent = 20
 
-// TestRepeatedTextIsSentOnce: digests of some kilobytes go to every node twice a second, and differ
-// from those before by a few bytes; as they are, they would be most of what deployments over several
-// zones pay for.
-func TestRepeatedTextIsSentOnce(t *testing.T) {
+// TestSimilarMessagesCompress checks the compression across messages: without it, periodic digests
+// dominate the traffic between zones.
+func TestSimilarMessagesCompress(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -106,8 +104,8 @@
 	server, client := identity(t, "server", nil), identity(t, "client", nil)
 	client.Hello.ControlId = 7
 	received := make(chan *wirepb.Envelope)
-	go passOn(t, listener, server, received)
-	exchange(t, listener.Addr().String(), client, received)
+	go forwardReceived(t, listener, server, received)
+	sendDigests(t, listener.Addr().String(), client, received)
 	for side, counters := range map[string]*wire.Counters{"server": server.Counters, "client": client.Counters} {
 		messages := counters.Traffic()[0]
 		network := counters.Network()[0]
@@ -118,8 +116,9 @@
 	}
 }
 
-// TestWhoCompresses lists the streams of the dialling side, which both sides must see alike.
-func TestWhoCompresses(t *testing.T) {
+// TestClientStreamCompression lists the clients whose stream is compressed. Both sides have to come
+// to the same decision.
+func TestClientStreamCompression(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		controlID  uint64
@@ -137,8 +136,8 @@
 		server, client := identity(t, "server", nil), identity(t, "client", nil)
 		server.Hello.Zone, client.Hello.Zone, client.Hello.ControlId = "east", test.zone, test.controlID
 		received := make(chan *wirepb.Envelope)
-		go passOn(t, listener, server, received)
-		exchange(t, listener.Addr().String(), client, received)
+		go forwardReceived(t, listener, server, received)
+		sendDigests(t, listener.Addr().String(), client, received)
 		_ = listener.Close()
 		sent := uint64(0)
 		for _, network := range client.Counters.Network() {
@@ -150,8 +149,8 @@
 	}
 }
 
-// TestCompressorsAreBounded: a server on a small machine has a thousand followers.
-func TestCompressorsAreBounded(t *testing.T) {
+// TestCompressorLimit checks that clients beyond the limit get an uncompressed stream.
+func TestCompressorLimit(t *testing.T) {
 	server := identity(t, "server", nil)
 	for number := range 100 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -183,7 +182,7 @@
 				t.Fatal(err)
 			}
 			if got, err := conn.Receive(); err != nil || !proto.Equal(got, digestEnvelope(sequence)) {
-				t.Fatalf("follower %d: digest %d came as %v, %v", number, sequence, got, err)
+				t.Fatalf("follower %d: digest %d arrived as %v, %v", number, sequence, got, err)
 			}
 		}
 		compressed := client.Counters.Network()[0].Received < client.Counters.Traffic()[0].BytesReceived
@@ -194,17 +193,17 @@
 	}
 }
 
-// compressors is how many followers a server compresses for.
+// compressors is the limit on compressed streams of a server.
 const compressors = 64
 
-// TestStreamsToOldProcessesAreNotCompressed: processes are replaced one after the other.
-func TestStreamsToOldProcessesAreNotCompressed(t *testing.T) {
+// TestNoCompressionForLegacyServers covers rolling upgrades.
+func TestNoCompressionForLegacyServers(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
 	received := make(chan *wirepb.Envelope)
-	go oldServer(t, listener, received)
-	exchange(t, listener.Addr().String(), identity(t, "client", nil), received)
+	go legacyServer(t, listener, received)
+	sendDigests(t, listener.Addr().String(), identity(t, "client", nil), received)
 }
