--- a/internal/spec/claim.go
+++ b/internal/spec/claim.go
@@ -5,10 +5,9 @@
 	"slices"
 )
 
-// ClaimPhase is where the claim of a key stands.
+// ClaimPhase is the phase of a claim.
 type ClaimPhase uint8
 
-// The phases of a claim.
 const (
 	ClaimNone ClaimPhase = iota
 	ClaimOpen
@@ -17,10 +16,9 @@
 	ClaimUnknown
 )
 
-// ClaimOperation is what an attempt does to a claim.
+// ClaimOperation is an operation of an attempt on a claim.
 type ClaimOperation uint8
 
-// The operations on a claim.
 const (
 	ClaimAsk ClaimOperation = iota
 	ClaimComplete
@@ -28,27 +26,27 @@
 	ClaimCloseUnknown
 )
 
-// Claim is the claim of one key.
+// Claim is the claim of one idempotency key.
 type Claim[O comparable] struct {
 	Phase ClaimPhase
 	Owner O
 }
 
-// Step is the rule of claims: it returns the claim after an operation of an
-// owner, and whether the owner is granted the claim by it.
+// Step returns the claim after an operation by an owner, and whether the operation grants the claim
+// to the owner.
 func (c Claim[O]) Step(operation ClaimOperation, owner O) (next Claim[O], granted bool) {
-	mine := c.Owner == owner
+	owned := c.Owner == owner
 	if operation == ClaimAsk {
-		if c.Phase == ClaimOpen && mine {
-			return c, true // Asked twice: the grant stands.
+		if c.Phase == ClaimOpen && owned {
+			return c, true // A repeated request keeps the grant.
 		}
-		if c.Phase == ClaimNone || c.Phase == ClaimNotRun && !mine {
+		if c.Phase == ClaimNone || c.Phase == ClaimNotRun && !owned {
 			return Claim[O]{Phase: ClaimOpen, Owner: owner}, true
 		}
 		return c, false
 	}
 	late := c.Phase == ClaimUnknown && operation == ClaimComplete
-	if !mine || c.Phase != ClaimOpen && !late {
+	if !owned || c.Phase != ClaimOpen && !late {
 		return c, false
 	}
 	c.Phase = map[ClaimOperation]ClaimPhase{
@@ -59,29 +57,26 @@
 
 const claimAttempts = 2
 
-// AttemptState is one attempt of the claim's model.
+// AttemptState is the state of one attempt in the claim model.
 type AttemptState struct {
-	// Granted, Sent, Closing and Gone are how far it has come: Closing means
-	// that it has given up without sending, Gone that its router is dead.
-	Granted, Sent, Closing, Gone bool
-	// Ran is set once the back end has run it; Told once its caller was told
-	// that it did not run.
-	Ran, Told bool
+	// Closing is set if the attempt gave up without sending, Crashed if its router crashed.
+	Granted, Sent, Closing, Crashed bool
+	// Ran is set if the backend ran the request, ReportedNotRun if the caller was told that it did not.
+	Ran, ReportedNotRun bool
 }
 
-// ClaimState is a state of the claim's model.
+// ClaimState is a state of the claim model.
 type ClaimState struct {
 	Claim    Claim[uint8]
 	Attempts [claimAttempts]AttemptState
 }
 
-// ClaimRules can be broken.
+// ClaimRules selects the rules of the claim model to break.
 type ClaimRules struct {
-	// SweepReopens: an abandoned claim may be granted again.
+	// SweepReopens makes a sweep allow another grant of an abandoned claim.
 	SweepReopens bool
-	// TellEarly: "not run" is said before the claim is closed, and the attempt
-	// may still send.
-	TellEarly bool
+	// ReportBeforeClose reports "not run" before the claim is closed, while the attempt may still send.
+	ReportBeforeClose bool
 }
 
 // Claims returns the model of two attempts at one key.
@@ -99,14 +94,14 @@
 				visit("the sweep closes the claim", state)
 			}
 		},
-		Broken: func(state ClaimState) string {
+		Violation: func(state ClaimState) string {
 			runs := 0
 			for _, attempt := range state.Attempts {
 				if attempt.Ran {
 					runs++
 				}
-				if attempt.Ran && attempt.Told {
-					return "what was told not to have run ran"
+				if attempt.Ran && attempt.ReportedNotRun {
+					return "a request that was reported as not run ran"
 				}
 			}
 			if runs > 1 {
@@ -117,16 +112,16 @@
 	}
 }
 
-// attemptStep is something that an attempt may do.
+// attemptStep is a possible transition of an attempt.
 type attemptStep struct {
 	action string
 	change func(next *ClaimState, own *AttemptState)
 }
 
-// attempt lists what one attempt may do next.
+// attempt visits the transitions of one attempt.
 func (r ClaimRules) attempt(state ClaimState, number int, visit func(string, ClaimState)) {
 	owner := uint8(number + 1)
-	steps := slices.Concat(asks(state.Attempts[number], owner), r.sends(state.Attempts[number]), closes(state.Attempts[number], owner))
+	steps := slices.Concat(requestSteps(state.Attempts[number], owner), r.sendSteps(state.Attempts[number]), closeSteps(state.Attempts[number], owner))
 	for _, step := range steps {
 		next := state
 		step.change(&next, &next.Attempts[number])
@@ -136,49 +131,49 @@
 	}
 }
 
-// asks opens the claim, again and again as a resent proposal would.
-func asks(own AttemptState, owner uint8) []attemptStep {
-	if own.Gone {
+// requestSteps returns the transitions that request the claim, also repeatedly as a retried proposal does.
+func requestSteps(own AttemptState, owner uint8) []attemptStep {
+	if own.Crashed {
 		return nil
 	}
-	dies := attemptStep{"dies", func(_ *ClaimState, own *AttemptState) { own.Gone = true }}
+	crash := attemptStep{"crashes", func(_ *ClaimState, own *AttemptState) { own.Crashed = true }}
 	if own.Sent || own.Closing {
-		return []attemptStep{dies}
+		return []attemptStep{crash}
 	}
-	return []attemptStep{dies, {"asks", func(next *ClaimState, own *AttemptState) {
+	return []attemptStep{crash, {"requests the claim", func(next *ClaimState, own *AttemptState) {
 		claim, granted := next.Claim.Step(ClaimAsk, owner)
 		next.Claim = claim
 		own.Granted = own.Granted || granted
 	}}}
 }
 
-// sends sends a granted request, or gives up before. What was sent may run at
-// any time later, or never.
-func (r ClaimRules) sends(own AttemptState) []attemptStep {
+// sendSteps returns the transitions that send a granted request, or give up before. A request that was
+// sent may run at any later time, or never.
+func (r ClaimRules) sendSteps(own AttemptState) []attemptStep {
 	if own.Sent {
 		return []attemptStep{{"runs", func(_ *ClaimState, own *AttemptState) { own.Ran = true }}}
 	}
-	if own.Gone || !own.Granted || own.Closing {
+	if own.Crashed || !own.Granted || own.Closing {
 		return nil
 	}
 	return []attemptStep{
 		{"sends", func(_ *ClaimState, own *AttemptState) { own.Sent = true }},
 		{"gives up", func(_ *ClaimState, own *AttemptState) {
-			own.Closing = !r.TellEarly
-			own.Told = own.Told || r.TellEarly
+			own.Closing = !r.ReportBeforeClose
+			own.ReportedNotRun = own.ReportedNotRun || r.ReportBeforeClose
 		}},
 	}
 }
 
-// closes closes the claim, in the way that the attempt has come to.
-func closes(own AttemptState, owner uint8) []attemptStep {
-	if own.Gone || !own.Granted {
+// closeSteps returns the transitions that close the claim.
+func closeSteps(own AttemptState, owner uint8) []attemptStep {
+	if own.Crashed || !own.Granted {
 		return nil
 	}
-	if own.Closing && !own.Told {
+	if own.Closing && !own.ReportedNotRun {
 		return []attemptStep{{"closes as not run", func(next *ClaimState, own *AttemptState) {
 			next.Claim, _ = next.Claim.Step(ClaimCloseNotRun, owner)
-			own.Told = next.Claim.Phase == ClaimNotRun && next.Claim.Owner == owner
+			own.ReportedNotRun = next.Claim.Phase == ClaimNotRun && next.Claim.Owner == owner
 		}}}
 	}
 	if !own.Sent {
--- a/internal/spec/doc.go
+++ b/internal/spec/doc.go
@@ -1,18 +1,7 @@
-// Package spec is a small specification of the protocol core, explored
-// exhaustively within bounds.
+// Package spec specifies the core protocols as small models, which Explore checks exhaustively
+// within bounds. Each model has rules that can be disabled to show that its invariant detects it.
 //
-// The problem: simulation draws schedules at random and may never draw the one
-// that breaks a rule. The rules themselves, apart from all code around them,
-// are small enough to try every order of events.
-//
-// The mechanism: three models, each a state and the steps that may follow. The
-// log (log.go): elections, leases, replication, commits, restarts. The fenced
-// load (load.go): decisions, late and repeated orders, stale reports, engine
-// restarts. The claim (claim.go): two attempts at one key, crashes, sweeps.
-// Explore visits every state that can be reached and checks the invariants; a
-// broken rule (a field of the model) leads to a counterexample.
-//
-// The rules of the load and the claim are functions that the fault simulator
-// compares with what the implementation did, order by order and claim by
-// claim, so the code's traces are behaviours of the specification.
+// The models are the replicated log (elections, leases, commits), fenced loads (delayed and repeated
+// orders, stale reports, engine restarts) and claims (concurrent attempts, crashes, sweeps). The
+// fault simulator checks its traces against the same rules of loads and claims.
 package spec
--- a/internal/spec/explore.go
+++ b/internal/spec/explore.go
@@ -1,25 +1,23 @@
 package spec
 
-// Model is a specification: states, the steps between them, and what must
-// hold in every state.
+// Model is a specification: an initial state, the transitions between states, and an invariant.
 type Model[S comparable] struct {
 	Initial S
-	// Next calls visit with every step that may follow a state.
+	// Next calls visit for every transition from a state.
 	Next func(state S, visit func(action string, next S))
-	// Broken returns what does not hold in a state, or "".
-	Broken func(state S) string
+	// Violation returns the invariant that a state violates, or "".
+	Violation func(state S) string
 }
 
 // Exploration is the outcome of Explore.
 type Exploration struct {
-	// States is how many were reached.
+	// States is the number of states reached.
 	States int
-	// Complete is false where the limit ended the exploration.
+	// Complete is false if the limit or a violation ended the exploration.
 	Complete bool
-	// Broken is the invariant that does not hold, and Trace the shortest way
-	// to it.
-	Broken string
-	Trace  []string
+	// Violation is the violated invariant, and Trace the shortest sequence of actions that leads to it.
+	Violation string
+	Trace     []string
 }
 
 type arrival[S comparable] struct {
@@ -27,15 +25,14 @@
 	action string
 }
 
-// Explore visits the states in breadth, at most limit of them, until an
-// invariant is broken.
+// Explore visits at most limit states in breadth-first order, until one violates an invariant.
 func Explore[S comparable](model Model[S], limit int) Exploration {
 	reached := map[S]arrival[S]{model.Initial: {}}
 	queue := []S{model.Initial}
 	for position := 0; position < len(queue); position++ {
 		state := queue[position]
-		if broken := model.Broken(state); broken != "" {
-			return Exploration{States: len(reached), Broken: broken, Trace: traceTo(reached, model.Initial, state)}
+		if violation := model.Violation(state); violation != "" {
+			return Exploration{States: len(reached), Violation: violation, Trace: traceTo(reached, model.Initial, state)}
 		}
 		if len(reached) >= limit {
 			return Exploration{States: len(reached)}
--- a/internal/spec/load.go
+++ b/internal/spec/load.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// EngineAccepts is the rule of engines: whether an order is accepted, as far
-// as fences go. Holds and ended are about the replica that the order names.
+// EngineAccepts reports whether an engine accepts an order, given its incarnation and fence, and
+// whether it holds or has ended the order's replica.
 func EngineAccepts(incarnation, fence uint64, holds, ended, isLoad bool, orderIncarnation, orderFence uint64) bool {
 	if orderIncarnation != incarnation {
 		return false
@@ -14,11 +14,11 @@
 	return orderFence >= fence && (!isLoad || !ended)
 }
 
-// The bounds of the load's model: two replicas that each fill the machine.
+// Bounds of the load model. Each replica takes all memory of the machine.
 const (
-	loadReplicas  = 2
-	loadLives     = 2
-	loadRevisions = 7
+	loadReplicas     = 2
+	loadIncarnations = 2
+	loadRevisions    = 7
 )
 
 // Phases of a replica's record.
@@ -26,48 +26,49 @@
 	recordNone uint8 = iota
 	recordLoading
 	recordUnloading
-	// recordGone: removed, and its name is never used again.
+	// recordGone means removed; the name is not reused.
 	recordGone
 )
 
-// LoadRecord is a decided replica.
+// LoadRecord is the control plane's record of a replica.
 type LoadRecord struct {
 	Phase uint8
-	// Incarnation is the engine life that it was decided for; Loads and
-	// Unloads are the revisions of the decisions, the fences of their orders.
-	Incarnation, Loads, Unloads uint8
+	// Incarnation is that of the engine for which the load was decided. LoadFence and
+	// UnloadFence are the revisions of the decisions, which their orders carry.
+	Incarnation, LoadFence, UnloadFence uint8
 }
 
-// LoadState is a state of the load's model. Every order that was ever decided
-// may reach the engine at any time and any number of times.
+// LoadState is a state of the load model. Every order may be delivered at any time after its
+// decision and any number of times.
 type LoadState struct {
 	Records  [loadReplicas]LoadRecord
 	Revision uint8
 
-	// The engine.
+	// Incarnation, Fence, Holds and Ended are the state of the engine.
 	Incarnation, Fence uint8
 	Holds, Ended       [loadReplicas]bool
 
-	// Reported is what the leader knows: an engine's state of some time ago.
+	// ReportIncarnation, ReportFence and ReportHolds are the last report of the engine, which may
+	// be stale.
 	ReportIncarnation, ReportFence uint8
 	ReportHolds                    [loadReplicas]bool
 
-	// Stray is set once the engine took a replica that nobody had decided for
-	// it, Overcommitted once it was asked for memory that it has not.
-	Stray, Overcommitted bool
+	// Undecided is set if the engine loaded a replica that was removed or decided for another
+	// incarnation; Overcommitted is set if it loaded more than its memory holds.
+	Undecided, Overcommitted bool
 }
 
-// LoadRules can be broken.
+// LoadRules selects the rules of the load model to break.
 type LoadRules struct {
-	// NoFence: the engine takes any order.
+	// NoFence makes the engine accept any order.
 	NoFence bool
-	// EarlyFree: the record goes when the unload is decided.
-	EarlyFree bool
-	// ReuseNames: a name that has ended may be loaded again.
+	// FreeOnDecision removes the record when the unload is decided.
+	FreeOnDecision bool
+	// ReuseNames allows loading a replica that has ended.
 	ReuseNames bool
 }
 
-// Load returns the model of a fenced load.
+// Load returns the model of fenced loads.
 func Load(rules LoadRules) Model[LoadState] {
 	return Model[LoadState]{
 		Initial: LoadState{Incarnation: 1, ReportIncarnation: 1},
@@ -75,23 +76,23 @@
 			for replica := range loadReplicas {
 				rules.decide(state, replica, visit)
 				rules.deliver(state, replica, visit)
-				confirm(state, replica, visit)
+				removeConfirmed(state, replica, visit)
 			}
 			reportAndRestart(state, visit)
 		},
-		Broken: func(state LoadState) string {
+		Violation: func(state LoadState) string {
 			switch {
 			case state.Overcommitted:
 				return "memory was overcommitted"
-			case state.Stray:
-				return "a replica was held that nobody decided"
+			case state.Undecided:
+				return "an engine loaded a replica without a decision"
 			}
 			return ""
 		},
 	}
 }
 
-// decide is the leader's: load where no other reservation stands, or unload.
+// decide makes the leader load a replica if no other is reserved, or unload it.
 func (r LoadRules) decide(state LoadState, replica int, visit func(string, LoadState)) {
 	if state.Revision == loadRevisions {
 		return
@@ -101,29 +102,29 @@
 	state.Revision++
 	switch {
 	case record.Phase == recordNone && (other == recordNone || other == recordGone):
-		*record = LoadRecord{Phase: recordLoading, Incarnation: state.ReportIncarnation, Loads: state.Revision}
+		*record = LoadRecord{Phase: recordLoading, Incarnation: state.ReportIncarnation, LoadFence: state.Revision}
 		visit(fmt.Sprintf("load of %d decided at %d", replica, state.Revision), state)
 	case record.Phase == recordLoading:
-		record.Phase, record.Unloads = recordUnloading, state.Revision
-		if r.EarlyFree {
+		record.Phase, record.UnloadFence = recordUnloading, state.Revision
+		if r.FreeOnDecision {
 			record.Phase = recordGone
 		}
 		visit(fmt.Sprintf("unload of %d decided at %d", replica, state.Revision), state)
 	}
 }
 
-// deliver brings an order to the engine, as often as it likes.
+// deliver delivers an order that was decided, possibly again.
 func (r LoadRules) deliver(state LoadState, replica int, visit func(string, LoadState)) {
 	record := state.Records[replica]
-	if record.Loads > 0 {
-		r.order(state, replica, true, record.Loads, visit)
+	if record.LoadFence > 0 {
+		r.applyOrder(state, replica, true, record.LoadFence, visit)
 	}
-	if record.Unloads > 0 {
-		r.order(state, replica, false, record.Unloads, visit)
+	if record.UnloadFence > 0 {
+		r.applyOrder(state, replica, false, record.UnloadFence, visit)
 	}
 }
 
-func (r LoadRules) order(state LoadState, replica int, isLoad bool, fence uint8, visit func(string, LoadState)) {
+func (r LoadRules) applyOrder(state LoadState, replica int, isLoad bool, fence uint8, visit func(string, LoadState)) {
 	record := state.Records[replica]
 	ended := state.Ended[replica] && !r.ReuseNames
 	accepted := EngineAccepts(uint64(state.Incarnation), uint64(state.Fence), state.Holds[replica], ended, isLoad,
@@ -141,19 +142,19 @@
 	if state.Holds[replica] {
 		return
 	}
-	state.Stray = state.Stray || record.Phase == recordGone || record.Incarnation != state.Incarnation
+	state.Undecided = state.Undecided || record.Phase == recordGone || record.Incarnation != state.Incarnation
 	state.Overcommitted = state.Overcommitted || state.Holds[1-replica]
 	state.Holds[replica] = true
 	visit(fmt.Sprintf("engine loads %d", replica), state)
 }
 
-// confirm removes a record once the report proves that the engine is rid of
-// the replica and will not take it again.
-func confirm(state LoadState, replica int, visit func(string, LoadState)) {
+// removeConfirmed removes a record if the report proves that the engine does not hold the replica and will
+// not load it again.
+func removeConfirmed(state LoadState, replica int, visit func(string, LoadState)) {
 	record := &state.Records[replica]
 	restarted := state.ReportIncarnation > record.Incarnation
 	unloaded := record.Phase == recordUnloading && state.ReportIncarnation == record.Incarnation &&
-		!state.ReportHolds[replica] && state.ReportFence >= record.Unloads
+		!state.ReportHolds[replica] && state.ReportFence >= record.UnloadFence
 	decided := record.Phase == recordLoading || record.Phase == recordUnloading
 	if decided && (restarted || unloaded) {
 		record.Phase = recordGone
@@ -167,7 +168,7 @@
 	if reported != state {
 		visit("the engine reports", reported)
 	}
-	if state.Incarnation < loadLives {
+	if state.Incarnation < loadIncarnations {
 		state.Incarnation++
 		state.Fence = 0
 		state.Holds, state.Ended = [loadReplicas]bool{}, [loadReplicas]bool{}
--- a/internal/spec/log.go
+++ b/internal/spec/log.go
@@ -5,70 +5,68 @@
 	"math/bits"
 )
 
-// The bounds of the log's model.
+// Bounds of the log model.
 const (
 	logNodes   = 3
 	logQuorum  = 2
 	logEntries = 2
-	// promiseTicks is how long a node that heard from a leader helps to elect
-	// no other; leaseTicks is shorter by the margin for clocks.
-	promiseTicks = 2
-	leaseTicks   = 1
+	// stickyTicks is how long a node that received a heartbeat votes for no other candidate;
+	// leaseTicks is shorter by the margin for clock drift.
+	stickyTicks = 2
+	leaseTicks  = 1
 )
 
-// LogNode is one node of the log's model.
+// LogNode is the state of one node in the log model.
 type LogNode struct {
 	Term, Vote uint8
-	// Votes are the nodes that granted a candidate theirs, as bits.
+	// Votes is the set of nodes that voted for this candidate, as bits.
 	Votes  uint8
 	Leader bool
-	// Led is set for the node that was leader of its present term, also after
-	// a restart; Released is a term up to which no leader holds a lease.
-	Led      bool
-	Released uint8
-	// Promise and Lease are ticks that are left.
-	Promise, Lease uint8
-	// Entries are the terms of the node's entries, 0 behind the end.
+	// WasLeader is set if the node was the leader of its current term, also after a restart.
+	// ReleasedTerm is the highest term up to which no leader is known to hold a lease.
+	WasLeader    bool
+	ReleasedTerm uint8
+	// StickyTicks and LeaseTicks are the remaining ticks of leader stickiness and of the leader's lease.
+	StickyTicks, LeaseTicks uint8
+	// Entries holds the terms of the node's entries, followed by zeros.
 	Entries [logEntries]uint8
-	// Round is the leader's heartbeat that is under way: who has answered, and
-	// how many ticks ago it was sent.
+	// Answered is the set of nodes that answered the leader's current heartbeat, as bits; Age is
+	// the number of ticks since it was sent.
 	Answered, Age uint8
 }
 
-// LogState is a state of the log's model.
+// LogState is a state of the log model.
 type LogState struct {
 	Nodes [logNodes]LogNode
-	// Committed are the entries that were ever committed.
+	// Committed holds the terms of all entries that were ever committed.
 	Committed [logEntries]uint8
-	// Changed is set once a committed entry was replaced by another.
-	Changed bool
+	// CommitChanged is set if a committed entry was replaced by another.
+	CommitChanged bool
 }
 
-// LogRules can be broken, to see that an invariant notices. Time and entries
-// together have too many states, so they are explored apart: safety of the log
-// must not rest on time at all.
+// LogRules bounds the log model and selects the rules to break. Time and entries are explored
+// separately to limit the number of states; the safety of the log must not depend on time.
 type LogRules struct {
 	// Terms and Entries bound the exploration; Entries is at most 2.
 	Terms   uint8
 	Entries int
-	// Timeless leaves out promises, heartbeats and leases.
-	Timeless bool
-	// ForgetVotes: a restart loses the vote.
-	ForgetVotes bool
-	// LongLease: the lease is not shorter than the promise.
+	// WithoutTime omits leader stickiness, heartbeats and leases.
+	WithoutTime bool
+	// LoseVotes makes a restart lose the vote.
+	LoseVotes bool
+	// LongLease makes the lease longer than the stickiness.
 	LongLease bool
-	// IgnorePromise: votes are granted in spite of a promise.
-	IgnorePromise bool
-	// CommitOldTerms: entries of earlier terms are committed by counting.
+	// IgnoreStickiness grants votes in spite of the stickiness.
+	IgnoreStickiness bool
+	// CommitOldTerms commits entries of earlier terms by counting replicas.
 	CommitOldTerms bool
-	// IdleQuorum: that a quorum leads nothing is taken for enough.
-	IdleQuorum bool
-	// ReleaseOthers: a node that restarts takes the lease of its term to be
-	// over, whoever was leader.
-	ReleaseOthers bool
+	// ReleaseByIdleQuorum accepts a quorum of idle nodes, where all others have to be idle.
+	ReleaseByIdleQuorum bool
+	// ReleaseOnAnyRestart makes any restarted node release the lease of its term, not only its leader.
+	ReleaseOnAnyRestart bool
 }
 
-// Log returns the model of elections, leases and commits.
+// Log returns the model of elections, leases, replication and commits.
 func Log(rules LogRules) Model[LogState] {
 	return Model[LogState]{
 		Next: func(state LogState, visit func(string, LogState)) {
@@ -78,114 +76,111 @@
 				rules.lead(state, node, visit)
 				for other := range logNodes {
 					if other != node {
-						rules.grant(state, node, other, visit)
+						rules.vote(state, node, other, visit)
 						replicate(state, node, other, visit)
-						if !rules.Timeless {
+						if !rules.WithoutTime {
 							rules.heartbeat(state, node, other, visit)
-							release(state, node, other, visit)
+							propagateRelease(state, node, other, visit)
 						}
 					}
 				}
 			}
-			if !rules.Timeless {
+			if !rules.WithoutTime {
 				tick(state, visit)
 			}
 		},
-		Broken: brokenLog,
+		Violation: logViolation,
 	}
 }
 
 func (r LogRules) campaign(state LogState, node int, visit func(string, LogState)) {
 	own := &state.Nodes[node]
-	if own.Leader || own.Term == r.Terms || own.Promise > 0 && !own.isReleased() && !r.allIdle(state, node, own.Term) {
+	if own.Leader || own.Term == r.Terms || own.StickyTicks > 0 && !own.isReleased() && !r.allIdle(state, node, own.Term) {
 		return
 	}
 	own.Term++
-	own.Led = false
+	own.WasLeader = false
 	own.Vote = uint8(node + 1)
 	own.Votes = 1 << node
 	visit(fmt.Sprintf("%d campaigns in term %d", node, own.Term), state)
 }
 
-// restart keeps what is durable. A node that has started has forgotten whom it
-// heard from, so it promises anew.
+// restart keeps only the durable state. The node no longer knows when it last received a
+// heartbeat, so it starts with full stickiness.
 func (r LogRules) restart(state LogState, node int, visit func(string, LogState)) {
 	own := &state.Nodes[node]
-	*own = LogNode{Term: own.Term, Vote: own.Vote, Led: own.Led, Entries: own.Entries}
-	if !r.Timeless {
-		own.Promise = promiseTicks
-		if own.Led || r.ReleaseOthers {
-			own.Released = own.Term
+	*own = LogNode{Term: own.Term, Vote: own.Vote, WasLeader: own.WasLeader, Entries: own.Entries}
+	if !r.WithoutTime {
+		own.StickyTicks = stickyTicks
+		if own.WasLeader || r.ReleaseOnAnyRestart {
+			own.ReleasedTerm = own.Term
 		}
 	}
-	if r.ForgetVotes {
+	if r.LoseVotes {
 		own.Vote = 0
 	}
 	visit(fmt.Sprintf("%d restarts", node), state)
 }
 
-func (r LogRules) grant(state LogState, voter, candidate int, visit func(string, LogState)) {
-	asked, asking := &state.Nodes[voter], &state.Nodes[candidate]
-	campaigning := asking.Votes != 0 && !asking.Leader
-	if !campaigning || asking.Term < asked.Term || !upToDate(asking.Entries, asked.Entries) {
+func (r LogRules) vote(state LogState, voter, candidate int, visit func(string, LogState)) {
+	own, requester := &state.Nodes[voter], &state.Nodes[candidate]
+	campaigning := requester.Votes != 0 && !requester.Leader
+	if !campaigning || requester.Term < own.Term || !upToDate(requester.Entries, own.Entries) {
 		return
 	}
-	newTerm := asking.Term > asked.Term
-	free := asked.isReleased() || r.allIdle(state, candidate, asked.Term)
-	bound := asked.Promise > 0 && !free || asked.Lease > 0
-	if newTerm && bound && !r.IgnorePromise {
+	newTerm := requester.Term > own.Term
+	released := own.isReleased() || r.allIdle(state, candidate, own.Term)
+	bound := own.StickyTicks > 0 && !released || own.LeaseTicks > 0
+	if newTerm && bound && !r.IgnoreStickiness {
 		return
 	}
-	if !newTerm && asked.Vote != 0 && asked.Vote != uint8(candidate+1) || !newTerm && asked.Leader {
+	if !newTerm && own.Vote != 0 && own.Vote != uint8(candidate+1) || !newTerm && own.Leader {
 		return
 	}
-	asked.follow(asking.Term)
-	asked.Vote = uint8(candidate + 1)
-	asking.Votes |= 1 << voter
-	visit(fmt.Sprintf("%d votes for %d in term %d", voter, candidate, asking.Term), state)
+	own.becomeFollower(requester.Term)
+	own.Vote = uint8(candidate + 1)
+	requester.Votes |= 1 << voter
+	visit(fmt.Sprintf("%d votes for %d in term %d", voter, candidate, requester.Term), state)
 }
 
-// follow joins a term as follower.
-func (n *LogNode) follow(term uint8) {
+// becomeFollower makes the node a follower in a term.
+func (n *LogNode) becomeFollower(term uint8) {
 	if term > n.Term {
-		n.Term, n.Vote, n.Led = term, 0, false
+		n.Term, n.Vote, n.WasLeader = term, 0, false
 	}
-	n.Votes, n.Leader, n.Lease, n.Answered, n.Age = 0, false, 0, 0, 0
+	n.Votes, n.Leader, n.LeaseTicks, n.Answered, n.Age = 0, false, 0, 0, 0
 }
 
-// isReleased reports whether no leader to whom the node may have made a promise
-// holds a lease.
+// isReleased reports whether no leader up to the node's term holds a lease.
 func (n *LogNode) isReleased() bool {
-	return n.Released > 0 && n.Term <= n.Released
+	return n.ReleasedTerm > 0 && n.Term <= n.ReleasedTerm
 }
 
-// isIdle reports whether a node leads neither a term nor an earlier one, and never
-// will.
+// isIdle reports whether a node does not lead any term up to the given one, and never will.
 func (n *LogNode) isIdle(term uint8) bool {
 	return n.Term > term || n.Term == term && !n.Leader && n.Votes == 0
 }
 
-// allIdle reports whether a node that asks for votes may know that all others are
-// idle up to a term. What they said of it before stays true, so it does not matter
-// when they did. The one who asks is in a later term by then.
-func (r LogRules) allIdle(state LogState, asking int, term uint8) bool {
+// allIdle reports whether a candidate can know that all other nodes are idle up to a term. Idleness
+// is stable, so it does not matter when they reported it. The candidate itself is in a later term.
+func (r LogRules) allIdle(state LogState, candidate int, term uint8) bool {
 	idle := 1
 	for node := range state.Nodes {
-		if node != asking && state.Nodes[node].isIdle(term) {
+		if node != candidate && state.Nodes[node].isIdle(term) {
 			idle++
 		}
 	}
-	return idle == logNodes || r.IdleQuorum && idle >= logQuorum
+	return idle == logNodes || r.ReleaseByIdleQuorum && idle >= logQuorum
 }
 
-// release tells another node up to which term no lease is held.
-func release(state LogState, node, other int, visit func(string, LogState)) {
-	telling, told := state.Nodes[node], &state.Nodes[other]
-	if telling.Released <= told.Released {
+// propagateRelease informs another node up to which term no lease is held.
+func propagateRelease(state LogState, node, other int, visit func(string, LogState)) {
+	sender, receiver := state.Nodes[node], &state.Nodes[other]
+	if sender.ReleasedTerm <= receiver.ReleasedTerm {
 		return
 	}
-	told.Released = telling.Released
-	visit(fmt.Sprintf("%d learns from %d that term %d is released", other, node, told.Released), state)
+	receiver.ReleasedTerm = sender.ReleasedTerm
+	visit(fmt.Sprintf("%d learns from %d that term %d is released", other, node, receiver.ReleasedTerm), state)
 }
 
 func upToDate(candidate, voter [logEntries]uint8) bool {
@@ -209,20 +204,20 @@
 	return 0
 }
 
-// lead lets a node become leader, and a leader send heartbeats, append and
-// commit.
+// lead makes a candidate with a quorum of votes the leader, and lets a leader send heartbeats,
+// append and commit.
 func (r LogRules) lead(state LogState, node int, visit func(string, LogState)) {
 	own := state.Nodes[node]
 	if !own.Leader {
 		if bits.OnesCount8(own.Votes) >= logQuorum {
 			next := state
 			next.Nodes[node].Leader = true
-			next.Nodes[node].Led = !r.Timeless
+			next.Nodes[node].WasLeader = !r.WithoutTime
 			visit(fmt.Sprintf("%d leads term %d", node, own.Term), next)
 		}
 		return
 	}
-	if !r.Timeless {
+	if !r.WithoutTime {
 		next := state
 		next.Nodes[node].Answered, next.Nodes[node].Age = 1<<node, 0
 		visit(fmt.Sprintf("%d sends a heartbeat", node), next)
@@ -235,38 +230,37 @@
 	r.commit(state, node, visit)
 }
 
-// heartbeat reaches a node, whose answer reaches the leader. The lease counts
-// from when the heartbeat was sent.
+// heartbeat delivers a heartbeat and its response. The lease starts when the heartbeat was sent.
 func (r LogRules) heartbeat(state LogState, leader, other int, visit func(string, LogState)) {
-	own, heard := &state.Nodes[leader], &state.Nodes[other]
-	if !own.Leader || own.Answered == 0 || heard.Term > own.Term {
+	own, follower := &state.Nodes[leader], &state.Nodes[other]
+	if !own.Leader || own.Answered == 0 || follower.Term > own.Term {
 		return
 	}
-	heard.follow(own.Term)
-	heard.Promise = promiseTicks
+	follower.becomeFollower(own.Term)
+	follower.StickyTicks = stickyTicks
 	own.Answered |= 1 << other
-	lasts := uint8(leaseTicks)
+	duration := uint8(leaseTicks)
 	if r.LongLease {
-		lasts = 2 * promiseTicks
+		duration = 2 * stickyTicks
 	}
-	if bits.OnesCount8(own.Answered) >= logQuorum && own.Age < lasts {
-		own.Lease = max(own.Lease, lasts-own.Age)
+	if bits.OnesCount8(own.Answered) >= logQuorum && own.Age < duration {
+		own.LeaseTicks = max(own.LeaseTicks, duration-own.Age)
 	}
 	visit(fmt.Sprintf("%d answers the heartbeat of %d", other, leader), state)
 }
 
-// replicate makes a node's log the leader's.
+// replicate replaces a node's log by the leader's.
 func replicate(state LogState, leader, other int, visit func(string, LogState)) {
-	own, taking := &state.Nodes[leader], &state.Nodes[other]
-	if !own.Leader || taking.Term > own.Term || taking.Entries == own.Entries {
+	own, follower := &state.Nodes[leader], &state.Nodes[other]
+	if !own.Leader || follower.Term > own.Term || follower.Entries == own.Entries {
 		return
 	}
-	taking.follow(own.Term)
-	taking.Entries = own.Entries
-	visit(fmt.Sprintf("%d takes the log of %d", other, leader), state)
+	follower.becomeFollower(own.Term)
+	follower.Entries = own.Entries
+	visit(fmt.Sprintf("%d replicates the log of %d", other, leader), state)
 }
 
-// commit commits what a quorum holds, if its last entry is of this term.
+// commit commits the entries that a quorum stores, if the last one is of the current term.
 func (r LogRules) commit(state LogState, leader int, visit func(string, LogState)) {
 	own := state.Nodes[leader]
 	for count := 1; count <= length(own.Entries); count++ {
@@ -282,7 +276,7 @@
 		next := state
 		for position := range count {
 			held := next.Committed[position]
-			next.Changed = next.Changed || held != 0 && held != own.Entries[position]
+			next.CommitChanged = next.CommitChanged || held != 0 && held != own.Entries[position]
 			next.Committed[position] = own.Entries[position]
 		}
 		if next != state {
@@ -300,20 +294,20 @@
 	return true
 }
 
-// tick lets time pass for all.
+// tick advances the clocks of all nodes by one tick.
 func tick(state LogState, visit func(string, LogState)) {
 	for position := range state.Nodes {
 		node := &state.Nodes[position]
-		node.Promise -= min(node.Promise, 1)
-		node.Lease -= min(node.Lease, 1)
+		node.StickyTicks -= min(node.StickyTicks, 1)
+		node.LeaseTicks -= min(node.LeaseTicks, 1)
 		if node.Answered != 0 {
-			node.Age = min(node.Age+1, promiseTicks)
+			node.Age = min(node.Age+1, stickyTicks)
 		}
 	}
-	visit("time passes", state)
+	visit("one tick passes", state)
 }
 
-func brokenLog(state LogState) string {
+func logViolation(state LogState) string {
 	leaders := map[uint8]bool{}
 	leases := 0
 	for _, node := range state.Nodes {
@@ -324,14 +318,14 @@
 			return "two leaders in one term"
 		}
 		leaders[node.Term] = true
-		if node.Lease > 0 {
+		if node.LeaseTicks > 0 {
 			leases++
 		}
 	}
 	switch {
 	case leases > 1:
 		return "two leases at once"
-	case state.Changed:
+	case state.CommitChanged:
 		return "a committed entry was replaced"
 	}
 	return ""
