--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,7 @@
-// Package settings reads the settings file of a weldline node.
+// Package settings reads and validates the YAML settings file of a weldline node.
 //
-// The file is YAML. Unknown keys, wrong units, values out of range and
-// addresses used twice are refused with the key and, where the parser knows
-// it, the line.
+// Unknown keys, invalid units, values out of range and duplicate addresses are errors that name the
+// key and, if the parser knows it, the line. The comments of the types are the text of Reference.
 package settings
 
 import (
@@ -22,43 +21,41 @@
 	"github.com/weldline/weldline/internal/warming"
 )
 
-// Role is a part that a node plays.
+// Role is a function of a node; a node may have several.
 type Role string
 
-// The roles of a node.
 const (
 	// RoleControl is a member of the replicated log.
 	RoleControl Role = "control"
-	// RoleRouter is the callers' gateway, and agent of the machines near it.
+	// RoleRouter is a gateway for callers and the agent of nearby machines.
 	RoleRouter Role = "router"
-	// RoleRelay passes the control plane's stream on to the nodes of a zone.
+	// RoleRelay forwards the control plane's stream to the nodes of a zone.
 	RoleRelay Role = "relay"
-	// RoleIngress forwards callers' requests by the declared routes to the
-	// machines that registered.
+	// RoleIngress forwards callers' requests to registered machines by the declared routes.
 	RoleIngress Role = "ingress"
 )
 
-// Settings are the settings of one node.
+// Settings holds the settings of one node.
 type Settings struct {
-	// Cluster names the cluster; processes of different clusters refuse each
+	// Cluster is the cluster's name; processes of different clusters reject each
 	// other. Required.
 	Cluster string `yaml:"cluster"`
 	// Node is the node's name, unique in the cluster. Required.
 	Node string `yaml:"node"`
-	// Zone is where the node stands. Required.
+	// Zone is the node's zone. Required.
 	Zone string `yaml:"zone"`
-	// Zones maps each zone to the region that it lies in. Places whose region is not told are
-	// far from all others, and no constraint on regions allows them. Default: none.
+	// Zones maps each zone to its region. A zone without a region counts as distant from all
+	// others, and no constraint on regions allows it. Default: none.
 	Zones map[string]string `yaml:"zones"`
-	// Roles are the parts it plays: control, router, relay, ingress. Required.
+	// Roles lists the node's roles: control, router, relay, ingress. Required.
 	Roles []Role `yaml:"roles"`
-	// DataDir is the data folder. Required for control.
+	// DataDir is the data directory. Required for control.
 	DataDir string `yaml:"dataDir"`
-	// Admin is the address of /metrics, /healthz and /readyz. Required.
+	// Admin is the address that serves /metrics, /healthz and /readyz. Required.
 	Admin string `yaml:"admin"`
 	// LogLevel is debug, info, warn or error. Default info.
 	LogLevel string `yaml:"logLevel"`
-	// AllowPlaintext permits addresses other than loopback without TLS.
+	// AllowPlaintext permits non-loopback addresses without TLS.
 	AllowPlaintext bool `yaml:"allowPlaintext"`
 
 	TLS       TLSSettings       `yaml:"tls"`
@@ -74,210 +71,205 @@
 	Warming   WarmingSettings   `yaml:"warming"`
 }
 
-// Position returns where the node stands.
+// Position returns the node's zone and the map of zones to regions.
 func (s *Settings) Position() places.Position {
 	return places.Position{Zone: s.Zone, Map: places.NewMap(s.Zones)}
 }
 
-// WarmingSettings bound by how much all routers together may exceed what a pool declares that a
-// machine bears while it warms up. Control and ingress nodes need the same.
+// WarmingSettings bound by how much all routers together may exceed the request rate that a pool
+// declares for machines that warm up. They must be equal on control and ingress nodes.
 type WarmingSettings struct {
-	// Factor is what the declared rate is multiplied with; at least 1. Default 1.
+	// Factor multiplies the declared rate; at least 1. Default 1.
 	Factor float64 `yaml:"factor"`
-	// Slack is how many requests a machine may get in a second beside that. Default 0.
+	// Slack is the number of requests per second that a machine may receive in addition. Default 0.
 	Slack float64 `yaml:"slack"`
 }
 
-// Bound returns what the settings allow.
 func (s WarmingSettings) Bound() warming.Bound {
 	return warming.Bound{Factor: s.Factor, Slack: s.Slack}
 }
 
-// FormationSettings let control nodes find each other, where control.members
-// does not list them.
+// FormationSettings let control nodes discover each other through seeds, as an alternative to
+// control.members.
 type FormationSettings struct {
-	// Seeds are the addresses of some control nodes; a port is passed over.
-	// They need not be up, and need not be all. Set, they replace
-	// control.members.
+	// Seeds are the addresses of some control nodes; a port is ignored. Seeds may be
+	// unreachable. If set, they replace control.members.
 	Seeds []string `yaml:"seeds"`
-	// PeerPort is where every control node listens for other processes.
+	// PeerPort is the port on which every control node listens for other processes.
 	PeerPort int `yaml:"peerPort"`
-	// First is true when the whole system starts for the first time: the seeds
-	// are the first voters. It has no effect on a node with a used data folder.
+	// First is true when the cluster starts for the first time: the seeds become the first
+	// voters. It has no effect on a node with an initialized data directory.
 	First bool `yaml:"first"`
-	// Tolerate is how many control nodes may be lost at once. Default 1.
+	// Tolerate is the number of control nodes that may fail at once. Default 1.
 	Tolerate int `yaml:"tolerate"`
-	// TolerateZones is how many zones may be lost at once instead. Default 0.
+	// TolerateZones is the number of zones that may fail at once, instead of nodes. Default 0.
 	TolerateZones int `yaml:"tolerateZones"`
-	// TolerateRegions is how many regions may be lost at once instead. Default 0.
+	// TolerateRegions is the number of regions that may fail at once, instead of nodes. Default 0.
 	TolerateRegions int `yaml:"tolerateRegions"`
 }
 
-// IngressSettings are for the ingress role.
+// IngressSettings configure the ingress role.
 type IngressSettings struct {
-	// Listen is the callers' address.
+	// Listen is the address for callers.
 	Listen string `yaml:"listen"`
-	// Ready is the address that answers whether callers should come.
+	// Ready is the address of the readiness check for load balancers.
 	Ready string `yaml:"ready"`
 	// MaxWaiting bounds the requests that wait for a machine. Default 2048.
 	MaxWaiting int `yaml:"maxWaiting"`
-	// ReportInterval is how often demand and loads are reported. Default 500ms.
+	// ReportInterval is the interval between reports of demand and load. Default 500ms.
 	ReportInterval time.Duration `yaml:"reportInterval"`
-	// LeaveDelay is for how long a stopping node goes on to take requests
-	// after it has said that it is not ready. Default 2500ms.
+	// LeaveDelay is how long a stopping node still accepts requests after its readiness check
+	// fails. Default 2500ms.
 	LeaveDelay time.Duration `yaml:"leaveDelay"`
-	// StopTimeout bounds a planned stop. Default 8s.
+	// StopTimeout bounds a graceful shutdown. Default 8s.
 	StopTimeout time.Duration `yaml:"stopTimeout"`
-	// RetryRatio, with RetrySlack, bounds the requests that all nodes together
-	// send again in any window: the ratio times the requests, and the slack.
-	// Default 0.2.
+	// RetryRatio and RetrySlack bound the retries that all nodes together send in any window:
+	// the ratio times the number of requests, plus the slack. Default 0.2.
 	RetryRatio float64 `yaml:"retryRatio"`
-	// RetrySlack is how many may be sent again beside the ratio. Default 10.
+	// RetrySlack is the number of retries per window in addition to the ratio. Default 10.
 	RetrySlack int `yaml:"retrySlack"`
-	// RetryWindow is the length of a window. Default 10s.
+	// RetryWindow is the length of the window for retries. Default 10s.
 	RetryWindow time.Duration `yaml:"retryWindow"`
 }
 
-// MachineSettings are about machines that register by themselves.
+// MachineSettings configure machines that register themselves.
 type MachineSettings struct {
-	// HeartbeatInterval is how often a machine reports. Default 1s.
+	// HeartbeatInterval is the interval between a machine's reports. Default 1s.
 	HeartbeatInterval time.Duration `yaml:"heartbeatInterval"`
-	// OrderLease is for how long after a change of leader no orders are given
-	// to machines. Default 3s.
+	// OrderLease is how long after a change of leader no orders are sent to machines. Default 3s.
 	OrderLease time.Duration `yaml:"orderLease"`
 }
 
-// TLSSettings secure connections. Changed files are read again while the node
-// runs.
+// TLSSettings enable TLS. Changed files are reloaded while the node runs.
 type TLSSettings struct {
-	// Certificate is the PEM file of the node's certificate, which carries
-	// the node's name. Set, it makes connections between processes mutual TLS.
+	// Certificate is the PEM file of the node's certificate, which must contain the node's
+	// name. If set, connections between processes use mutual TLS.
 	Certificate string `yaml:"certificate"`
 	// Key is the PEM file of its private key.
 	Key string `yaml:"key"`
-	// Authority is the PEM file of the authority that signs the certificates
-	// of all processes of the cluster, and of no others.
+	// Authority is the PEM file of the certificate authority, which must sign certificates for
+	// processes of this cluster only.
 	Authority string `yaml:"authority"`
-	// Public serves callers, operators and metrics by TLS, too. Default false.
+	// Public also enables TLS for callers, operators and metrics. Default false.
 	Public bool `yaml:"public"`
 }
 
-// Files returns the names of the files.
 func (t TLSSettings) Files() keys.Files {
 	return keys.Files{Certificate: t.Certificate, Key: t.Key, Authority: t.Authority}
 }
 
-// Member is a control node.
+// Member is a control node in control.members.
 type Member struct {
-	// ID is the node's id in the replicated log, from 1. Never reused.
+	// ID is the node's id in the replicated log, at least 1. It must not be reused.
 	ID uint64 `yaml:"id"`
-	// Address is where it listens for other processes: IP and port.
+	// Address is the IP address and port for other processes.
 	Address string `yaml:"address"`
-	// Learner makes it a standby that joins as a voter when one is lost.
+	// Learner makes the node a standby that replaces a failed voter.
 	Learner bool `yaml:"learner"`
 }
 
-// ControlSettings are for the control role.
+// ControlSettings configure the control role.
 type ControlSettings struct {
 	// ID is this node's id among the members.
 	ID uint64 `yaml:"id"`
 	// Listen is the address for other processes.
 	Listen string `yaml:"listen"`
-	// Advertise is where other processes reach the node, if that is not Listen: before an
-	// address translation, or a proxy. Default: Listen.
+	// Advertise is the address at which other processes reach the node, if it differs from Listen
+	// because of NAT or a proxy. Default: Listen.
 	Advertise string `yaml:"advertise"`
 	// API is the address of the resource API.
 	API string `yaml:"api"`
-	// Members are the control nodes, this one included.
+	// Members lists all control nodes, including this one.
 	Members []Member `yaml:"members"`
-	// ElectionTimeout is how long followers wait for a leader. Default 1s.
+	// ElectionTimeout is how long followers wait for a heartbeat before an election. Default 1s.
 	ElectionTimeout time.Duration `yaml:"electionTimeout"`
-	// ElectionSpread is by how much more, at random, they wait. Default the
+	// ElectionSpread is the maximum random addition to the election timeout. Default: the
 	// election timeout.
 	ElectionSpread time.Duration `yaml:"electionSpread"`
-	// HeartbeatInterval is how often the leader sends. Default 100ms.
+	// HeartbeatInterval is the interval between the leader's heartbeats. Default 100ms.
 	HeartbeatInterval time.Duration `yaml:"heartbeatInterval"`
-	// LeaseMargin covers differences of clock rate. Default 100ms.
+	// LeaseMargin shortens the leader's lease to allow for clock drift. Default 100ms.
 	LeaseMargin time.Duration `yaml:"leaseMargin"`
-	// CompactEvery is how many entries lie between snapshots. Default 4096.
+	// CompactEvery is the number of log entries between snapshots. Default 4096.
 	CompactEvery uint64 `yaml:"compactEvery"`
-	// ReplaceAfter is how long a silent voter keeps its place before a
-	// learner takes it. Default 30s.
+	// ReplaceAfter is how long a voter may be unreachable before a learner replaces it.
+	// Default 30s.
 	ReplaceAfter time.Duration `yaml:"replaceAfter"`
-	// ReadToken and WriteToken are required from operators if set.
+	// ReadToken and WriteToken are bearer tokens that the API requires if set.
 	ReadToken  string `yaml:"readToken"`
 	WriteToken string `yaml:"writeToken"`
 }
 
-// RouterSettings are for the router role.
+// RouterSettings configure the router role.
 type RouterSettings struct {
-	// Listen is the callers' address.
+	// Listen is the address for callers.
 	Listen string `yaml:"listen"`
-	// Upstreams are the control nodes or relays to follow, in order of
+	// Upstreams are the addresses of the control nodes or relays to follow, in order of
 	// preference.
 	Upstreams []string `yaml:"upstreams"`
 	// MaxWaiting bounds the requests that wait for a replica. Default 4096.
 	MaxWaiting int `yaml:"maxWaiting"`
 	// MaxBodyBytes bounds a request body. Default 4 MiB.
 	MaxBodyBytes int64 `yaml:"maxBodyBytes"`
-	// ReportInterval is how often the router reports demand. Default 250ms.
+	// ReportInterval is the interval between reports of demand. Default 250ms.
 	ReportInterval time.Duration `yaml:"reportInterval"`
-	// PollInterval is how often an agent asks an engine. Default 250ms.
+	// PollInterval is the interval at which the agent polls an engine. Default 250ms.
 	PollInterval time.Duration `yaml:"pollInterval"`
-	// DrainTimeout bounds a planned stop. Default 60s.
+	// DrainTimeout bounds a graceful shutdown. Default 60s.
 	DrainTimeout time.Duration `yaml:"drainTimeout"`
 }
 
-// RelaySettings are for the relay role.
+// RelaySettings configure the relay role.
 type RelaySettings struct {
 	// Listen is the address for the nodes of the zone.
 	Listen string `yaml:"listen"`
-	// Upstreams are the control nodes to follow.
+	// Upstreams are the addresses of the control nodes to follow.
 	Upstreams []string `yaml:"upstreams"`
 }
 
-// PlatformSettings describe the surroundings.
+// PlatformSettings describe the platform that runs the machines.
 type PlatformSettings struct {
 	// MachineList is the URL of the platform's machine list; may be empty.
 	MachineList string `yaml:"machineList"`
-	// MachineListInterval is how often it is read. Default 1s.
+	// MachineListInterval is the interval at which the machine list is read. Default 1s.
 	MachineListInterval time.Duration `yaml:"machineListInterval"`
-	// StoreLoadsPerSecond is the rate that the weight store admits. Default 3.
+	// StoreLoadsPerSecond is the rate of loads that the weight store admits. Default 3.
 	StoreLoadsPerSecond float64 `yaml:"storeLoadsPerSecond"`
-	// StoreConcurrentLoads is how many it serves at full speed. Default 6.
+	// StoreConcurrentLoads is the number of concurrent loads that the weight store serves at full
+	// speed. Default 6.
 	StoreConcurrentLoads int `yaml:"storeConcurrentLoads"`
 }
 
-// PolicySettings tune placement.
+// PolicySettings configure placement.
 type PolicySettings struct {
 	// Name is the keep-alive policy. Default "adaptive".
 	Name string `yaml:"name"`
-	// MachineTimeout is how long a silent machine keeps its work. Default 3s.
+	// MachineTimeout is how long a machine may be unreachable before its replicas are moved.
+	// Default 3s.
 	MachineTimeout time.Duration `yaml:"machineTimeout"`
 }
 
-// QuotaSettings bound by how much tenants may exceed their limits, and say how nodes share
-// them. Control and ingress nodes need the same.
+// QuotaSettings bound by how much tenants may exceed their limits, and select how nodes share
+// the limits. They must be equal on control and ingress nodes.
 type QuotaSettings struct {
 	// Window is the length of the windows in which the bound holds. Default 8s.
 	Window time.Duration `yaml:"window"`
-	// Overage is the share of what a limit allows in a window by which it may be
-	// exceeded. Default 0.1.
+	// Overage is the fraction of a window's limit by which the limit may be exceeded.
+	// Default 0.1.
 	Overage float64 `yaml:"overage"`
-	// Slack is what may be let through beside that, in units of the tenants' rates.
+	// Slack is the amount admitted per window in addition, in the unit of the tenant's rate.
 	// Default 0.
 	Slack float64 `yaml:"slack"`
-	// Sharing is how nodes share a tenant's limit: adaptive, leased or equal; the last two
-	// are for comparison. Default adaptive.
+	// Sharing selects how nodes share a tenant's limit: adaptive, leased or equal; leased and
+	// equal are for comparison. Default adaptive.
 	Sharing string `yaml:"sharing"`
 }
 
-// Bound returns the bound for all tenants.
 func (s QuotaSettings) Bound() quota.Bound {
 	return quota.Bound{Window: s.Window, Overage: s.Overage, Slack: s.Slack}
 }
 
-// Load reads, defaults and validates a settings file.
+// Load reads a settings file, fills in defaults and validates the result.
 func Load(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -286,7 +278,7 @@
 	return Parse(content)
 }
 
-// Parse reads, defaults and validates settings.
+// Parse decodes settings, fills in defaults and validates the result.
 func Parse(content []byte) (*Settings, error) {
 	settings := &Settings{}
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
@@ -296,7 +288,7 @@
 	return settings, settings.Complete()
 }
 
-// Complete fills in the defaults and checks everything.
+// Complete fills in defaults and validates the settings.
 func (s *Settings) Complete() error {
 	s.setDefaults()
 	return s.validate()
@@ -344,12 +336,12 @@
 	setDefault(&s.Policy.MachineTimeout, 3*time.Second)
 }
 
-// Forms reports whether control nodes find each other by seeds.
+// Forms reports whether control nodes discover each other through seeds.
 func (f FormationSettings) Forms() bool {
 	return len(f.Seeds) > 0
 }
 
-// Addresses returns where the seeds listen for other processes.
+// Addresses returns the addresses at which the seeds listen for other processes.
 func (f FormationSettings) Addresses() []string {
 	addresses := make([]string, 0, len(f.Seeds))
 	for _, seed := range f.Seeds {
@@ -362,12 +354,11 @@
 	return addresses
 }
 
-// Voters returns how many voters survive the losses to be borne.
+// Voters returns the number of voters that tolerate the configured number of failed nodes.
 func (f FormationSettings) Voters() int {
 	return 2*f.Tolerate + 1
 }
 
-// Has reports whether the node plays a role.
 func (s *Settings) Has(role Role) bool {
 	return slices.Contains(s.Roles, role)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,7 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// TestParse reads settings files: good ones answer ok, bad ones name the
-// field.
+// TestParse prints ok for valid settings and the field and message of the error for others.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/parse", func(t *testing.T, d *datadriven.TestData) string {
 		_, err := Parse([]byte(d.Input))
@@ -20,13 +19,12 @@
 			return "ok\n"
 		}
 		if !fault.Is(err, fault.Invalid) {
-			t.Errorf("not an invalid input: %v", err)
+			t.Errorf("error is not Invalid: %v", err)
 		}
 		return fault.FieldOf(err) + ": " + strings.SplitN(fault.Message(err), "\n", 2)[0] + "\n"
 	})
 }
 
-// TestExamples reads the settings that are shipped as examples.
 func TestExamples(t *testing.T) {
 	paths, err := filepath.Glob("../../examples/nodes/*.yaml")
 	if err != nil || len(paths) == 0 {
@@ -39,8 +37,9 @@
 	}
 }
 
-// TestReferenceNamesEverySetting checks the reference against the types.
-func TestReferenceNamesEverySetting(t *testing.T) {
+// TestReference checks that the reference contains nested settings and that every setting has a
+// description.
+func TestReference(t *testing.T) {
 	reference, err := Reference()
 	if err != nil {
 		t.Fatal(err)
@@ -52,12 +51,12 @@
 	}
 	for _, line := range strings.Split(reference, "\n") {
 		if strings.HasSuffix(line, "|  |") && !strings.Contains(line, "writeToken") {
-			t.Errorf("nothing is said of %s", line)
+			t.Errorf("no description: %s", line)
 		}
 	}
 }
 
-// FuzzParse feeds any bytes: an answer or a typed error, never a panic.
+// FuzzParse parses arbitrary bytes. It must return settings or a typed error, and not panic.
 func FuzzParse(f *testing.F) {
 	content, err := os.ReadFile("../../examples/nodes/seatdesk-1.yaml")
 	if err != nil {
@@ -67,7 +66,7 @@
 	f.Add([]byte("cluster: [1"))
 	f.Fuzz(func(t *testing.T, content []byte) {
 		if _, err := Parse(content); err != nil && !fault.Is(err, fault.Invalid) {
-			t.Errorf("not an invalid input: %v", err)
+			t.Errorf("error is not Invalid: %v", err)
 		}
 	})
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	if s.Formation.Forms() {
-		return s.validateFormedControl()
+		return s.validateSeededControl()
 	}
 	ids := map[uint64]bool{}
 	for position, member := range s.Control.Members {
@@ -96,8 +96,8 @@
 	return s.validateTimeouts()
 }
 
-// validateFormedControl checks a control node that finds the others by seeds.
-func (s *Settings) validateFormedControl() error {
+// validateSeededControl validates a control node that discovers the others through seeds.
+func (s *Settings) validateSeededControl() error {
 	if len(s.Control.Members) > 0 {
 		return fault.InvalidField("control.members", "must be empty where formation.seeds is set")
 	}
@@ -165,10 +165,10 @@
 }
 
 func (s *Settings) validateWarming() error {
-	if !(s.Warming.Factor >= 1) { // Not a number, too.
+	if !(s.Warming.Factor >= 1) { // Also rejects NaN.
 		return fault.InvalidField("warming.factor", "must be at least 1")
 	}
-	if !(s.Warming.Slack >= 0) { // Not a number, too.
+	if !(s.Warming.Slack >= 0) { // Also rejects NaN.
 		return fault.InvalidField("warming.slack", "must not be negative")
 	}
 	return nil
@@ -238,8 +238,8 @@
 	return nil
 }
 
-// validateAddresses checks that every address is an IP and a port, that none
-// this node listens on is named twice, and that plain text stays on loopback.
+// validateAddresses checks that all addresses are IP addresses with ports, that the node's listen
+// addresses are distinct, and that non-loopback addresses use TLS unless plain text is allowed.
 func (s *Settings) validateAddresses() error {
 	seen := map[string]string{}
 	for _, listen := range s.listenAddresses() {
@@ -263,7 +263,7 @@
 
 type namedAddress struct {
 	field, value string
-	// public is set for HTTP; the others speak the internal protocol.
+	// public is true for HTTP and false for the internal protocol.
 	public bool
 }
 
