--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -1,38 +1,30 @@
-// Package level gates what the members of a cluster write by what all of them understand.
+// Package level defines the cluster's feature levels, which keep members of two releases from
+// diverging during a rolling upgrade.
 //
-// The problem: while machines are replaced one after the other, builds of two
-// releases share one log. What the older one does not know it passes over, or
-// refuses where the newer one accepts, and from then on the states of the two
-// differ for good without a word.
-//
-// The mechanism is that of cluster versions: the log holds a level. Whatever a
-// release adds to commands, snapshots or objects belongs to a level, and is
-// written from the entry on that puts this level in force. The leader raises
-// it once every member and every node in touch has told that it understands
-// it. A process that does not understand the level in force is refused by
-// those that do, and stops if it meets it in its own log. So a release can be
-// taken back for as long as its level is not in force.
+// Additions to commands, snapshots and objects are written only once the log has activated their
+// level. The leader raises it when all members and connected nodes support it. Processes that don't
+// support the active level are rejected, so a release can be rolled back until its level is active.
 package level
 
-// Level numbers what members may write. It only grows.
+// Level is a feature level. The active level of a cluster never decreases.
 type Level uint32
 
 const (
-	// None is that of builds that know of no levels.
+	// None is the level of releases without feature levels.
 	None Level = 0
-	// MachineStarts: the records of machines tell when the machine started, and one that starts
-	// again under its id gets a record of its own.
+	// MachineStarts adds start times to the records of machines; a machine that restarts under the
+	// same id gets a new record.
 	MachineStarts Level = 1
-	// Supported is the highest that this build understands.
+	// Supported is the highest level that this build supports.
 	Supported = MachineStarts
 )
 
-// Next returns the level that may be put in force, given what the members and the nodes in touch
-// understand; raised is false where that is not above the one in force.
-func Next(inForce Level, understood []Level) (next Level, raised bool) {
+// Next returns the highest level that this build and all other processes support; raised reports
+// whether it is above the active level.
+func Next(active Level, supported []Level) (next Level, raised bool) {
 	next = Supported
-	for _, other := range understood {
+	for _, other := range supported {
 		next = min(next, other)
 	}
-	return next, next > inForce
+	return next, next > active
 }
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -2,14 +2,13 @@
 
 import "testing"
 
-// TestNext: the level is what everybody understands, and never above what this build does.
 func TestNext(t *testing.T) {
 	tests := []struct {
-		name       string
-		inForce    Level
-		understood []Level
-		next       Level
-		raised     bool
+		name      string
+		active    Level
+		supported []Level
+		next      Level
+		raised    bool
 	}{
 		{"alone", None, nil, Supported, true},
 		{"all understand it", None, []Level{Supported, Supported}, Supported, true},
@@ -19,7 +18,7 @@
 		{"an earlier release came back", Supported, []Level{None}, None, false},
 	}
 	for _, test := range tests {
-		if next, raised := Next(test.inForce, test.understood); next != test.next || raised != test.raised {
+		if next, raised := Next(test.active, test.supported); next != test.next || raised != test.raised {
 			t.Errorf("%s: level %d, raised %t", test.name, next, raised)
 		}
 	}
