--- a/internal/snap/snap.go
+++ b/internal/snap/snap.go
@@ -1,5 +1,5 @@
-// Package snap keeps the newest snapshot of the replicated state in a file
-// that is replaced atomically and checked by a checksum.
+// Package snap stores the latest snapshot of the replicated state in a file that is replaced
+// atomically and protected by a CRC-32C.
 package snap
 
 import (
@@ -18,7 +18,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Save makes a snapshot durable.
+// Save replaces the stored snapshot. The new one is durable when Save returns.
 func Save(path string, snapshot *wirepb.Snapshot) error {
 	payload, err := proto.Marshal(snapshot)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return datadir.WriteFileSynced(path, append(content, payload...))
 }
 
-// Load returns the saved snapshot, or nil if there is none.
+// Load returns the stored snapshot, or nil if there is none.
 func Load(path string) (*wirepb.Snapshot, error) {
 	content, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
@@ -38,11 +38,11 @@
 		return nil, fault.Storage.Wrap(err, "reading the snapshot")
 	}
 	if len(content) < checksumBytes {
-		return nil, fault.Corrupt.New("snapshot is cut short")
+		return nil, fault.Corrupt.New("snapshot is truncated")
 	}
 	payload := content[checksumBytes:]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(content) {
-		return nil, fault.Corrupt.New("snapshot fails its checksum")
+		return nil, fault.Corrupt.New("snapshot has a checksum mismatch")
 	}
 	snapshot := &wirepb.Snapshot{}
 	if err := proto.Unmarshal(payload, snapshot); err != nil {
