--- a/internal/datadir/datadir.go
+++ b/internal/datadir/datadir.go
@@ -1,5 +1,5 @@
-// Package datadir owns the data folder of a node: one process at a time, one
-// format version.
+// Package datadir manages a node's data directory. It locks the directory for one process at a time
+// and checks its format version and the node's identity.
 package datadir
 
 import (
@@ -12,53 +12,52 @@
 )
 
 const (
-	// FormatVersion is written to new folders; others are refused.
+	// FormatVersion is the only supported format of data directories.
 	FormatVersion = "weldline-data-1"
 	identityFile  = "IDENTITY"
 	lockFile      = "LOCK"
-	folderMode    = 0o750
+	directoryMode = 0o750
 	fileMode      = 0o640
 )
 
-// Identity says whose folder it is. It is written once, by Init: a control
-// node that finds none must not start, because a voter whose disk was lost has
-// forgotten its promises.
+// Identity identifies the owner of a data directory. It is written once. A control node must not
+// start with an empty directory under its old id, because a voter that lost its disk no longer
+// knows its votes and acknowledged entries.
 type Identity struct {
 	Format  string `json:"format"`
 	Cluster string `json:"cluster"`
 	// ControlID is the node's id in the replicated log.
 	ControlID uint64 `json:"controlId"`
-	// Join is set for a node that joins a running cluster. It knows no
-	// members until it has heard of them, and does not vote before.
+	// Join is set for a node that joins a running cluster. It does not vote until it has learned
+	// the membership.
 	Join bool `json:"join,omitempty"`
-	// First are the addresses of the first voters, where this node is one of
-	// them and they found each other by formation.
+	// First holds the addresses of the initial voters if this node is one of them and the cluster
+	// was formed through seeds.
 	First []string `json:"first,omitempty"`
 }
 
-// Dir is a locked data folder.
+// Dir is a locked data directory.
 type Dir struct {
 	path string
 	lock *os.File
 }
 
-// Init makes a new data folder. It fails where there is one already.
+// Init initializes a data directory. It fails if the directory is already initialized.
 func Init(path string, identity Identity) error {
-	dir, err := lockFolder(path)
+	dir, err := lockDirectory(path)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = dir.Close() }()
 	if _, err := os.Stat(dir.Path(identityFile)); err == nil {
-		return fault.Conflict.New("the data folder is initialised already")
+		return fault.Conflict.New("the data directory is already initialized")
 	}
 	return dir.writeIdentity(identity)
 }
 
-// Open takes the lock of an initialised folder and checks that it belongs to
-// the given node.
+// Open locks an initialized data directory and checks that it belongs to the given node.
 func Open(path, cluster string, controlID uint64) (*Dir, Identity, error) {
-	dir, err := lockFolder(path)
+	dir, err := lockDirectory(path)
 	if err != nil {
 		return nil, Identity{}, err
 	}
@@ -70,15 +69,14 @@
 	return dir, identity, nil
 }
 
-// OpenOrForm takes the lock of a folder; where it holds no identity, form gives
-// it one. An identity lives and dies with its disk: a node whose disk was lost
-// must not go on as the one that made promises.
-func OpenOrForm(path, cluster string, form func() Identity) (*Dir, Identity, error) {
-	dir, err := lockFolder(path)
+// OpenOrForm locks a data directory and initializes it with the result of newIdentity if it has no
+// identity.
+func OpenOrForm(path, cluster string, newIdentity func() Identity) (*Dir, Identity, error) {
+	dir, err := lockDirectory(path)
 	if err != nil {
 		return nil, Identity{}, err
 	}
-	identity, err := dir.identityOrForm(form)
+	identity, err := dir.readOrInitIdentity(newIdentity)
 	if err == nil {
 		identity, err = dir.checkIdentity(cluster, identity.ControlID)
 	}
@@ -89,7 +87,7 @@
 	return dir, identity, nil
 }
 
-func (d *Dir) identityOrForm(form func() Identity) (Identity, error) {
+func (d *Dir) readOrInitIdentity(newIdentity func() Identity) (Identity, error) {
 	identity := Identity{}
 	content, err := os.ReadFile(d.Path(identityFile))
 	if err == nil {
@@ -101,7 +99,7 @@
 	if !os.IsNotExist(err) {
 		return identity, fault.Storage.Wrap(err, "reading the identity")
 	}
-	identity = form()
+	identity = newIdentity()
 	return identity, d.writeIdentity(identity)
 }
 
@@ -114,9 +112,9 @@
 	return WriteFileSynced(d.Path(identityFile), append(content, '\n'))
 }
 
-func lockFolder(path string) (*Dir, error) {
-	if err := os.MkdirAll(path, folderMode); err != nil {
-		return nil, fault.Storage.Wrap(err, "creating the data folder")
+func lockDirectory(path string) (*Dir, error) {
+	if err := os.MkdirAll(path, directoryMode); err != nil {
+		return nil, fault.Storage.Wrap(err, "creating the data directory")
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -124,12 +122,12 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, fault.Storage.Wrap(err, "another process holds the data folder")
+		return nil, fault.Storage.Wrap(err, "the data directory is locked by another process")
 	}
 	return &Dir{path: path, lock: lock}, nil
 }
 
-// Path returns the path of a file or folder inside the data folder.
+// Path returns the path of a file or directory inside the data directory.
 func (d *Dir) Path(name string) string {
 	return filepath.Join(d.path, name)
 }
@@ -144,7 +142,7 @@
 	content, err := os.ReadFile(d.Path(identityFile))
 	if os.IsNotExist(err) {
 		return identity, fault.InvalidField("dataDir",
-			"the data folder is not initialised; run weldline init once for a new node, never for one that lost its disk")
+			"the data directory is not initialized; run weldline init once for a new node, never for one that lost its disk")
 	}
 	if err != nil {
 		return identity, fault.Storage.Wrap(err, "reading the identity")
@@ -154,17 +152,17 @@
 	}
 	switch {
 	case identity.Format != FormatVersion:
-		return identity, fault.Corrupt.New("data folder has format %q, this program writes %q", identity.Format, FormatVersion)
+		return identity, fault.Corrupt.New("the data directory has format %q, this build supports %q", identity.Format, FormatVersion)
 	case identity.Cluster != cluster:
-		return identity, fault.InvalidField("cluster", "the data folder belongs to cluster %q", identity.Cluster)
+		return identity, fault.InvalidField("cluster", "the data directory belongs to cluster %q", identity.Cluster)
 	case identity.ControlID != controlID:
-		return identity, fault.InvalidField("control.id", "the data folder belongs to control node %d", identity.ControlID)
+		return identity, fault.InvalidField("control.id", "the data directory belongs to control node %d", identity.ControlID)
 	}
 	return identity, nil
 }
 
-// WriteFileSynced replaces a file atomically: the content is synced under a
-// temporary name, renamed, and the folder synced.
+// WriteFileSynced replaces a file atomically and durably: it syncs a temporary file, renames it and
+// syncs the directory.
 func WriteFileSynced(path string, content []byte) error {
 	temporary := path + ".tmp"
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
@@ -187,15 +185,15 @@
 	return SyncDir(filepath.Dir(path))
 }
 
-// SyncDir makes creations, renames and removals in a folder durable.
+// SyncDir makes file creations, renames and removals in a directory durable.
 func SyncDir(path string) error {
-	folder, err := os.Open(path)
+	directory, err := os.Open(path)
 	if err != nil {
-		return fault.Storage.Wrap(err, "opening a folder to sync it")
+		return fault.Storage.Wrap(err, "opening a directory to sync it")
 	}
-	defer func() { _ = folder.Close() }()
-	if err := folder.Sync(); err != nil {
-		return fault.Storage.Wrap(err, "syncing a folder")
+	defer func() { _ = directory.Close() }()
+	if err := directory.Sync(); err != nil {
+		return fault.Storage.Wrap(err, "syncing a directory")
 	}
 	return nil
 }
--- a/internal/datadir/datadir_test.go
+++ b/internal/datadir/datadir_test.go
@@ -8,17 +8,17 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// TestIdentity lists which folders a node may open.
+// TestIdentity checks which data directories a node may initialize and open.
 func TestIdentity(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "data")
 	if _, _, err := Open(path, "cluster", 1); !fault.Is(err, fault.Invalid) || fault.FieldOf(err) != "dataDir" {
-		t.Errorf("a folder that was not initialised: %v", err)
+		t.Errorf("not initialized: %v", err)
 	}
 	if err := Init(path, Identity{Cluster: "cluster", ControlID: 1, Join: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := Init(path, Identity{Cluster: "cluster", ControlID: 1}); !fault.Is(err, fault.Conflict) {
-		t.Errorf("initialised twice: %v", err)
+		t.Errorf("initialized twice: %v", err)
 	}
 	if _, _, err := Open(path, "other", 1); fault.FieldOf(err) != "cluster" {
 		t.Errorf("another cluster: %v", err)
@@ -40,6 +40,6 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path, "cluster", 1); !fault.Is(err, fault.Corrupt) {
-		t.Errorf("a damaged identity: %v", err)
+		t.Errorf("corrupt identity: %v", err)
 	}
 }
