--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,7 +35,6 @@
 	RoleIngress Role = "ingress"
 )
 
-// Settings holds the settings of one node.
 type Settings struct {
 	// Cluster is the cluster's name; processes of different clusters reject each
 	// other. Required.
@@ -108,7 +107,6 @@
 	TolerateRegions int `yaml:"tolerateRegions"`
 }
 
-// IngressSettings configure the ingress role.
 type IngressSettings struct {
 	// Listen is the address for callers.
 	Listen string `yaml:"listen"`
@@ -168,7 +166,6 @@
 	Learner bool `yaml:"learner"`
 }
 
-// ControlSettings configure the control role.
 type ControlSettings struct {
 	// ID is this node's id among the members.
 	ID uint64 `yaml:"id"`
@@ -200,7 +197,6 @@
 	WriteToken string `yaml:"writeToken"`
 }
 
-// RouterSettings configure the router role.
 type RouterSettings struct {
 	// Listen is the address for callers.
 	Listen string `yaml:"listen"`
@@ -219,7 +215,6 @@
 	DrainTimeout time.Duration `yaml:"drainTimeout"`
 }
 
-// RelaySettings configure the relay role.
 type RelaySettings struct {
 	// Listen is the address for the nodes of the zone.
 	Listen string `yaml:"listen"`
--- a/internal/spec/claim.go
+++ b/internal/spec/claim.go
@@ -5,7 +5,6 @@
 	"slices"
 )
 
-// ClaimPhase is the phase of a claim.
 type ClaimPhase uint8
 
 const (
@@ -16,7 +15,6 @@
 	ClaimUnknown
 )
 
-// ClaimOperation is an operation of an attempt on a claim.
 type ClaimOperation uint8
 
 const (
@@ -57,7 +55,6 @@
 
 const claimAttempts = 2
 
-// AttemptState is the state of one attempt in the claim model.
 type AttemptState struct {
 	// Closing is set if the attempt gave up without sending, Crashed if its router crashed.
 	Granted, Sent, Closing, Crashed bool
@@ -65,7 +62,6 @@
 	Ran, ReportedNotRun bool
 }
 
-// ClaimState is a state of the claim model.
 type ClaimState struct {
 	Claim    Claim[uint8]
 	Attempts [claimAttempts]AttemptState
@@ -75,7 +71,8 @@
 type ClaimRules struct {
 	// SweepReopens makes a sweep allow another grant of an abandoned claim.
 	SweepReopens bool
-	// ReportBeforeClose reports "not run" before the claim is closed, while the attempt may still send.
+	// ReportBeforeClose reports "not run" before the claim is closed, while the attempt may
+	// still send.
 	ReportBeforeClose bool
 }
 
@@ -131,7 +128,8 @@
 	}
 }
 
-// requestSteps returns the transitions that request the claim, also repeatedly as a retried proposal does.
+// requestSteps returns the transitions that request the claim, also repeatedly as a retried
+// proposal does.
 func requestSteps(own AttemptState, owner uint8) []attemptStep {
 	if own.Crashed {
 		return nil
--- a/internal/spec/explore.go
+++ b/internal/spec/explore.go
@@ -9,13 +9,12 @@
 	Violation func(state S) string
 }
 
-// Exploration is the outcome of Explore.
 type Exploration struct {
-	// States is the number of states reached.
 	States int
 	// Complete is false if the limit or a violation ended the exploration.
 	Complete bool
-	// Violation is the violated invariant, and Trace the shortest sequence of actions that leads to it.
+	// Violation is the violated invariant, and Trace a shortest sequence of actions that leads
+	// to it.
 	Violation string
 	Trace     []string
 }
--- a/internal/spec/load.go
+++ b/internal/spec/load.go
@@ -148,8 +148,8 @@
 	visit(fmt.Sprintf("engine loads %d", replica), state)
 }
 
-// removeConfirmed removes a record if the report proves that the engine does not hold the replica and will
-// not load it again.
+// removeConfirmed removes a record if the report proves that the engine does not hold the replica
+// and will not load it again.
 func removeConfirmed(state LoadState, replica int, visit func(string, LoadState)) {
 	record := &state.Records[replica]
 	restarted := state.ReportIncarnation > record.Incarnation
--- a/internal/spec/log.go
+++ b/internal/spec/log.go
@@ -16,7 +16,6 @@
 	leaseTicks  = 1
 )
 
-// LogNode is the state of one node in the log model.
 type LogNode struct {
 	Term, Vote uint8
 	// Votes is the set of nodes that voted for this candidate, as bits.
@@ -26,7 +25,7 @@
 	// ReleasedTerm is the highest term up to which no leader is known to hold a lease.
 	WasLeader    bool
 	ReleasedTerm uint8
-	// StickyTicks and LeaseTicks are the remaining ticks of leader stickiness and of the leader's lease.
+	// StickyTicks and LeaseTicks are the remaining ticks of leader stickiness and of the lease.
 	StickyTicks, LeaseTicks uint8
 	// Entries holds the terms of the node's entries, followed by zeros.
 	Entries [logEntries]uint8
@@ -35,7 +34,6 @@
 	Answered, Age uint8
 }
 
-// LogState is a state of the log model.
 type LogState struct {
 	Nodes [logNodes]LogNode
 	// Committed holds the terms of all entries that were ever committed.
--- a/internal/spec/spec_test.go
+++ b/internal/spec/spec_test.go
@@ -4,8 +4,8 @@
 
 const stateLimit = 3_000_000
 
-// checkModel explores a model. Without an expected violation the exploration must be complete; otherwise
-// it must find that violation.
+// checkModel explores a model. Without an expected violation the exploration must be complete,
+// otherwise it must find that violation.
 func checkModel[S comparable](t *testing.T, name string, model Model[S], expected string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
--- a/internal/state/declare.go
+++ b/internal/state/declare.go
@@ -9,8 +9,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// LabelSource is the label of objects that were not written through the API; its value
-// names their source.
+// LabelSource is the label of objects that were not written individually; its value names
+// their source.
 const (
 	LabelSource        = "weldline/source"
 	SourceDocument     = "document"
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -50,7 +50,7 @@
 	// declaration is the document in effect, or nil.
 	declaration *wirepb.Declaration
 	level       level.Level
-	// specsScanned counts the specs scanned for references; tests use it to bound the cost of a write.
+	// specsScanned counts the specs scanned for references; tests bound the cost of a write with it.
 	specsScanned int
 	// unsupported is set once the log holds something that this build can't apply.
 	unsupported error
--- a/internal/storage/storage_bench_test.go
+++ b/internal/storage/storage_bench_test.go
@@ -15,7 +15,7 @@
 
 const commandBytes = 512
 
-// testCluster is up to three members with separate data directories that exchange messages in memory.
+// testCluster holds members with separate data directories that exchange messages in memory.
 type testCluster struct {
 	tb      testing.TB
 	members map[uint64]*member.Member
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -27,8 +27,8 @@
 	return maxCompressors
 }
 
-// reserveCompressor reserves a compressor unless limit are in use. The handshake reserves it before it
-// replies, so that concurrent handshakes can't exceed the limit.
+// reserveCompressor fails if limit compressors are in use. A server reserves one before it replies
+// to a Hello, so that concurrent handshakes can't exceed the limit.
 func (c *Counters) reserveCompressor(limit int64) bool {
 	if c.compressors.Add(1) <= limit {
 		return true
