--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -48,7 +48,7 @@
 
 // isUnheard reports whether a leader is known that does not hear this node.
 func (n *Node) isUnheard() bool {
-	return n.status.Load().Unheard(n.now())
+	return n.status.Load().IsolatedFromLeader(n.now())
 }
 
 // ChangesAfter implements feed.Backend from this node's copy of the state.
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -88,7 +88,7 @@
 	formation := n.settings.Formation
 	return membership.Policy{
 		Voters: formation.Voters(), Zones: formation.TolerateZones, Regions: formation.TolerateRegions,
-		Places: n.settings.Position().Map, ReplaceAfter: n.settings.Control.ReplaceAfter, ForgetAfter: forgetLearnerAfter,
+		Places: n.settings.Position().Map, ReplaceAfter: n.settings.Control.ReplaceAfter, RemoveLearnerAfter: forgetLearnerAfter,
 	}
 }
 
@@ -99,7 +99,7 @@
 		return
 	}
 	formation := n.settings.Formation
-	borne := membership.Bears(current, n.membershipPolicy())
+	borne := membership.ToleranceOf(current, n.membershipPolicy())
 	n.metrics.observeTolerance(borne)
 	n.logger.Info("voters_bear", "voters", len(current.GetVoters()),
 		"machines", borne.Machines, "zones", borne.Zones, "regions", borne.Regions)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -50,10 +50,10 @@
 	ID uint64
 	// Join is set for a node that learns the members from the others.
 	Join bool
-	// First are the addresses of the first voters, in a system that formed
+	// FirstVoters are the addresses of the first voters, in a system that formed
 	// from seeds with this node among them.
-	First   []string
-	Metrics *Metrics
+	FirstVoters []string
+	Metrics     *Metrics
 	// Self is how the node introduces itself, with its id in the log.
 	Self wire.Identity
 	// Seeds are where some control nodes listen, by the settings as last read.
@@ -185,8 +185,8 @@
 	if options.Join {
 		return membership
 	}
-	if len(options.First) > 0 {
-		return members.First(options.First)
+	if len(options.FirstVoters) > 0 {
+		return members.InitialMembership(options.FirstVoters)
 	}
 	for _, entry := range options.Settings.Control.Members {
 		if entry.Learner {
@@ -262,7 +262,7 @@
 // a restart finds little to replay: until it is done, the node helps nobody.
 func (n *Node) compactInCalm() error {
 	now := n.now()
-	if !n.HasLeader() || now-n.calmSince < calmTime || !n.member.ReplayIsLong() {
+	if !n.HasLeader() || now-n.calmSince < calmTime || !n.member.ShouldCompact() {
 		return nil
 	}
 	n.calmSince = now
@@ -353,7 +353,7 @@
 	}
 	n.unheard = unheard
 	n.logger.Warn("leader_contact", "heard", !unheard, "leader", status.Leader, "term", status.Term,
-		"overdue_ms", (n.now() - status.HeardUntil).Milliseconds())
+		"overdue_ms", (n.now() - status.ReachableUntil).Milliseconds())
 }
 
 // stop hands leadership over, so that a planned stop costs no election.
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -363,11 +363,11 @@
 	switch {
 	case status.Role == raft.Leader:
 		for id, peer := range n.member.Raft.Peers() {
-			if peer.Silent > limit {
+			if peer.InactiveFor > limit {
 				n.renewLink(id, limit)
 			}
 		}
-	case status.Unheard(now):
+	case status.IsolatedFromLeader(now):
 		n.renewLink(status.Leader, limit)
 	case status.Leader == raft.None && now-status.LastContact > limit:
 		for _, link := range n.peers.all() {
@@ -448,7 +448,7 @@
 		}
 		n.logger.Info("member_gone", "member", dialled.ID, "address", dialled.Address, "successor", peer.GetControlId())
 		select {
-		case n.actions <- func() { n.member.Raft.NoteGone(n.now(), dialled.ID) }:
+		case n.actions <- func() { n.member.Raft.MarkTerminated(n.now(), dialled.ID) }:
 		case <-ctx.Done():
 		}
 	}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -60,8 +60,8 @@
 func silentVoter(status raft.Status, peers map[uint64]raft.PeerState, replaceAfter time.Duration) uint64 {
 	longest, silent := replaceAfter, raft.None
 	for _, id := range status.Voters {
-		if id != status.ID && peers[id].Silent > longest {
-			longest, silent = peers[id].Silent, id
+		if id != status.ID && peers[id].InactiveFor > longest {
+			longest, silent = peers[id].InactiveFor, id
 		}
 	}
 	return silent
@@ -70,7 +70,7 @@
 func readyLearner(status raft.Status, peers map[uint64]raft.PeerState, replaceAfter time.Duration) uint64 {
 	for _, id := range status.Learners {
 		peer := peers[id]
-		if peer.Silent < replaceAfter/2 && peer.Match+maxPromotionLag >= status.Last {
+		if peer.InactiveFor < replaceAfter/2 && peer.Match+maxPromotionLag >= status.Last {
 			return id
 		}
 	}
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -27,7 +27,7 @@
 				status.Learners = append(status.Learners, id)
 			}
 			peers[id] = raft.PeerState{
-				Silent: time.Duration(number(t, fields[2])) * time.Second, Match: status.Last - number(t, fields[3]),
+				InactiveFor: time.Duration(number(t, fields[2])) * time.Second, Match: status.Last - number(t, fields[3]),
 			}
 		}
 		next := NextMembership(status, peers, 3, 30*time.Second)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -234,7 +234,7 @@
 func (m *Member) maybeCompact() error {
 	status := m.Raft.Status()
 	tail := m.compactEvery / compactTailShare
-	held := status.Applied - (status.FirstHeld - 1)
+	held := status.Applied - (status.FirstIndex - 1)
 	if m.logBytes >= maxLogBytes {
 		tail = min(tail, bytesTail)
 	} else if held < m.compactEvery+tail {
@@ -246,9 +246,9 @@
 	return m.compact(tail)
 }
 
-// ReplayIsLong reports whether a restart would replay much more than it reads of
+// ShouldCompact reports whether a restart would replay much more than it reads of
 // the snapshot. A driver that has time then calls CompactNow.
-func (m *Member) ReplayIsLong() bool {
+func (m *Member) ShouldCompact() bool {
 	return m.logBytes >= max(shortReplay, replayShare*len(m.snapshot.GetData()))
 }
 
@@ -256,7 +256,7 @@
 // storage failed.
 func (m *Member) CompactNow() error {
 	status := m.Raft.Status()
-	return m.compact(min(quietTail, status.Applied-(status.FirstHeld-1)))
+	return m.compact(min(quietTail, status.Applied-(status.FirstIndex-1)))
 }
 
 // compact takes a snapshot of what has been applied and keeps some entries behind
@@ -267,7 +267,7 @@
 	if err != nil {
 		return err
 	}
-	snapshot := &wirepb.Snapshot{Meta: m.Raft.MetaAt(status.Applied), Data: data}
+	snapshot := &wirepb.Snapshot{Meta: m.Raft.SnapshotMetaAt(status.Applied), Data: data}
 	m.Raft.Compact(status.Applied - tail)
 	rest := &wirepb.WalRecord{HardState: m.Raft.HardState(), Entries: m.Raft.EntriesAfterSnapshot()}
 	if err := m.storage.SaveSnapshot(snapshot, rest); err != nil {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -65,7 +65,7 @@
 			t.Fatal(err)
 		}
 		process(t, held)
-		if held.ReplayIsLong() {
+		if held.ShouldCompact() {
 			if err := held.CompactNow(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/membership/formation_test.go
+++ b/internal/membership/formation_test.go
@@ -101,7 +101,7 @@
 	if target.disk == nil {
 		target.disk, target.first = &disk{}, nil
 		if first && slices.Contains(c.seeds, target.address) {
-			target.id, target.first = membership.FirstID(target.address), c.seeds
+			target.id, target.first = membership.SeedID(target.address), c.seeds
 		} else {
 			c.nextID++
 			target.id = c.nextID
@@ -109,7 +109,7 @@
 	}
 	initial := &wirepb.Membership{}
 	if len(target.first) > 0 {
-		initial = membership.First(target.first)
+		initial = membership.InitialMembership(target.first)
 	}
 	config := raft.Config{
 		ID: target.id, ElectionTimeout: electionTimeout, HeartbeatInterval: 100 * time.Millisecond, LeaseMargin: 100 * time.Millisecond,
@@ -220,7 +220,7 @@
 	node := leading.member.Raft
 	next := membership.Next(membership.Input{
 		Status: node.Status(), Current: node.Membership(), Peers: node.Peers(), Joins: joins,
-		Policy: membership.Policy{Voters: c.voters, Zones: c.zones, ReplaceAfter: replaceAfter, ForgetAfter: 30 * time.Second},
+		Policy: membership.Policy{Voters: c.voters, Zones: c.zones, ReplaceAfter: replaceAfter, RemoveLearnerAfter: 30 * time.Second},
 	})
 	if next != nil {
 		_ = node.ProposeMembership(c.now, next)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -44,8 +44,8 @@
 	// ReplaceAfter is how long a voter may be silent before a learner takes
 	// its place.
 	ReplaceAfter time.Duration
-	// ForgetAfter is how long a learner may be silent before it is removed.
-	ForgetAfter time.Duration
+	// RemoveLearnerAfter is how long a learner may be silent before it is removed.
+	RemoveLearnerAfter time.Duration
 }
 
 // Input is everything that a step depends on.
@@ -59,9 +59,9 @@
 	Policy Policy
 }
 
-// FirstID is the identity of a first voter: all nodes derive it alike from
+// SeedID is the identity of a first voter: all nodes derive it alike from
 // its address, without asking each other.
-func FirstID(address string) uint64 {
+func SeedID(address string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(address))
 	id := digest.Sum64()
@@ -71,11 +71,11 @@
 	return id
 }
 
-// First returns the membership of a system that starts for the first time.
-func First(addresses []string) *wirepb.Membership {
+// InitialMembership returns the membership of a system that starts for the first time.
+func InitialMembership(addresses []string) *wirepb.Membership {
 	first := &wirepb.Membership{}
 	for _, address := range addresses {
-		id := FirstID(address)
+		id := SeedID(address)
 		first.Voters = append(first.Voters, id)
 		first.Addresses = append(first.Addresses, &wirepb.MemberAddress{Id: id, Address: address})
 	}
@@ -209,7 +209,7 @@
 // forgetLearner removes a learner that has been silent for long.
 func forgetLearner(input Input) *wirepb.Membership {
 	for _, id := range input.Current.GetLearners() {
-		if input.Peers[id].Silent > input.Policy.ForgetAfter {
+		if input.Peers[id].InactiveFor > input.Policy.RemoveLearnerAfter {
 			return without(input.Current, id)
 		}
 	}
@@ -219,8 +219,8 @@
 func silentVoter(input Input) uint64 {
 	longest, silent := input.Policy.ReplaceAfter, raft.None
 	for _, id := range input.Current.GetVoters() {
-		if id != input.Status.ID && input.Peers[id].Silent > longest {
-			longest, silent = input.Peers[id].Silent, id
+		if id != input.Status.ID && input.Peers[id].InactiveFor > longest {
+			longest, silent = input.Peers[id].InactiveFor, id
 		}
 	}
 	return silent
@@ -244,7 +244,7 @@
 	var ready []uint64
 	for _, id := range input.Current.GetLearners() {
 		peer := input.Peers[id]
-		if peer.Silent < input.Policy.ReplaceAfter/2 && peer.Match+maxPromotionLag >= input.Status.Last && peer.Match > 0 {
+		if peer.InactiveFor < input.Policy.ReplaceAfter/2 && peer.Match+maxPromotionLag >= input.Status.Last && peer.Match > 0 {
 			ready = append(ready, id)
 		}
 	}
@@ -255,7 +255,7 @@
 func liveVoters(input Input) []uint64 {
 	var live []uint64
 	for _, id := range input.Current.GetVoters() {
-		if id == input.Status.ID || input.Peers[id].Silent <= input.Policy.ReplaceAfter {
+		if id == input.Status.ID || input.Peers[id].InactiveFor <= input.Policy.ReplaceAfter {
 			live = append(live, id)
 		}
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -225,7 +225,7 @@
 	current := &wirepb.Membership{
 		Voters: []uint64{1, 2, 3}, Addresses: []*wirepb.MemberAddress{address(1, "a"), address(2, "b"), address(3, "c")},
 	}
-	input := membership.Input{Current: current, Policy: membership.Policy{Voters: 3, ReplaceAfter: replaceAfter, ForgetAfter: time.Minute}}
+	input := membership.Input{Current: current, Policy: membership.Policy{Voters: 3, ReplaceAfter: replaceAfter, RemoveLearnerAfter: time.Minute}}
 	input.Status.ID = 1
 	if next := membership.Next(input); next != nil {
 		t.Errorf("a whole set changes: %v", next)
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -18,8 +18,8 @@
 	Machines, Zones, Regions int
 }
 
-// Bears returns what the voters of a membership bear.
-func Bears(current *wirepb.Membership, policy Policy) Tolerance {
+// ToleranceOf returns what the voters of a membership bear.
+func ToleranceOf(current *wirepb.Membership, policy Policy) Tolerance {
 	counts := countsOf(current, policy, current.GetVoters())
 	return Tolerance{Machines: counts.spare(), Zones: counts.bearable(counts.zones), Regions: counts.bearable(counts.regions)}
 }
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	policy := membership.Policy{ReplaceAfter: replaceAfter, ForgetAfter: time.Minute}
+	policy := membership.Policy{ReplaceAfter: replaceAfter, RemoveLearnerAfter: time.Minute}
 	d.ScanArgs(t, "machines", &machines)
 	d.MaybeScanArgs(t, "zones", &policy.Zones)
 	d.MaybeScanArgs(t, "regions", &policy.Regions)
@@ -81,7 +81,7 @@
 		for id, name := range l.names {
 			state := raft.PeerState{Match: 9}
 			if l.silent[name] {
-				state.Silent = 2 * replaceAfter
+				state.InactiveFor = 2 * replaceAfter
 			}
 			l.input.Peers[id] = state
 		}
@@ -148,7 +148,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		fmt.Fprintf(&out, " %s=%d", zone, zones[zone])
 	}
-	borne := membership.Bears(l.input.Current, l.input.Policy)
+	borne := membership.ToleranceOf(l.input.Current, l.input.Policy)
 	fmt.Fprintf(&out, "\nbears machines=%d zones=%d regions=%d\n", borne.Machines, borne.Zones, borne.Regions)
 	return out.String()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -127,7 +127,7 @@
 		identity := datadir.Identity{Cluster: n.settings.Cluster}
 		own := n.settings.Control.Advertise
 		if seeds := n.settings.Formation.Addresses(); n.settings.Formation.First && slices.Contains(seeds, own) {
-			identity.ControlID, identity.First = membership.FirstID(own), seeds
+			identity.ControlID, identity.First = membership.SeedID(own), seeds
 			return identity
 		}
 		identity.ControlID, identity.Join = max(1, rand.Uint64()), true
@@ -159,7 +159,7 @@
 	}
 	n.control, err = control.New(control.Options{
 		Settings: n.settings, Logger: n.logger, Storage: disk, Recovered: recovered, Join: identity.Join,
-		ID: identity.ControlID, First: identity.First, Engines: n.extensions.Engines,
+		ID: identity.ControlID, FirstVoters: identity.First, Engines: n.extensions.Engines,
 		Seeds:   func() []string { return n.seeds.Load().Addresses() },
 		Metrics: control.NewMetrics(n.registry), Self: self,
 	})
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -137,7 +137,7 @@
 			lease = " lease"
 		}
 		snapshot := ""
-		if status.FirstHeld > 1 {
+		if status.FirstIndex > 1 {
 			snapshot = " compacted"
 		}
 		fmt.Fprintf(&out, "%d: %s term=%d leader=%d voters=%v learners=%v applied=%s%s%s\n",
@@ -213,7 +213,7 @@
 	case "gone":
 		var gone uint64
 		d.ScanArgs(t, "member", &gone)
-		c.members[one()].Raft.NoteGone(c.now, gone)
+		c.members[one()].Raft.MarkTerminated(c.now, gone)
 	case "lose-disk":
 		delete(c.disks, one())
 	case "start":
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -102,8 +102,8 @@
 
 // PeerState is a leader's view of one member.
 type PeerState struct {
-	Match  uint64
-	Silent time.Duration
+	Match       uint64
+	InactiveFor time.Duration
 }
 
 // Peers returns the leader's view of the other members; nil on followers.
@@ -114,7 +114,7 @@
 	peers := map[uint64]PeerState{}
 	for _, id := range n.peers() {
 		state := n.progress[id]
-		peers[id] = PeerState{Match: state.match, Silent: n.now - state.lastActive}
+		peers[id] = PeerState{Match: state.match, InactiveFor: n.now - state.lastActive}
 	}
 	return peers
 }
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -313,8 +313,8 @@
 	return n.hardState()
 }
 
-// MetaAt describes a snapshot of everything up to index.
-func (n *Node) MetaAt(index uint64) *wirepb.SnapshotMeta {
+// SnapshotMetaAt describes a snapshot of everything up to index.
+func (n *Node) SnapshotMetaAt(index uint64) *wirepb.SnapshotMeta {
 	return &wirepb.SnapshotMeta{Index: index, Term: n.log.term(index), Membership: n.membership}
 }
 
@@ -334,37 +334,37 @@
 	// CommittedOwnTerm is set once a leader has committed an entry of its
 	// term, and so knows everything committed before.
 	CommittedOwnTerm bool
-	// FirstHeld is the index of the oldest entry still held.
-	FirstHeld uint64
+	// FirstIndex is the index of the oldest entry still held.
+	FirstIndex uint64
 	// LastContact is when the node last heard from a leader, or started.
 	LastContact time.Duration
-	// HeardUntil is until when a follower may take its leader to hear it; see contact.
-	HeardUntil time.Duration
+	// ReachableUntil is until when a follower may take its leader to hear it; see contact.
+	ReachableUntil time.Duration
 	// ElectionTimeout is for how long a leader asks its followers to elect no other, or a
 	// follower promises that.
 	ElectionTimeout time.Duration
-	// LeaderHearsQuorum is whether a follower's leader heard a quorum lately, by its newest
+	// LeaderHasQuorum is whether a follower's leader heard a quorum lately, by its newest
 	// heartbeat.
-	LeaderHearsQuorum bool
+	LeaderHasQuorum bool
 }
 
-// Heard reports whether the leader, this node or another, hears this node at now: what the node
+// ReachesLeader reports whether the leader, this node or another, hears this node at now: what the node
 // says and acknowledges arrives. It is false where no leader is known.
-func (s Status) Heard(now time.Duration) bool {
+func (s Status) ReachesLeader(now time.Duration) bool {
 	switch s.Leader {
 	case None:
 		return false
 	case s.ID:
 		return true
 	}
-	return now < s.HeardUntil
+	return now < s.ReachableUntil
 }
 
-// Unheard reports whether a leader is known that hears others and not this node: the node gets
+// IsolatedFromLeader reports whether a leader is known that hears others and not this node: the node gets
 // heartbeats and soft state, and the log does not reach it. A leader that hears nobody is at
 // fault itself, and no follower is better than another.
-func (s Status) Unheard(now time.Duration) bool {
-	return s.Leader != None && s.LeaderHearsQuorum && !s.Heard(now)
+func (s Status) IsolatedFromLeader(now time.Duration) bool {
+	return s.Leader != None && s.LeaderHasQuorum && !s.ReachesLeader(now)
 }
 
 // LeaseHeld reports whether the node may decide and answer reads at now: it
@@ -388,8 +388,8 @@
 		ID: n.config.ID, Term: n.term, Leader: n.leader, Role: n.role,
 		Committed: n.log.committed, Applied: n.log.applied, Last: n.log.lastIndex(),
 		Voters: n.membership.GetVoters(), Learners: n.membership.GetLearners(),
-		LeaseUntil: n.leaseUntil(), CommittedOwnTerm: n.log.term(n.log.committed) == n.term, FirstHeld: n.log.offset + 1,
-		LastContact: n.lastContact, HeardUntil: n.heardUntil(), LeaderHearsQuorum: n.contact.quorumHeard,
+		LeaseUntil: n.leaseUntil(), CommittedOwnTerm: n.log.term(n.log.committed) == n.term, FirstIndex: n.log.offset + 1,
+		LastContact: n.lastContact, ReachableUntil: n.heardUntil(), LeaderHasQuorum: n.contact.quorumHeard,
 		ElectionTimeout: n.patience(),
 	}
 }
--- a/internal/raft/release.go
+++ b/internal/raft/release.go
@@ -143,9 +143,9 @@
 	}
 }
 
-// NoteGone tells that a member's process has ended for good: another identity
+// MarkTerminated tells that a member's process has ended for good: another identity
 // runs at its address.
-func (n *Node) NoteGone(now time.Duration, id uint64) {
+func (n *Node) MarkTerminated(now time.Duration, id uint64) {
 	n.advanceClock(now)
 	n.idle[id] = gone
 	if n.leader == id {
--- a/internal/raft/snapshot_test.go
+++ b/internal/raft/snapshot_test.go
@@ -85,7 +85,7 @@
 	follower := newFollower(t, 5, 1)
 	stepSnapshot(follower, 3, 2)
 	status := follower.Status()
-	if status.Last != 3 || status.Committed != 3 || status.FirstHeld != 4 {
-		t.Errorf("last %d, committed %d, first held %d; wanted 3, 3, 4", status.Last, status.Committed, status.FirstHeld)
+	if status.Last != 3 || status.Committed != 3 || status.FirstIndex != 4 {
+		t.Errorf("last %d, committed %d, first held %d; wanted 3, 3, 4", status.Last, status.Committed, status.FirstIndex)
 	}
 }
