--- a/internal/control/sleep_test.go
+++ b/internal/control/sleep_test.go
@@ -9,40 +9,40 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// sleepingClock is a clock that a test lets run on as during a sleep of the machine.
-type sleepingClock struct {
-	slept atomic.Int64
+// suspendClock is a clock that a test can advance, as a suspend of the machine does.
+type suspendClock struct {
+	suspended atomic.Int64
 }
 
-func (c *sleepingClock) now() time.Duration {
-	return clock.Now() + time.Duration(c.slept.Load())
+func (c *suspendClock) now() time.Duration {
+	return clock.Now() + time.Duration(c.suspended.Load())
 }
 
-func (c *sleepingClock) sleep(span time.Duration) {
-	c.slept.Add(int64(span))
+func (c *suspendClock) suspend(span time.Duration) {
+	c.suspended.Add(int64(span))
 }
 
-// TestLeaderThatSleptLeadsNoMore: timers and the steady clock stand still during a sleep. The
-// others have a new leader by then, which this one can't know before it hears of it.
-func TestLeaderThatSleptLeadsNoMore(t *testing.T) {
+// TestLeaseExpiresDuringSuspend checks that a leader does not act after a suspend, during which
+// monotonic clocks and timers may stop while another leader is elected.
+func TestLeaseExpiresDuringSuspend(t *testing.T) {
 	for _, span := range []time.Duration{time.Second, 4 * time.Second, 12 * time.Second} {
-		cluster := startTrio(t)
+		cluster := startCluster(t)
 		leader, _ := cluster.leaderAndFollower()
 		node := cluster.nodes[leader]
-		cluster.eventually("the leader may give orders", func() bool {
+		cluster.eventually("the leader holds the lease", func() bool {
 			return node.leads()
 		})
-		// Nothing that it asks from now on is answered, so that nothing renews its lease.
+		// From here on nothing renews the lease.
 		cluster.cuts[leader].Store(true)
-		cluster.clocks[leader].sleep(span)
+		cluster.clocks[leader].suspend(span)
 		if node.leads() {
-			t.Errorf("the leader holds its lease after a sleep of %s", span)
+			t.Errorf("the lease is held after a suspend of %s", span)
 		}
 		if _, err := node.localStatus(&wirepb.StatusRequest{RevisionOnly: true}); err == nil {
-			t.Errorf("the leader confirms a revision after a sleep of %s", span)
+			t.Errorf("the leader confirms a revision after a suspend of %s", span)
 		}
 		cluster.cuts[leader].Store(false)
-		cluster.eventually("somebody leads again", func() bool {
+		cluster.eventually("a leader", func() bool {
 			for _, other := range cluster.nodes {
 				if other.leads() {
 					return true
--- a/internal/raft/contact_test.go
+++ b/internal/raft/contact_test.go
@@ -5,66 +5,66 @@
 	"time"
 )
 
-// TestFollowerKnowsWhetherItIsHeard: a follower whose replies are lost goes on getting
-// heartbeats. What they confirm tells it apart from one that is heard.
-func TestFollowerKnowsWhetherItIsHeard(t *testing.T) {
+// TestFollowerDetectsOneWayConnection checks that a follower whose replies are lost detects this
+// although it keeps receiving heartbeats.
+func TestFollowerDetectsOneWayConnection(t *testing.T) {
 	const (
 		interval = 100 * time.Millisecond
 		timeout  = 250 * time.Millisecond
 	)
 	node := &Node{config: Config{ID: 2, ElectionTimeout: timeout}, promise: timeout, leader: 1}
-	held := &node.contact
+	tracker := &node.replyTracker
 	now := time.Duration(0)
 	status := func() Status {
-		return Status{ID: 2, Leader: 1, ReachableUntil: node.heardUntil(), LeaderHasQuorum: true}
+		return Status{ID: 2, Leader: 1, ReachableUntil: node.reachableUntil(), LeaderHasQuorum: true}
 	}
-	beat := func(term, round, confirmed uint64) {
+	heartbeat := func(term, round, confirmed uint64) {
 		now += interval
-		held.confirm(term, confirmed)
-		held.reply(now, term, round)
+		tracker.confirmRound(term, confirmed)
+		tracker.recordReply(now, term, round)
 	}
 	for round := uint64(1); round <= 100; round++ {
-		beat(1, round, round-1)
+		heartbeat(1, round, round-1)
 		if !status().ReachesLeader(now) {
-			t.Fatalf("not heard in round %d", round)
+			t.Fatalf("does not reach the leader in round %d", round)
 		}
 	}
-	// From here on the replies are lost: the last one confirmed stays the same.
-	lost := now
+	// From here on replies are lost: the confirmed round no longer advances.
+	lastConfirmedAt := now
 	for round := uint64(101); round <= 110; round++ {
-		beat(1, round, 100)
+		heartbeat(1, round, 100)
 	}
-	if held.heard != lost {
-		t.Errorf("heard at %s, the last reply that arrived was sent at %s", held.heard, lost)
+	if tracker.confirmedSentAt != lastConfirmedAt {
+		t.Errorf("last confirmed reply sent at %s, want %s", tracker.confirmedSentAt, lastConfirmedAt)
 	}
 	if status().ReachesLeader(now) {
-		t.Error("heard although no reply arrives")
+		t.Error("reaches the leader although its replies are lost")
 	}
 	if !status().IsolatedFromLeader(now) {
-		t.Error("a leader that hears others does not hear this node, and it takes itself to be heard")
+		t.Error("not isolated although the leader has a quorum and receives no replies")
 	}
-	if alone := (Status{ID: 2, Leader: 1, ReachableUntil: node.heardUntil()}); alone.IsolatedFromLeader(now) {
-		t.Error("a leader that hears nobody is taken for one that does not hear this node")
+	if alone := (Status{ID: 2, Leader: 1, ReachableUntil: node.reachableUntil()}); alone.IsolatedFromLeader(now) {
+		t.Error("isolated from a leader without a quorum")
 	}
-	// A new leader has not confirmed anything yet, and gets the time for it. Rounds of the
-	// term before mean nothing in its term.
-	beat(2, 1, 0)
+	// A new leader gets the confirmation timeout from its first heartbeat. Rounds of the previous
+	// term do not count.
+	heartbeat(2, 1, 0)
 	if !status().ReachesLeader(now) {
-		t.Error("not heard by a leader that has just begun")
+		t.Error("does not reach a new leader within the confirmation timeout")
 	}
-	beat(2, 2, 105)
+	heartbeat(2, 2, 105)
 	for round := uint64(3); round <= 8; round++ {
-		beat(2, round, 0)
+		heartbeat(2, round, 0)
 	}
 	if status().ReachesLeader(now) {
-		t.Error("the new leader has confirmed nothing, and its time is over")
+		t.Error("reaches a new leader that has confirmed nothing within the timeout")
 	}
-	beat(2, 9, 8)
+	heartbeat(2, 9, 8)
 	if !status().ReachesLeader(now) {
-		t.Error("not heard after a confirmation")
+		t.Error("does not reach the leader after a confirmation")
 	}
 	leaderless, leading := Status{ID: 2}, Status{ID: 2, Leader: 2}
 	if leaderless.ReachesLeader(0) || leaderless.IsolatedFromLeader(now) || !leading.ReachesLeader(now) {
-		t.Error("without a leader there is nobody to hear a node; a leader hears itself")
+		t.Error("a node without a leader must reach none and be isolated from none; a leader must reach itself")
 	}
 }
