--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -77,7 +77,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wire.RetryPause(time.Since(lost))):
+		case <-time.After(wire.RetryDelay(time.Since(lost))):
 		}
 	}
 }
--- a/internal/wire/retry.go
+++ b/internal/wire/retry.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// SoonRetry is the mean delay between attempts to connect until a peer has been
-	// unreachable for SoonRetries, which covers the restart of a process.
-	SoonRetry   = 30 * time.Millisecond
-	SoonRetries = 3 * time.Second
-	// LateRetry is the mean delay after SoonRetries.
-	LateRetry = 200 * time.Millisecond
+	// FastRetryDelay is the mean delay between attempts to connect until a peer has been
+	// unreachable for FastRetryPeriod, which covers the restart of a process.
+	FastRetryDelay  = 30 * time.Millisecond
+	FastRetryPeriod = 3 * time.Second
+	// SlowRetryDelay is the mean delay after FastRetryPeriod.
+	SlowRetryDelay = 200 * time.Millisecond
 )
 
-// RetryPause returns the delay before the next attempt to connect to a peer that has been
+// RetryDelay returns the delay before the next attempt to connect to a peer that has been
 // unreachable for some time. It has a jitter of 50%, so that nodes that lost a peer at the same
 // time don't reconnect at the same time.
-func RetryPause(unreachable time.Duration) time.Duration {
-	mean := SoonRetry
-	if unreachable >= SoonRetries {
-		mean = LateRetry
+func RetryDelay(unreachable time.Duration) time.Duration {
+	mean := FastRetryDelay
+	if unreachable >= FastRetryPeriod {
+		mean = SlowRetryDelay
 	}
 	return mean/2 + rand.N(mean)
 }
--- a/internal/wire/retry_test.go
+++ b/internal/wire/retry_test.go
@@ -7,14 +7,14 @@
 	"github.com/weldline/weldline/internal/wire"
 )
 
-func TestRetryPause(t *testing.T) {
+func TestRetryDelay(t *testing.T) {
 	const draws = 1000
 	for _, test := range []struct{ unreachable, mean time.Duration }{
-		{0, wire.SoonRetry}, {wire.SoonRetries - 1, wire.SoonRetry}, {wire.SoonRetries, wire.LateRetry}, {time.Hour, wire.LateRetry},
+		{0, wire.FastRetryDelay}, {wire.FastRetryPeriod - 1, wire.FastRetryDelay}, {wire.FastRetryPeriod, wire.SlowRetryDelay}, {time.Hour, wire.SlowRetryDelay},
 	} {
 		distinct := map[time.Duration]bool{}
 		for range draws {
-			delay := wire.RetryPause(test.unreachable)
+			delay := wire.RetryDelay(test.unreachable)
 			if delay < test.mean/2 || delay > test.mean*3/2 {
 				t.Fatalf("unreachable for %s: a delay of %s", test.unreachable, delay)
 			}
