--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -166,8 +166,8 @@
 	return err
 }
 
-func (n *Node) identity() wire.Identity {
-	return wire.Identity{
+func (n *Node) identity() wire.Config {
+	return wire.Config{
 		Hello: &wirepb.Hello{
 			ProtocolVersion: wire.ProtocolVersion, Cluster: n.settings.Cluster,
 			Node: n.settings.Node, Zone: n.settings.Zone, Level: uint32(level.Supported),
--- a/internal/wire/compressors_test.go
+++ b/internal/wire/compressors_test.go
@@ -9,7 +9,7 @@
 
 // acceptHandshake performs a handshake over a pipe and returns the server's connection without
 // starting its writer.
-func acceptHandshake(t *testing.T, server Identity, controlID uint64) *Conn {
+func acceptHandshake(t *testing.T, server Config, controlID uint64) *Conn {
 	t.Helper()
 	dialled, accepted := net.Pipe()
 	client, conn := newConn(dialled, nil), newConn(accepted, server.Counters)
@@ -29,7 +29,7 @@
 // TestCompressorLimitDuringHandshakes checks that the limit holds for clients that connect before
 // any stream has started, as after the start of a server.
 func TestCompressorLimitDuringHandshakes(t *testing.T) {
-	server := Identity{Hello: &wirepb.Hello{ProtocolVersion: ProtocolVersion, Node: "server", Zone: "z"}, Counters: &Counters{}}
+	server := Config{Hello: &wirepb.Hello{ProtocolVersion: ProtocolVersion, Node: "server", Zone: "z"}, Counters: &Counters{}}
 	var conns []*Conn
 	compressed := 0
 	for range 2 * maxCompressors {
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -52,8 +52,8 @@
 	UnchangedInstances bool
 }
 
-// Identity configures the handshakes of a process.
-type Identity struct {
+// Config holds what a process uses for all of its connections.
+type Config struct {
 	Hello *wirepb.Hello
 	// Keys enables mutual TLS; nil leaves connections in plain text.
 	Keys     *keys.Store
@@ -66,18 +66,18 @@
 }
 
 // Dial connects to a server, performs the client's side of the handshake and starts the writer.
-func Dial(ctx context.Context, address string, self Identity) (*Conn, error) {
+func Dial(ctx context.Context, address string, config Config) (*Conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout, Control: tcpopt.Control, KeepAliveConfig: tcpopt.KeepAlive}
 	network, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fault.Unavailable.Wrap(err, "connecting to %s", address)
 	}
-	if self.Keys != nil {
-		network = tls.Client(network, self.Keys.PeerClient())
+	if config.Keys != nil {
+		network = tls.Client(network, config.Keys.PeerClient())
 	}
-	conn := newConn(network, self.Counters)
+	conn := newConn(network, config.Counters)
 	stop := context.AfterFunc(ctx, func() { _ = network.Close() })
-	err = conn.handshakeAsClient(self.Hello)
+	err = conn.handshakeAsClient(config.Hello)
 	if !stop() && err == nil {
 		err = fault.Unavailable.Wrap(ctx.Err(), "connecting to %s", address)
 	}
@@ -91,13 +91,13 @@
 }
 
 // Accept performs the server's side of the handshake on a new connection and starts the writer.
-func Accept(network net.Conn, self Identity) (*Conn, error) {
+func Accept(network net.Conn, config Config) (*Conn, error) {
 	tcpopt.Apply(network)
-	if self.Keys != nil {
-		network = tls.Server(network, self.Keys.PeerServer())
+	if config.Keys != nil {
+		network = tls.Server(network, config.Keys.PeerServer())
 	}
-	conn := newConn(network, self.Counters)
-	if err := conn.handshakeAsServer(self); err != nil {
+	conn := newConn(network, config.Counters)
+	if err := conn.handshakeAsServer(config); err != nil {
 		conn.releaseCompressor()
 		_ = network.Close()
 		return nil, err
@@ -162,30 +162,30 @@
 	return c.network.SetDeadline(time.Time{})
 }
 
-func (c *Conn) handshakeAsServer(self Identity) error {
+func (c *Conn) handshakeAsServer(config Config) error {
 	_ = c.network.SetDeadline(time.Now().Add(handshakeTimeout))
 	envelope, _, err := ReadFrame(c.reader)
 	if err != nil {
 		return err
 	}
 	hello := envelope.GetHello()
-	refusal := helloRefusal(hello, self.Hello)
-	if refusal == "" && self.Refuse != nil {
-		refusal = self.Refuse(hello)
+	refusal := helloRefusal(hello, config.Hello)
+	if refusal == "" && config.Refuse != nil {
+		refusal = config.Refuse(hello)
 	}
 	c.Peer = hello
 	if err := c.verifyPeerName(); refusal == "" && err != nil {
 		refusal = fault.Message(err)
 	}
 	reply := &wirepb.HelloReply{
-		ProtocolVersion: ProtocolVersion, Node: self.Hello.GetNode(), Refusal: refusal, ControlId: self.Hello.GetControlId(),
-		Zone: self.Hello.GetZone(), UnchangedInstances: true, Level: self.Hello.GetLevel(),
+		ProtocolVersion: ProtocolVersion, Node: config.Hello.GetNode(), Refusal: refusal, ControlId: config.Hello.GetControlId(),
+		Zone: config.Hello.GetZone(), UnchangedInstances: true, Level: config.Hello.GetLevel(),
 	}
 	c.deflateOut = refusal == "" && hello.GetDeflate() && c.counters.reserveCompressor(compressorLimit(hello))
 	reply.Deflate = c.deflateOut
 	c.deflateIn = c.deflateOut && dialerCompresses(hello, reply)
-	if self.Followers != nil {
-		reply.Followers = self.Followers()
+	if config.Followers != nil {
+		reply.Followers = config.Followers()
 	}
 	if err := c.writeAndFlush(&wirepb.Envelope{Body: &wirepb.Envelope_HelloReply{HelloReply: reply}}); err != nil {
 		return err
@@ -205,13 +205,13 @@
 	return keys.CheckName(secured.ConnectionState(), c.Peer.GetNode())
 }
 
-func helloRefusal(hello, self *wirepb.Hello) string {
+func helloRefusal(hello, own *wirepb.Hello) string {
 	switch {
 	case hello == nil:
 		return "the first frame is not a hello"
 	case hello.GetProtocolVersion() != ProtocolVersion:
 		return "protocol version differs"
-	case hello.GetCluster() != self.GetCluster():
+	case hello.GetCluster() != own.GetCluster():
 		return "cluster name differs"
 	}
 	return ""
--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -13,26 +13,26 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-func identity(t *testing.T, node string, files *keys.Files) wire.Identity {
+func configFor(t *testing.T, node string, files *keys.Files) wire.Config {
 	t.Helper()
-	self := wire.Identity{
+	config := wire.Config{
 		Hello:    &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "test", Node: node},
 		Counters: &wire.Counters{},
 	}
 	if files == nil {
-		return self
+		return config
 	}
 	store, err := keys.Load(*files)
 	if err != nil {
 		t.Fatal(err)
 	}
-	self.Keys = store
-	return self
+	config.Keys = store
+	return config
 }
 
 // connect connects a client to a server, sends a message if the handshake succeeds, and returns
 // both sides' errors.
-func connect(t *testing.T, server, client wire.Identity) (serverErr, clientErr error) {
+func connect(t *testing.T, server, client wire.Config) (serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,35 +74,35 @@
 func TestHandshake(t *testing.T) {
 	ours, theirs := keystest.NewAuthority(t), keystest.NewAuthority(t)
 	server, client, stranger := ours.Issue("server"), ours.Issue("client"), theirs.Issue("client")
-	otherCluster := identity(t, "client", nil)
+	otherCluster := configFor(t, "client", nil)
 	otherCluster.Hello.Cluster = "other"
-	otherVersion := identity(t, "client", nil)
+	otherVersion := configFor(t, "client", nil)
 	otherVersion.Hello.ProtocolVersion = wire.ProtocolVersion + 1
-	refusing := identity(t, "server", nil)
+	refusing := configFor(t, "server", nil)
 	refusing.Refuse = func(hello *wirepb.Hello) string {
 		if hello.GetControlId() == 0 {
 			return "no state yet"
 		}
 		return ""
 	}
-	peer := identity(t, "peer", nil)
+	peer := configFor(t, "peer", nil)
 	peer.Hello.ControlId = 7
 	cases := []struct {
 		name           string
-		server, client wire.Identity
+		server, client wire.Config
 		accepted       bool
 	}{
-		{"plain text", identity(t, "server", nil), identity(t, "client", nil), true},
-		{"another cluster", identity(t, "server", nil), otherCluster, false},
-		{"another protocol version", identity(t, "server", nil), otherVersion, false},
-		{"a server without state", refusing, identity(t, "client", nil), false},
+		{"plain text", configFor(t, "server", nil), configFor(t, "client", nil), true},
+		{"another cluster", configFor(t, "server", nil), otherCluster, false},
+		{"another protocol version", configFor(t, "server", nil), otherVersion, false},
+		{"a server without state", refusing, configFor(t, "client", nil), false},
 		{"its peer", refusing, peer, true},
-		{"mutual TLS", identity(t, "server", &server), identity(t, "client", &client), true},
-		{"certificate of another authority", identity(t, "server", &server), identity(t, "client", &stranger), false},
-		{"certificate of another name", identity(t, "server", &server), identity(t, "somebody", &client), false},
-		{"server of another name", identity(t, "somebody", &server), identity(t, "client", &client), false},
-		{"plain text to TLS", identity(t, "server", &server), identity(t, "client", nil), false},
-		{"TLS to plain text", identity(t, "server", nil), identity(t, "client", &client), false},
+		{"mutual TLS", configFor(t, "server", &server), configFor(t, "client", &client), true},
+		{"certificate of another authority", configFor(t, "server", &server), configFor(t, "client", &stranger), false},
+		{"certificate of another name", configFor(t, "server", &server), configFor(t, "somebody", &client), false},
+		{"server of another name", configFor(t, "somebody", &server), configFor(t, "client", &client), false},
+		{"plain text to TLS", configFor(t, "server", &server), configFor(t, "client", nil), false},
+		{"TLS to plain text", configFor(t, "server", nil), configFor(t, "client", &client), false},
 	}
 	for _, entry := range cases {
 		t.Run(entry.name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 }
 
 func TestTrafficIsCountedByKind(t *testing.T) {
-	server, client := identity(t, "server", nil), identity(t, "client", nil)
+	server, client := configFor(t, "server", nil), configFor(t, "client", nil)
 	if serverErr, clientErr := connect(t, server, client); serverErr != nil || clientErr != nil {
 		t.Fatal(serverErr, clientErr)
 	}
@@ -131,7 +131,7 @@
 	for zone, wanted := range map[string]places.Nearness{
 		"a1": places.SameZone, "a2": places.SameRegion, "b1": places.Further, "unknown": places.Further,
 	} {
-		server, client := identity(t, "server", nil), identity(t, "client", nil)
+		server, client := configFor(t, "server", nil), configFor(t, "client", nil)
 		server.Hello.Zone, client.Hello.Zone = "a1", zone
 		server.Counters = wire.NewCounters(places.Position{Zone: "a1", Map: regions})
 		client.Counters = wire.NewCounters(places.Position{Zone: zone, Map: regions})
@@ -149,7 +149,7 @@
 // TestDialReturnsPeerIdentity checks that the client learns which control node answers; an address
 // may be reused by another node.
 func TestDialReturnsPeerIdentity(t *testing.T) {
-	server := identity(t, "server", nil)
+	server := configFor(t, "server", nil)
 	server.Hello.ControlId = 11
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -163,7 +163,7 @@
 			}
 		}
 	}()
-	conn, err := wire.Dial(t.Context(), listener.Addr().String(), identity(t, "client", nil))
+	conn, err := wire.Dial(t.Context(), listener.Addr().String(), configFor(t, "client", nil))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -51,7 +51,7 @@
 }
 
 // forwardReceived accepts a connection and forwards the envelopes that it receives.
-func forwardReceived(t *testing.T, listener net.Listener, server wire.Identity, received chan<- *wirepb.Envelope) {
+func forwardReceived(t *testing.T, listener net.Listener, server wire.Config, received chan<- *wirepb.Envelope) {
 	t.Helper()
 	network, err := listener.Accept()
 	if err != nil {
@@ -74,7 +74,7 @@
 
 // sendDigests sends digests over a new connection to a server that forwards what it receives, and
 // checks that they arrive unchanged.
-func sendDigests(t *testing.T, address string, client wire.Identity, received <-chan *wirepb.Envelope) {
+func sendDigests(t *testing.T, address string, client wire.Config, received <-chan *wirepb.Envelope) {
 	t.Helper()
 	conn, err := wire.Dial(t.Context(), address, client)
 	if err != nil {
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	server, client := identity(t, "server", nil), identity(t, "client", nil)
+	server, client := configFor(t, "server", nil), configFor(t, "client", nil)
 	client.Hello.ControlId = 7
 	received := make(chan *wirepb.Envelope)
 	go forwardReceived(t, listener, server, received)
@@ -133,7 +133,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server, client := identity(t, "server", nil), identity(t, "client", nil)
+		server, client := configFor(t, "server", nil), configFor(t, "client", nil)
 		server.Hello.Zone, client.Hello.Zone, client.Hello.ControlId = "east", test.zone, test.controlID
 		received := make(chan *wirepb.Envelope)
 		go forwardReceived(t, listener, server, received)
@@ -151,7 +151,7 @@
 
 // TestCompressorLimit checks that clients beyond the limit get an uncompressed stream.
 func TestCompressorLimit(t *testing.T) {
-	server := identity(t, "server", nil)
+	server := configFor(t, "server", nil)
 	for number := range 100 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -169,7 +169,7 @@
 			}
 			accepted <- conn
 		}()
-		client := identity(t, "client", nil)
+		client := configFor(t, "client", nil)
 		conn, err := wire.Dial(t.Context(), listener.Addr().String(), client)
 		if err != nil {
 			t.Fatal(err)
@@ -205,5 +205,5 @@
 	defer func() { _ = listener.Close() }()
 	received := make(chan *wirepb.Envelope)
 	go legacyServer(t, listener, received)
-	sendDigests(t, listener.Addr().String(), identity(t, "client", nil), received)
+	sendDigests(t, listener.Addr().String(), configFor(t, "client", nil), received)
 }
