--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestTrafficIsCountedByNearness checks that both sides count traffic by the peer's distance.
-func TestTrafficIsCountedByNearness(t *testing.T) {
+// TestTrafficIsCountedByProximity checks that both sides count traffic by the peer's proximity.
+func TestTrafficIsCountedByProximity(t *testing.T) {
 	regions := places.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	for zone, wanted := range map[string]places.Nearness{
 		"a1": places.SameZone, "a2": places.SameRegion, "b1": places.Further, "unknown": places.Further,
@@ -139,7 +139,7 @@
 			t.Fatal(serverErr, clientErr)
 		}
 		for side, counters := range map[string]*wire.Counters{"server": server.Counters, "client": client.Counters} {
-			if listed := counters.Traffic(); len(listed) != 1 || listed[0].Nearness != wanted {
+			if listed := counters.Traffic(); len(listed) != 1 || listed[0].Proximity != wanted {
 				t.Errorf("%s, client in %s: %+v", side, zone, listed)
 			}
 		}
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -14,17 +14,17 @@
 	// maxBodies is an exclusive bound on the field numbers of an envelope's body.
 	maxBodies = 32
 	// maxRaftTypes is an exclusive bound on the types of Raft messages.
-	maxRaftTypes  = 16
-	maxKinds      = maxBodies + maxRaftTypes
-	nearnessCount = int(places.Further) + 1
+	maxRaftTypes   = 16
+	maxKinds       = maxBodies + maxRaftTypes
+	proximityCount = int(places.Further) + 1
 )
 
-// Counters counts traffic by kind of message and by the distance of the peer, because providers
+// Counters counts traffic by kind of message and by the proximity of the peer, because providers
 // charge for traffic between zones and regions. Connections share it; the zero value is ready to
 // use for a process without zones.
 type Counters struct {
-	position   places.Position
-	byNearness [nearnessCount]peerCounters
+	position    places.Position
+	byProximity [proximityCount]peerCounters
 	// compressors is the number of outgoing streams that are compressed.
 	compressors atomic.Int64
 }
@@ -34,7 +34,7 @@
 	return &Counters{position: position}
 }
 
-// peerCounters counts the traffic with peers at one distance.
+// peerCounters counts the traffic with peers of one proximity.
 type peerCounters struct {
 	kinds [maxKinds]kindCounters
 	// networkSent and networkReceived count bytes after compression.
@@ -46,33 +46,33 @@
 	messagesSent, messagesReceived atomic.Uint64
 }
 
-// NetworkTraffic is the number of bytes, after compression, exchanged with peers at one distance
+// NetworkTraffic is the number of bytes, after compression, exchanged with peers of one proximity
 // since the process started.
 type NetworkTraffic struct {
-	Nearness       places.Nearness
+	Proximity      places.Nearness
 	Sent, Received uint64
 }
 
-// Network returns the traffic after compression by distance, the nearest first.
+// Network returns the traffic after compression by proximity, the nearest first.
 func (c *Counters) Network() []NetworkTraffic {
-	listed := make([]NetworkTraffic, 0, nearnessCount)
-	for nearness := range c.byNearness {
-		counters := &c.byNearness[nearness]
+	listed := make([]NetworkTraffic, 0, proximityCount)
+	for proximity := range c.byProximity {
+		counters := &c.byProximity[proximity]
 		listed = append(listed, NetworkTraffic{
-			Nearness: places.Nearness(nearness),
-			Sent:     counters.networkSent.Load(), Received: counters.networkReceived.Load(),
+			Proximity: places.Nearness(proximity),
+			Sent:      counters.networkSent.Load(), Received: counters.networkReceived.Load(),
 		})
 	}
 	return listed
 }
 
-// KindTraffic is the traffic of one kind of message with peers at one distance since the process
+// KindTraffic is the traffic of one kind of message with peers of one proximity since the process
 // started. Bytes are counted before compression.
 type KindTraffic struct {
 	// Kind is the field name of the envelope's body, such as "node_report", or for a Raft message
 	// its type, such as "raft_heartbeat".
 	Kind                           string
-	Nearness                       places.Nearness
+	Proximity                      places.Nearness
 	BytesSent, BytesReceived       uint64
 	MessagesSent, MessagesReceived uint64
 }
@@ -81,7 +81,7 @@
 
 // forZone returns the counters for peers in a zone.
 func (c *Counters) forZone(zone string) *peerCounters {
-	return &c.byNearness[c.position.To(zone)]
+	return &c.byProximity[c.position.To(zone)]
 }
 
 func (c *peerCounters) forEnvelope(envelope *wirepb.Envelope) *kindCounters {
@@ -107,16 +107,16 @@
 	counters.messagesReceived.Add(1)
 }
 
-// Traffic returns the kinds of messages that were sent or received, sorted by distance.
+// Traffic returns the kinds of messages that were sent or received, sorted by proximity.
 func (c *Counters) Traffic() []KindTraffic {
 	var listed []KindTraffic
-	for nearness := range c.byNearness {
-		for number := range c.byNearness[nearness].kinds {
-			traffic := c.byNearness[nearness].kinds[number].read()
+	for proximity := range c.byProximity {
+		for number := range c.byProximity[proximity].kinds {
+			traffic := c.byProximity[proximity].kinds[number].read()
 			if traffic.MessagesSent+traffic.MessagesReceived == 0 {
 				continue
 			}
-			traffic.Kind, traffic.Nearness = kindName(number), places.Nearness(nearness)
+			traffic.Kind, traffic.Proximity = kindName(number), places.Nearness(proximity)
 			listed = append(listed, traffic)
 		}
 	}
