--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -109,8 +109,8 @@
 	return listed
 }
 
-// OpenClaims returns the number of stored claims, and how many of them are open.
-func (m *Machine) OpenClaims() (total, open int) {
+// ClaimCounts returns the number of stored claims, and how many of them are open.
+func (m *Machine) ClaimCounts() (total, open int) {
 	for _, record := range m.claims.records {
 		if record.GetState() == wirepb.ClaimState_CLAIM_STATE_OPEN {
 			open++
--- a/internal/state/claims_bench_test.go
+++ b/internal/state/claims_bench_test.go
@@ -43,7 +43,7 @@
 	b.ReportMetric(b.Elapsed().Seconds()*1e6/float64(number), "µs/request")
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if total, _ := machine.OpenClaims(); total != number {
+	if total, _ := machine.ClaimCounts(); total != number {
 		b.Fatalf("%d records, want %d", total, number)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(number), "B/record")
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -371,8 +371,8 @@
 	return nil
 }
 
-// Holder returns the node that was last granted the right to send orders to a machine, or "".
-func (m *Machine) Holder(machine string) string {
+// OrderHolder returns the node that was last granted the right to send orders to a machine, or "".
+func (m *Machine) OrderHolder(machine string) string {
 	return m.holders[machine]
 }
 
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -42,7 +42,7 @@
 		d.ScanArgs(t, "after", &seconds)
 		s.clock += seconds * 1000
 		s.apply(&wirepb.Command{Body: &wirepb.Command_ClaimSweep{ClaimSweep: &wirepb.ClaimSweep{}}})
-		total, open := s.machine.OpenClaims()
+		total, open := s.machine.ClaimCounts()
 		return fmt.Sprintf("held %d, open %d\n", total, open)
 	case "restore":
 		return s.restore()
