--- a/internal/datadir/datadir.go
+++ b/internal/datadir/datadir.go
@@ -31,9 +31,9 @@
 	// Join is set for a node that joins a running cluster. It does not vote until it has learned
 	// the membership.
 	Join bool `json:"join,omitempty"`
-	// First holds the addresses of the initial voters if this node is one of them and the cluster
-	// was formed through seeds.
-	First []string `json:"first,omitempty"`
+	// FirstVoters holds the addresses of the initial voters if this node is one of them and the
+	// cluster was formed through seeds.
+	FirstVoters []string `json:"first,omitempty"`
 }
 
 // Dir is a locked data directory.
@@ -69,9 +69,9 @@
 	return dir, identity, nil
 }
 
-// OpenOrForm locks a data directory and initializes it with the result of newIdentity if it has no
+// OpenOrInit locks a data directory and initializes it with the result of newIdentity if it has no
 // identity.
-func OpenOrForm(path, cluster string, newIdentity func() Identity) (*Dir, Identity, error) {
+func OpenOrInit(path, cluster string, newIdentity func() Identity) (*Dir, Identity, error) {
 	dir, err := lockDirectory(path)
 	if err != nil {
 		return nil, Identity{}, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -123,11 +123,11 @@
 	if !n.settings.Formation.Forms() {
 		return datadir.Open(n.settings.DataDir, n.settings.Cluster, n.settings.Control.ID)
 	}
-	return datadir.OpenOrForm(n.settings.DataDir, n.settings.Cluster, func() datadir.Identity {
+	return datadir.OpenOrInit(n.settings.DataDir, n.settings.Cluster, func() datadir.Identity {
 		identity := datadir.Identity{Cluster: n.settings.Cluster}
 		own := n.settings.Control.Advertise
 		if seeds := n.settings.Formation.Addresses(); n.settings.Formation.First && slices.Contains(seeds, own) {
-			identity.ControlID, identity.First = membership.SeedID(own), seeds
+			identity.ControlID, identity.FirstVoters = membership.SeedID(own), seeds
 			return identity
 		}
 		identity.ControlID, identity.Join = max(1, rand.Uint64()), true
@@ -140,13 +140,13 @@
 	if err != nil {
 		return err
 	}
-	n.logger.Info("identity", "control_id", identity.ControlID, "join", identity.Join, "first", identity.First)
+	n.logger.Info("identity", "control_id", identity.ControlID, "join", identity.Join, "first", identity.FirstVoters)
 	disk, recovered, err := storage.Open(dir)
 	if err != nil {
 		_ = dir.Close()
 		return err
 	}
-	disk.OnFailure = func(err error, attempt int) {
+	disk.OnWriteFailure = func(err error, attempt int) {
 		if attempt == 1 {
 			n.logger.Error("storage_failed", "error", fault.Message(err))
 		}
@@ -159,7 +159,7 @@
 	}
 	n.control, err = control.New(control.Options{
 		Settings: n.settings, Logger: n.logger, Storage: disk, Recovered: recovered, Join: identity.Join,
-		ID: identity.ControlID, FirstVoters: identity.First, Engines: n.extensions.Engines,
+		ID: identity.ControlID, FirstVoters: identity.FirstVoters, Engines: n.extensions.Engines,
 		Seeds:   func() []string { return n.seeds.Load().Addresses() },
 		Metrics: control.NewMetrics(n.registry), Self: self,
 	})
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -21,9 +21,9 @@
 type Disk struct {
 	dir *datadir.Dir
 	log *wal.Log
-	// OnFailure is called after each failed attempt to write; it may be nil.
-	OnFailure func(err error, attempt int)
-	stopped   chan struct{}
+	// OnWriteFailure is called after each failed attempt to write; it may be nil.
+	OnWriteFailure func(err error, attempt int)
+	stopped        chan struct{}
 }
 
 // Open reads the snapshot and the log, and opens the log for appending.
@@ -54,8 +54,8 @@
 func (d *Disk) persist(write func() error) error {
 	err := write()
 	for attempt := 1; err != nil; attempt++ {
-		if d.OnFailure != nil {
-			d.OnFailure(err, attempt)
+		if d.OnWriteFailure != nil {
+			d.OnWriteFailure(err, attempt)
 		}
 		select {
 		case <-d.stopped:
