--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -208,7 +208,7 @@
 	n.peers.start(ctx, &workers)
 	workers.Go(func() { n.watchStalls(ctx) })
 	workers.Go(func() { n.runLeader(ctx) })
-	if n.settings.Formation.Forms() {
+	if n.settings.Formation.UsesSeeds() {
 		workers.Go(func() { n.runJoin(ctx, &workers) })
 	}
 	return n.loop(ctx)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,7 +77,7 @@
 	created := &Node{
 		extensions: extensions,
 		settings:   configuration, logger: logger, registry: prometheus.NewRegistry(),
-		counters: wire.NewCounters(configuration.Position()), incarnation: uint64(time.Now().UnixNano()), failed: make(chan error, 8),
+		counters: wire.NewCounters(configuration.Location()), incarnation: uint64(time.Now().UnixNano()), failed: make(chan error, 8),
 	}
 	created.seeds.Store(&configuration.Formation)
 	created.registry.MustRegister(
@@ -92,18 +92,18 @@
 		}
 		created.keys = loaded
 	}
-	if configuration.Has(settings.RoleControl) {
+	if configuration.HasRole(settings.RoleControl) {
 		if err := created.openControl(); err != nil {
 			return nil, err
 		}
 	}
-	if configuration.Has(settings.RoleRouter) {
+	if configuration.HasRole(settings.RoleRouter) {
 		created.router = newRouter(created)
 	}
-	if configuration.Has(settings.RoleRelay) {
+	if configuration.HasRole(settings.RoleRelay) {
 		created.relay = newRelay(created)
 	}
-	if configuration.Has(settings.RoleIngress) {
+	if configuration.HasRole(settings.RoleIngress) {
 		if extensions.Translator == nil {
 			return nil, fault.InvalidField("roles", "this program serves no ingress")
 		}
@@ -120,7 +120,7 @@
 // openDataDir opens the data folder; where the nodes find each other by
 // formation, it gives an empty one an identity.
 func (n *Node) openDataDir() (*datadir.Dir, datadir.Identity, error) {
-	if !n.settings.Formation.Forms() {
+	if !n.settings.Formation.UsesSeeds() {
 		return datadir.Open(n.settings.DataDir, n.settings.Cluster, n.settings.Control.ID)
 	}
 	return datadir.OpenOrInit(n.settings.DataDir, n.settings.Cluster, func() datadir.Identity {
@@ -154,7 +154,7 @@
 	n.dataDir, n.disk = dir, disk
 	self := n.identity()
 	self.Hello.ControlId = identity.ControlID
-	if n.settings.Formation.Forms() {
+	if n.settings.Formation.UsesSeeds() {
 		self.Hello.Address = n.settings.Control.Advertise
 	}
 	n.control, err = control.New(control.Options{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,8 +70,8 @@
 	Warming   WarmingSettings   `yaml:"warming"`
 }
 
-// Position returns the node's zone and the map of zones to regions.
-func (s *Settings) Position() places.Position {
+// Location returns the node's zone and the map of zones to regions.
+func (s *Settings) Location() places.Position {
 	return places.Position{Zone: s.Zone, Map: places.NewMap(s.Zones)}
 }
 
@@ -331,8 +331,8 @@
 	setDefault(&s.Policy.MachineTimeout, 3*time.Second)
 }
 
-// Forms reports whether control nodes discover each other through seeds.
-func (f FormationSettings) Forms() bool {
+// UsesSeeds reports whether control nodes discover each other through seeds.
+func (f FormationSettings) UsesSeeds() bool {
 	return len(f.Seeds) > 0
 }
 
@@ -349,11 +349,11 @@
 	return addresses
 }
 
-// Voters returns the number of voters that tolerate the configured number of failed nodes.
-func (f FormationSettings) Voters() int {
+// VoterCount returns the number of voters that tolerate the configured number of failed nodes.
+func (f FormationSettings) VoterCount() int {
 	return 2*f.Tolerate + 1
 }
 
-func (s *Settings) Has(role Role) bool {
+func (s *Settings) HasRole(role Role) bool {
 	return slices.Contains(s.Roles, role)
 }
