--- a/internal/spec/claim.go
+++ b/internal/spec/claim.go
@@ -18,7 +18,7 @@
 type ClaimOperation uint8
 
 const (
-	ClaimAsk ClaimOperation = iota
+	ClaimRequest ClaimOperation = iota
 	ClaimComplete
 	ClaimCloseNotRun
 	ClaimCloseUnknown
@@ -34,7 +34,7 @@
 // to the owner.
 func (c Claim[O]) Step(operation ClaimOperation, owner O) (next Claim[O], granted bool) {
 	owned := c.Owner == owner
-	if operation == ClaimAsk {
+	if operation == ClaimRequest {
 		if c.Phase == ClaimOpen && owned {
 			return c, true // A repeated request keeps the grant.
 		}
@@ -139,7 +139,7 @@
 		return []attemptStep{crash}
 	}
 	return []attemptStep{crash, {"requests the claim", func(next *ClaimState, own *AttemptState) {
-		claim, granted := next.Claim.Step(ClaimAsk, owner)
+		claim, granted := next.Claim.Step(ClaimRequest, owner)
 		next.Claim = claim
 		own.Granted = own.Granted || granted
 	}}}
