--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -86,7 +86,7 @@
 	formation := n.settings.Formation
 	return membership.Policy{
 		Voters: formation.VoterCount(), Zones: formation.TolerateZones, Regions: formation.TolerateRegions,
-		Places: n.settings.Location().Map, ReplaceAfter: n.settings.Control.ReplaceAfter, RemoveLearnerAfter: removeLearnerAfter,
+		Places: n.settings.Location().Zones, ReplaceAfter: n.settings.Control.ReplaceAfter, RemoveLearnerAfter: removeLearnerAfter,
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -71,8 +71,8 @@
 }
 
 // Location returns the node's zone and the map of zones to regions.
-func (s *Settings) Location() places.Position {
-	return places.Position{Zone: s.Zone, Map: places.NewMap(s.Zones)}
+func (s *Settings) Location() places.Location {
+	return places.Location{Zone: s.Zone, Zones: places.NewZoneMap(s.Zones)}
 }
 
 // WarmingSettings bound by how much all routers together may exceed the request rate that a pool
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -16,21 +16,21 @@
 	// maxRaftTypes is an exclusive bound on the types of Raft messages.
 	maxRaftTypes   = 16
 	maxKinds       = maxBodies + maxRaftTypes
-	proximityCount = int(places.Further) + 1
+	proximityCount = int(places.OtherRegion) + 1
 )
 
 // Counters counts traffic by kind of message and by the proximity of the peer, because providers
 // charge for traffic between zones and regions. Connections share it; the zero value is ready to
 // use for a process without zones.
 type Counters struct {
-	position    places.Position
+	position    places.Location
 	byProximity [proximityCount]peerCounters
 	// compressors is the number of outgoing streams that are compressed.
 	compressors atomic.Int64
 }
 
 // NewCounters returns the counters of a process in the given zone and region.
-func NewCounters(position places.Position) *Counters {
+func NewCounters(position places.Location) *Counters {
 	return &Counters{position: position}
 }
 
@@ -49,7 +49,7 @@
 // NetworkTraffic is the number of bytes, after compression, exchanged with peers of one proximity
 // since the process started.
 type NetworkTraffic struct {
-	Proximity      places.Nearness
+	Proximity      places.Proximity
 	Sent, Received uint64
 }
 
@@ -59,7 +59,7 @@
 	for proximity := range c.byProximity {
 		counters := &c.byProximity[proximity]
 		listed = append(listed, NetworkTraffic{
-			Proximity: places.Nearness(proximity),
+			Proximity: places.Proximity(proximity),
 			Sent:      counters.networkSent.Load(), Received: counters.networkReceived.Load(),
 		})
 	}
@@ -72,7 +72,7 @@
 	// Kind is the field name of the envelope's body, such as "node_report", or for a Raft message
 	// its type, such as "raft_heartbeat".
 	Kind                           string
-	Proximity                      places.Nearness
+	Proximity                      places.Proximity
 	BytesSent, BytesReceived       uint64
 	MessagesSent, MessagesReceived uint64
 }
@@ -81,7 +81,7 @@
 
 // forZone returns the counters for peers in a zone.
 func (c *Counters) forZone(zone string) *peerCounters {
-	return &c.byProximity[c.position.To(zone)]
+	return &c.byProximity[c.position.ProximityOf(zone)]
 }
 
 func (c *peerCounters) forEnvelope(envelope *wirepb.Envelope) *kindCounters {
@@ -116,7 +116,7 @@
 			if traffic.MessagesSent+traffic.MessagesReceived == 0 {
 				continue
 			}
-			traffic.Kind, traffic.Proximity = kindName(number), places.Nearness(proximity)
+			traffic.Kind, traffic.Proximity = kindName(number), places.Proximity(proximity)
 			listed = append(listed, traffic)
 		}
 	}
