--- a/internal/state/suspects.go
+++ b/internal/state/suspects.go
@@ -25,7 +25,7 @@
 	var writes []*wirepb.ObjectWrite
 	written := map[Key]*v1.SuspectSpec{}
 	for position, request := range command.GetRequests() {
-		identity, err := quarantine.IdentityOf(request.GetIdentity())
+		identity, err := quarantine.IdentityFromBytes(request.GetIdentity())
 		if err != nil {
 			return invalidRequest(position, err)
 		}
@@ -111,7 +111,7 @@
 // evictions returns the deletions that reduce the list to limit records.
 func (l *suspectList) evictions(limit int) []*wirepb.ObjectWrite {
 	var writes []*wirepb.ObjectWrite
-	for _, position := range quarantine.Excess(l.specs, limit) {
+	for _, position := range quarantine.Evictions(l.specs, limit) {
 		writes = append(writes, deleteSuspect(l.keys[position]))
 	}
 	return writes
@@ -127,7 +127,7 @@
 func (m *Machine) clearSuspects(command *wirepb.ClearSuspectsCommand) *wirepb.CommandResult {
 	cleared := map[Key]*v1.SuspectSpec{}
 	for position, encoded := range command.GetIdentities() {
-		identity, err := quarantine.IdentityOf(encoded)
+		identity, err := quarantine.IdentityFromBytes(encoded)
 		if err != nil {
 			return invalidRequest(position, err)
 		}
