--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -13,25 +13,25 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-func identity(t *testing.T, node string, files *keys.Files) wire.Config {
+func configFor(t *testing.T, node string, files *keys.Files) wire.Config {
 	t.Helper()
-	self := wire.Config{
+	config := wire.Config{
 		Hello:    &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "test", Node: node},
 		Counters: &wire.Counters{},
 	}
 	if files == nil {
-		return self
+		return config
 	}
 	store, err := keys.Load(*files)
 	if err != nil {
 		t.Fatal(err)
 	}
-	self.Keys = store
-	return self
+	config.Keys = store
+	return config
 }
 
-// connect lets a client meet a server and returns both sides' errors. Where
-// both agree, a message goes through.
+// connect connects a client to a server, sends a message if the handshake succeeds, and returns
+// both sides' errors.
 func connect(t *testing.T, server, client wire.Config) (serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 		defer conn.Close()
 		envelope, err := conn.Receive()
 		if err == nil && envelope.GetWatchRequest().GetAfterRevision() != 7 {
-			err = fault.Protocol.New("another message came")
+			err = fault.Protocol.New("received a different message")
 		}
 		received <- err
 	}()
@@ -70,39 +70,39 @@
 	return serverErr, clientErr
 }
 
-// TestHandshake lists who may talk to whom.
+// TestHandshake lists the combinations of clients and servers that may connect.
 func TestHandshake(t *testing.T) {
 	ours, theirs := keystest.NewAuthority(t), keystest.NewAuthority(t)
 	server, client, stranger := ours.Issue("server"), ours.Issue("client"), theirs.Issue("client")
-	otherCluster := identity(t, "client", nil)
+	otherCluster := configFor(t, "client", nil)
 	otherCluster.Hello.Cluster = "other"
-	otherVersion := identity(t, "client", nil)
+	otherVersion := configFor(t, "client", nil)
 	otherVersion.Hello.ProtocolVersion = wire.ProtocolVersion + 1
-	refusing := identity(t, "server", nil)
+	refusing := configFor(t, "server", nil)
 	refusing.Refuse = func(hello *wirepb.Hello) string {
 		if hello.GetControlId() == 0 {
 			return "no state yet"
 		}
 		return ""
 	}
-	peer := identity(t, "peer", nil)
+	peer := configFor(t, "peer", nil)
 	peer.Hello.ControlId = 7
 	cases := []struct {
 		name           string
 		server, client wire.Config
 		accepted       bool
 	}{
-		{"plain text", identity(t, "server", nil), identity(t, "client", nil), true},
-		{"another cluster", identity(t, "server", nil), otherCluster, false},
-		{"another protocol version", identity(t, "server", nil), otherVersion, false},
-		{"a server without state", refusing, identity(t, "client", nil), false},
+		{"plain text", configFor(t, "server", nil), configFor(t, "client", nil), true},
+		{"another cluster", configFor(t, "server", nil), otherCluster, false},
+		{"another protocol version", configFor(t, "server", nil), otherVersion, false},
+		{"a server without state", refusing, configFor(t, "client", nil), false},
 		{"its peer", refusing, peer, true},
-		{"mutual TLS", identity(t, "server", &server), identity(t, "client", &client), true},
-		{"certificate of another authority", identity(t, "server", &server), identity(t, "client", &stranger), false},
-		{"certificate of another name", identity(t, "server", &server), identity(t, "somebody", &client), false},
-		{"server of another name", identity(t, "somebody", &server), identity(t, "client", &client), false},
-		{"plain text to TLS", identity(t, "server", &server), identity(t, "client", nil), false},
-		{"TLS to plain text", identity(t, "server", nil), identity(t, "client", &client), false},
+		{"mutual TLS", configFor(t, "server", &server), configFor(t, "client", &client), true},
+		{"certificate of another authority", configFor(t, "server", &server), configFor(t, "client", &stranger), false},
+		{"certificate of another name", configFor(t, "server", &server), configFor(t, "somebody", &client), false},
+		{"server of another name", configFor(t, "somebody", &server), configFor(t, "client", &client), false},
+		{"plain text to TLS", configFor(t, "server", &server), configFor(t, "client", nil), false},
+		{"TLS to plain text", configFor(t, "server", nil), configFor(t, "client", &client), false},
 	}
 	for _, entry := range cases {
 		t.Run(entry.name, func(t *testing.T) {
@@ -114,9 +114,8 @@
 	}
 }
 
-// TestTrafficIsCountedByKind checks the counters on both sides.
 func TestTrafficIsCountedByKind(t *testing.T) {
-	server, client := identity(t, "server", nil), identity(t, "client", nil)
+	server, client := configFor(t, "server", nil), configFor(t, "client", nil)
 	if serverErr, clientErr := connect(t, server, client); serverErr != nil || clientErr != nil {
 		t.Fatal(serverErr, clientErr)
 	}
@@ -126,14 +125,13 @@
 	}
 }
 
-// TestTrafficIsCountedByNearness: bytes between zones and regions are paid for, so both sides
-// count where they go.
-func TestTrafficIsCountedByNearness(t *testing.T) {
+// TestTrafficIsCountedByProximity checks that both sides count traffic by the peer's proximity.
+func TestTrafficIsCountedByProximity(t *testing.T) {
 	regions := places.NewZoneMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	for zone, wanted := range map[string]places.Proximity{
 		"a1": places.SameZone, "a2": places.SameRegion, "b1": places.OtherRegion, "unknown": places.OtherRegion,
 	} {
-		server, client := identity(t, "server", nil), identity(t, "client", nil)
+		server, client := configFor(t, "server", nil), configFor(t, "client", nil)
 		server.Hello.Zone, client.Hello.Zone = "a1", zone
 		server.Counters = wire.NewCounters(places.Location{Zone: "a1", Zones: regions})
 		client.Counters = wire.NewCounters(places.Location{Zone: zone, Zones: regions})
@@ -148,10 +146,10 @@
 	}
 }
 
-// TestDialerLearnsTheIdentity: whoever dials is told which control node answers,
-// which may be another one than was there before.
-func TestDialerLearnsTheIdentity(t *testing.T) {
-	server := identity(t, "server", nil)
+// TestDialReturnsPeerIdentity checks that the client learns which control node answers; an address
+// may be reused by another node.
+func TestDialReturnsPeerIdentity(t *testing.T) {
+	server := configFor(t, "server", nil)
 	server.Hello.ControlId = 11
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -165,7 +163,7 @@
 			}
 		}
 	}()
-	conn, err := wire.Dial(t.Context(), listener.Addr().String(), identity(t, "client", nil))
+	conn, err := wire.Dial(t.Context(), listener.Addr().String(), configFor(t, "client", nil))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// maxBodies is more than the largest field number of an envelope's body.
+	// maxBodies is an exclusive bound on the field numbers of an envelope's body.
 	maxBodies = 32
-	// maxRaftTypes is more than the largest type of a raft message.
-	maxRaftTypes = 16
-	maxKinds     = maxBodies + maxRaftTypes
-	nearnesses   = int(places.OtherRegion) + 1
+	// maxRaftTypes is an exclusive bound on the types of Raft messages.
+	maxRaftTypes   = 16
+	maxKinds       = maxBodies + maxRaftTypes
+	proximityCount = int(places.OtherRegion) + 1
 )
 
-// Counters counts traffic by kind of message and by how near the other side is: bytes between
-// zones and regions are paid for. One may be shared by many connections; the zero value is a
-// process's that knows of no zones.
+// Counters counts traffic by kind of message and by the proximity of the peer, because providers
+// charge for traffic between zones and regions. Connections share it; the zero value is ready to
+// use for a process without zones.
 type Counters struct {
-	position places.Location
-	near     [nearnesses]placeCounters
-	// compressors counts the compressed streams that go out at present.
+	position    places.Location
+	byProximity [proximityCount]peerCounters
+	// compressors is the number of outgoing streams that are compressed.
 	compressors atomic.Int64
 }
 
-// NewCounters returns the counters of a process at a position, which are all zero.
+// NewCounters returns the counters of a process in the given zone and region.
 func NewCounters(position places.Location) *Counters {
 	return &Counters{position: position}
 }
 
-// placeCounters counts the traffic with processes of one nearness.
-type placeCounters struct {
+// peerCounters counts the traffic with peers of one proximity.
+type peerCounters struct {
 	kinds [maxKinds]kindCounters
-	// networkSent and networkReceived count bytes as they go over the network.
+	// networkSent and networkReceived count bytes after compression.
 	networkSent, networkReceived atomic.Uint64
 }
 
@@ -46,31 +46,31 @@
 	messagesSent, messagesReceived atomic.Uint64
 }
 
-// NetworkTraffic is how many bytes went over the network, compressed, to and from processes of
-// one nearness since the start.
+// NetworkTraffic is the number of bytes, after compression, exchanged with peers of one proximity
+// since the process started.
 type NetworkTraffic struct {
 	Proximity      places.Proximity
 	Sent, Received uint64
 }
 
-// Network lists the traffic by nearness.
+// Network returns the traffic after compression by proximity, the nearest first.
 func (c *Counters) Network() []NetworkTraffic {
-	listed := make([]NetworkTraffic, 0, nearnesses)
-	for nearness := range c.near {
-		counters := &c.near[nearness]
+	listed := make([]NetworkTraffic, 0, proximityCount)
+	for proximity := range c.byProximity {
+		counters := &c.byProximity[proximity]
 		listed = append(listed, NetworkTraffic{
-			Proximity: places.Proximity(nearness),
+			Proximity: places.Proximity(proximity),
 			Sent:      counters.networkSent.Load(), Received: counters.networkReceived.Load(),
 		})
 	}
 	return listed
 }
 
-// KindTraffic is the traffic of one kind of message with processes of one nearness, since the
-// start. Bytes are those of the messages before they are compressed.
+// KindTraffic is the traffic of one kind of message with peers of one proximity since the process
+// started. Bytes are counted before compression.
 type KindTraffic struct {
-	// Kind is the name of the envelope's body, such as "node_report"; messages of the log are
-	// told apart by their type, such as "raft_heartbeat".
+	// Kind is the field name of the envelope's body, such as "node_report", or for a Raft message
+	// its type, such as "raft_heartbeat".
 	Kind                           string
 	Proximity                      places.Proximity
 	BytesSent, BytesReceived       uint64
@@ -79,12 +79,12 @@
 
 var bodyField = (&wirepb.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body")
 
-// with returns the counters for connections to a zone.
-func (c *Counters) with(zone string) *placeCounters {
-	return &c.near[c.position.ProximityOf(zone)]
+// forZone returns the counters for peers in a zone.
+func (c *Counters) forZone(zone string) *peerCounters {
+	return &c.byProximity[c.position.ProximityOf(zone)]
 }
 
-func (c *placeCounters) of(envelope *wirepb.Envelope) *kindCounters {
+func (c *peerCounters) forEnvelope(envelope *wirepb.Envelope) *kindCounters {
 	if raft := envelope.GetRaft(); raft != nil && raft.GetType() < maxRaftTypes {
 		return &c.kinds[maxBodies+int(raft.GetType())]
 	}
@@ -95,28 +95,28 @@
 	return &c.kinds[field.Number()]
 }
 
-func (c *placeCounters) sent(envelope *wirepb.Envelope, size int) {
-	counters := c.of(envelope)
+func (c *peerCounters) countSent(envelope *wirepb.Envelope, size int) {
+	counters := c.forEnvelope(envelope)
 	counters.bytesSent.Add(uint64(size))
 	counters.messagesSent.Add(1)
 }
 
-func (c *placeCounters) received(envelope *wirepb.Envelope, size int) {
-	counters := c.of(envelope)
+func (c *peerCounters) countReceived(envelope *wirepb.Envelope, size int) {
+	counters := c.forEnvelope(envelope)
 	counters.bytesReceived.Add(uint64(size))
 	counters.messagesReceived.Add(1)
 }
 
-// Traffic lists the kinds of messages that were sent or received, those of the nearest first.
+// Traffic returns the kinds of messages that were sent or received, sorted by proximity.
 func (c *Counters) Traffic() []KindTraffic {
 	var listed []KindTraffic
-	for nearness := range c.near {
-		for number := range c.near[nearness].kinds {
-			traffic := c.near[nearness].kinds[number].read()
+	for proximity := range c.byProximity {
+		for number := range c.byProximity[proximity].kinds {
+			traffic := c.byProximity[proximity].kinds[number].read()
 			if traffic.MessagesSent+traffic.MessagesReceived == 0 {
 				continue
 			}
-			traffic.Kind, traffic.Proximity = kindName(number), places.Proximity(nearness)
+			traffic.Kind, traffic.Proximity = kindName(number), places.Proximity(proximity)
 			listed = append(listed, traffic)
 		}
 	}
--- a/internal/wire/retry.go
+++ b/internal/wire/retry.go
@@ -6,22 +6,20 @@
 )
 
 const (
-	// FastRetryDelay is the mean pause between attempts to connect while a peer has been
-	// lost for less than FastRetryPeriod: processes that restart are mostly back by then,
-	// and everything waits for them.
+	// FastRetryDelay is the mean delay between attempts to connect until a peer has been
+	// unreachable for FastRetryPeriod, which covers the restart of a process.
 	FastRetryDelay  = 30 * time.Millisecond
 	FastRetryPeriod = 3 * time.Second
-	// SlowRetryDelay is the mean pause after that: five attempts a second to each of a few
-	// peers cost little.
+	// SlowRetryDelay is the mean delay after FastRetryPeriod.
 	SlowRetryDelay = 200 * time.Millisecond
 )
 
-// RetryDelay is how long to wait before the next attempt to connect to a peer that has
-// been lost for a while. Pauses differ by half to either side, so that hundreds of nodes
-// that lost a peer at the same moment don't come back at the same moment.
-func RetryDelay(lost time.Duration) time.Duration {
+// RetryDelay returns the delay before the next attempt to connect to a peer that has been
+// unreachable for some time. It has a jitter of 50%, so that nodes that lost a peer at the same
+// time don't reconnect at the same time.
+func RetryDelay(unreachable time.Duration) time.Duration {
 	mean := FastRetryDelay
-	if lost >= FastRetryPeriod {
+	if unreachable >= FastRetryPeriod {
 		mean = SlowRetryDelay
 	}
 	return mean/2 + rand.N(mean)
