--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -9,59 +9,56 @@
 	"time"
 )
 
-// Bounds are what operators were promised.
+// Bounds are the limits that the checks hold a history to.
 type Bounds struct {
-	// Apply is how long after its acknowledgement a configuration may not be in force.
-	Apply time.Duration
-	// Drain is how long after the acknowledgement of a zone's drain requests may still come.
-	Drain time.Duration
-	// Contact is how long after a disturbance a router may not know what the others know.
-	Contact time.Duration
-	// Tolerated is how many control nodes may be disturbed at once without anybody's feeling it.
-	Tolerated int
-	// WarmingPerSecond is how many requests a machine that warms up may get in a second.
-	WarmingPerSecond int
+	// ApplyTimeout runs from the acknowledgement of a configuration until every control node serves it.
+	ApplyTimeout time.Duration
+	// DrainTimeout runs from the acknowledgement of a zone's drain until no request reaches the zone.
+	DrainTimeout time.Duration
+	// CatchUpTime runs from the end of a disturbance until a router has current state again.
+	CatchUpTime time.Duration
+	// ToleratedNodes is how many control nodes may be disturbed at once without an effect on clients.
+	ToleratedNodes      int
+	MaxWarmingPerSecond int
 }
 
-// Violation is a broken promise.
+// Violation is a violated invariant.
 type Violation struct {
-	// Promise names the check.
-	Promise string `json:"promise"`
-	Detail  string `json:"detail"`
+	Invariant string `json:"promise"`
+	Detail    string `json:"detail"`
 }
 
-// check returns what of a history breaks one promise.
+// check finds the violations of one invariant.
 type check struct {
-	promise string
-	find    func(history *History, bounds Bounds, disturbances []Disturbance) []string
+	invariant string
+	find      func(history *History, bounds Bounds, disturbances []Disturbance) []string
 }
 
-// checks are all promises that are judged.
 var checks = []check{
 	{"whole-answers", wrongAnswers},
 	{"no-denials", denials},
-	{"at-most-once", repeatedRuns},
-	{"not-run", untrueRefusals},
-	{"plain-requests", unansweredPlain},
-	{"orders", ignoredOrders},
-	{"configuration", oldReads},
+	{"at-most-once", duplicateRuns},
+	{"not-run", falseNotRun},
+	{"plain-requests", unansweredPlainRequests},
+	{"orders", unacknowledgedOrders},
+	{"configuration", staleReads},
 	{"zone-drains", arrivalsInDrainedZones},
-	{"warming-machines", floodedMachines},
-	{"machine-limits", overrunLimits},
-	{"machine-rests", arrivalsDuringRests},
-	{"leaving-machines", arrivalsAtLeaving},
-	{"regions", forbiddenRegions},
+	{"warming-machines", overloadedWarmingMachines},
+	{"machine-limits", exceededLimits},
+	{"machine-rests", arrivalsDuringBackoff},
+	{"leaving-machines", arrivalsAtLeavingMachines},
+	{"regions", arrivalsInForbiddenRegions},
 	{"memory", func(history *History, _ Bounds, _ []Disturbance) []string { return history.Overcommits }},
 	{"recovery", func(history *History, _ Bounds, _ []Disturbance) []string { return history.Unserved }},
 }
 
-// Judge returns the promises that a history breaks, in the order of the checks. The history must
-// not be recorded to any more.
+// Judge returns the violated invariants, in the order of the checks. Nothing may be recorded in the history
+// any more.
 func Judge(history *History, bounds Bounds, disturbances []Disturbance) []Violation {
 	var violations []Violation
 	for _, each := range checks {
 		for _, detail := range each.find(history, bounds, disturbances) {
-			violations = append(violations, Violation{Promise: each.promise, Detail: detail})
+			violations = append(violations, Violation{Invariant: each.invariant, Detail: detail})
 		}
 	}
 	return violations
@@ -71,13 +68,13 @@
 	var found []string
 	for _, answer := range history.Answers {
 		if answer.Outcome == OutcomeAnswered && !answer.Right {
-			found = append(found, fmt.Sprintf("%s: the answer at %s is not the whole one to it", answer.Request, answer.At))
+			found = append(found, fmt.Sprintf("%s: the answer at %s is incomplete or belongs to another request", answer.Request, answer.At))
 		}
 	}
 	return found
 }
 
-// denials are of requests that every configuration allows.
+// denials finds denied requests: every configuration allows every request that is sent.
 func denials(history *History, _ Bounds, _ []Disturbance) []string {
 	var found []string
 	for _, answer := range history.Answers {
@@ -88,8 +85,7 @@
 	return found
 }
 
-// arrivalsOf groups the arrivals by request.
-func (h *History) arrivalsOf() map[string][]Arrival {
+func (h *History) arrivalsByRequest() map[string][]Arrival {
 	grouped := map[string][]Arrival{}
 	for _, arrival := range h.Arrivals {
 		grouped[arrival.Request] = append(grouped[arrival.Request], arrival)
@@ -97,9 +93,9 @@
 	return grouped
 }
 
-func repeatedRuns(history *History, _ Bounds, _ []Disturbance) []string {
+func duplicateRuns(history *History, _ Bounds, _ []Disturbance) []string {
 	var found []string
-	for id, arrivals := range sortedGroups(history.arrivalsOf()) {
+	for id, arrivals := range sortedGroups(history.arrivalsByRequest()) {
 		if len(arrivals) > 1 && !history.Requests[id].Repeatable {
 			found = append(found, fmt.Sprintf("%s ran %d times: at %s and %s", id, len(arrivals), arrivals[0].Machine, arrivals[1].Machine))
 		}
@@ -107,24 +103,24 @@
 	return found
 }
 
-func untrueRefusals(history *History, _ Bounds, _ []Disturbance) []string {
-	arrivals := history.arrivalsOf()
+func falseNotRun(history *History, _ Bounds, _ []Disturbance) []string {
+	arrivals := history.arrivalsByRequest()
 	var found []string
 	for _, answer := range history.Answers {
 		if ran := arrivals[answer.Request]; answer.Outcome == OutcomeNotRun && len(ran) > 0 {
-			found = append(found, fmt.Sprintf("%s: said at %s not to have run, but ran at %s at %s", answer.Request, answer.At, ran[0].Machine, ran[0].At))
+			found = append(found, fmt.Sprintf("%s: reported at %s as not run, but ran on %s at %s", answer.Request, answer.At, ran[0].Machine, ran[0].At))
 		}
 	}
 	return found
 }
 
-// unansweredPlain are requests that need no model and were not answered, by routers that were not
-// disturbed, while no machine ended: what strikes control nodes must not be felt by them.
-func unansweredPlain(history *History, bounds Bounds, disturbances []Disturbance) []string {
+// unansweredPlainRequests finds requests that need no model and failed although neither their router nor a
+// machine was disturbed: failures of control nodes must not affect them.
+func unansweredPlainRequests(history *History, bounds Bounds, disturbances []Disturbance) []string {
 	var found []string
 	for _, answer := range history.Answers {
 		request := history.Requests[answer.Request]
-		if answer.Outcome == OutcomeAnswered || !request.Plain || bounds.feels(disturbances, request, answer.At) {
+		if answer.Outcome == OutcomeAnswered || !request.Plain || bounds.isExplained(disturbances, request, answer.At) {
 			continue
 		}
 		found = append(found, fmt.Sprintf("%s at %s, sent at %s: %s at %s", answer.Request, request.Router, request.Sent, answer.Kind, answer.At))
@@ -132,64 +128,62 @@
 	return found
 }
 
-// feels reports whether a fault explains why a request was not answered by a moment: its router
-// was disturbed, or a machine.
-func (b Bounds) feels(disturbances []Disturbance, request Request, answered time.Duration) bool {
-	return slices.ContainsFunc(disturbances, func(each Disturbance) bool {
-		concerned := each.Node == request.Router || each.Node == ""
-		return concerned && each.From <= answered && request.Sent <= b.heldUp(disturbances, each)
+// isExplained reports whether a disturbance of the request's router or of a machine explains that the request
+// failed at the given time.
+func (b Bounds) isExplained(disturbances []Disturbance, request Request, failed time.Duration) bool {
+	return slices.ContainsFunc(disturbances, func(disturbance Disturbance) bool {
+		applies := disturbance.Node == request.Router || disturbance.Node == ""
+		return applies && disturbance.Start <= failed && request.Sent <= b.recoveredBy(disturbances, disturbance)
 	})
 }
 
-// heldUp is until when somebody who was disturbed may lack what it needs: one that starts again
-// gets it from the control nodes, and waits for these as long as more of them are disturbed than are
-// tolerated, and for a contact with them.
-func (b Bounds) heldUp(disturbances []Disturbance, own Disturbance) time.Duration {
-	till := own.Till
-	for b.intolerable(disturbances, own.From, till) {
-		before := till
-		for _, each := range disturbances {
-			if each.Control && each.From <= till && each.Till+b.Contact >= own.From {
-				till = max(till, each.Till+b.Contact)
+// recoveredBy returns when a disturbed node is sure to have its state back: a restarted node fetches it from
+// the control nodes, which can't serve it while more of them are disturbed than are tolerated.
+func (b Bounds) recoveredBy(disturbances []Disturbance, own Disturbance) time.Duration {
+	end := own.End
+	for b.exceedsTolerance(disturbances, own.Start, end) {
+		before := end
+		for _, other := range disturbances {
+			if other.IsControl && other.Start <= end && other.End+b.CatchUpTime >= own.Start {
+				end = max(end, other.End+b.CatchUpTime)
 			}
 		}
-		if till == before {
+		if end == before {
 			break
 		}
 	}
-	return till
+	return end
 }
 
-// settleTime is how long after a disturbance a control node may still be behind, so that the next
-// one's comes on top.
-const settleTime = time.Second
+// controlCatchUpTime runs from the end of a disturbance until the control node no longer counts as disturbed.
+const controlCatchUpTime = time.Second
 
-// intolerable reports whether, during a span or shortly before, more control nodes were disturbed at
-// the same time than are tolerated.
-func (b Bounds) intolerable(disturbances []Disturbance, from, till time.Duration) bool {
+// exceedsTolerance reports whether, during an interval or shortly before, more control nodes were disturbed
+// at the same time than are tolerated.
+func (b Bounds) exceedsTolerance(disturbances []Disturbance, start, end time.Duration) bool {
 	for _, newest := range disturbances {
-		if !newest.Control || newest.From > till || from > newest.Till+b.Contact {
+		if !newest.IsControl || newest.Start > end || start > newest.End+b.CatchUpTime {
 			continue
 		}
-		struck := map[string]bool{}
+		disturbed := map[string]bool{}
 		for _, other := range disturbances {
-			if other.Control && other.From <= newest.From && newest.From <= other.Till+settleTime {
-				struck[other.Node] = true
+			if other.IsControl && other.Start <= newest.Start && newest.Start <= other.End+controlCatchUpTime {
+				disturbed[other.Node] = true
 			}
 		}
-		if len(struck) > b.Tolerated {
+		if len(disturbed) > b.ToleratedNodes {
 			return true
 		}
 	}
 	return false
 }
 
-func oldReads(history *History, bounds Bounds, _ []Disturbance) []string {
+func staleReads(history *History, bounds Bounds, _ []Disturbance) []string {
 	var found []string
 	for _, read := range history.Reads {
 		for _, order := range history.Orders {
-			if order.Kind == OrderDeclare && read.Sent > order.Acknowledged+bounds.Apply && read.Version < order.Version {
-				found = append(found, fmt.Sprintf("%s told version %d at %s, %d was acknowledged at %s", read.Node, read.Version, read.Sent, order.Version, order.Acknowledged))
+			if order.Kind == OrderDeclare && read.Sent > order.Acknowledged+bounds.ApplyTimeout && read.Version < order.Version {
+				found = append(found, fmt.Sprintf("%s returned version %d at %s, after version %d was acknowledged at %s", read.Node, read.Version, read.Sent, order.Version, order.Acknowledged))
 				break
 			}
 		}
@@ -197,70 +191,70 @@
 	return found
 }
 
-// ignoredOrders are those that nobody acknowledged though no more control nodes were disturbed than
-// are tolerated.
-func ignoredOrders(history *History, bounds Bounds, disturbances []Disturbance) []string {
+// unacknowledgedOrders finds orders that no control node acknowledged although no more of them were disturbed
+// than are tolerated.
+func unacknowledgedOrders(history *History, bounds Bounds, disturbances []Disturbance) []string {
 	var found []string
 	for _, order := range history.Ignored {
-		if !bounds.intolerable(disturbances, order.Sent, order.Acknowledged) {
-			found = append(found, fmt.Sprintf("nobody acknowledged an order (%d, version %d, zone %q) from %s to %s", order.Kind, order.Version, order.Zone, order.Sent, order.Acknowledged))
+		if !bounds.exceedsTolerance(disturbances, order.Sent, order.Acknowledged) {
+			found = append(found, fmt.Sprintf("no control node acknowledged an order (%d, version %d, zone %q) from %s to %s", order.Kind, order.Version, order.Zone, order.Sent, order.Acknowledged))
 		}
 	}
 	return found
 }
 
-// drain is a span in which a zone was to get nothing.
-type drain struct {
+// drainInterval is an interval in which no request may reach a zone.
+type drainInterval struct {
 	zone       string
-	from, till time.Duration
+	start, end time.Duration
 }
 
-// drains returns the spans between acknowledged drains and the next order that took each back.
-func (h *History) drains(bounds Bounds) []drain {
-	var spans []drain
+// drainIntervals returns, for each acknowledged drain, the interval until the next order that ends it.
+func (h *History) drainIntervals(bounds Bounds) []drainInterval {
+	var intervals []drainInterval
 	for _, order := range h.Orders {
 		if order.Kind != OrderDrain {
 			continue
 		}
-		span := drain{zone: order.Zone, from: order.Acknowledged + bounds.Drain, till: math.MaxInt64}
+		interval := drainInterval{zone: order.Zone, start: order.Acknowledged + bounds.DrainTimeout, end: math.MaxInt64}
 		for _, later := range h.Orders {
 			if later.Kind == OrderUndrain && later.Zone == order.Zone && later.Sent > order.Sent {
-				span.till = min(span.till, later.Sent)
+				interval.end = min(interval.end, later.Sent)
 			}
 		}
-		spans = append(spans, span)
+		intervals = append(intervals, interval)
 	}
-	return spans
+	return intervals
 }
 
 func arrivalsInDrainedZones(history *History, bounds Bounds, disturbances []Disturbance) []string {
 	var found []string
-	spans := history.drains(bounds)
+	intervals := history.drainIntervals(bounds)
 	for _, arrival := range history.Arrivals {
-		for _, span := range spans {
-			if arrival.Place.Zone != span.zone || arrival.At <= span.from || arrival.At >= span.till {
+		for _, interval := range intervals {
+			if arrival.Place.Zone != interval.zone || arrival.At <= interval.start || arrival.At >= interval.end {
 				continue
 			}
 			router := history.Requests[arrival.Request].Router
-			if !bounds.mayNotKnow(disturbances, router, arrival.At) {
-				found = append(found, fmt.Sprintf("%s reached %s in zone %s at %s by %s, %s too late", arrival.Request, arrival.Machine, span.zone, arrival.At, router, arrival.At-span.from))
+			if !bounds.mayBeStale(disturbances, router, arrival.At) {
+				found = append(found, fmt.Sprintf("%s reached %s in drained zone %s at %s through %s, %s too late", arrival.Request, arrival.Machine, interval.zone, arrival.At, router, arrival.At-interval.start))
 			}
 		}
 	}
 	return found
 }
 
-// mayNotKnow reports whether a router may lack what all are to know: it was disturbed itself shortly
-// before, or more control nodes were than are tolerated.
-func (b Bounds) mayNotKnow(disturbances []Disturbance, router string, at time.Duration) bool {
-	own := slices.ContainsFunc(disturbances, func(each Disturbance) bool {
-		return each.Node == router && !each.Requests && each.From <= at && at <= each.Till+b.Contact
+// mayBeStale reports whether a router may have stale state: it was disturbed shortly before, or more control
+// nodes were than are tolerated.
+func (b Bounds) mayBeStale(disturbances []Disturbance, router string, at time.Duration) bool {
+	own := slices.ContainsFunc(disturbances, func(disturbance Disturbance) bool {
+		return disturbance.Node == router && !disturbance.RequestsOnly && disturbance.Start <= at && at <= disturbance.End+b.CatchUpTime
 	})
-	return own || b.intolerable(disturbances, at, at)
+	return own || b.exceedsTolerance(disturbances, at, at)
 }
 
-// floodedMachines looks at every span of a second that begins with an arrival.
-func floodedMachines(history *History, bounds Bounds, _ []Disturbance) []string {
+// overloadedWarmingMachines checks the arrivals in a sliding window of one second.
+func overloadedWarmingMachines(history *History, bounds Bounds, _ []Disturbance) []string {
 	times := map[string][]time.Duration{}
 	for _, arrival := range history.Arrivals {
 		if arrival.Warming {
@@ -275,8 +269,8 @@
 			for at-arrived[first] >= time.Second {
 				first++
 			}
-			if count := last - first + 1; count > bounds.WarmingPerSecond {
-				found = append(found, fmt.Sprintf("%s got %d requests in the second before %s while it warmed up", machine, count, at))
+			if count := last - first + 1; count > bounds.MaxWarmingPerSecond {
+				found = append(found, fmt.Sprintf("%s got %d requests in the second before %s while warming up", machine, count, at))
 				break
 			}
 		}
@@ -285,18 +279,18 @@
 }
 
 const (
-	// limitWindow is the span in which the requests to a machine that names a limit are counted.
+	// limitWindow is the sliding window in which requests to a machine with a rate limit are counted.
 	limitWindow = 4 * time.Second
-	// limitFactor and limitSlack are by how much routers may exceed what it takes in that span.
+	// Routers together may send limitFactor times the stated limit and limitSlack requests per window.
 	limitFactor, limitSlack = 1.5, 5
 )
 
-// overrunLimits looks at every span of limitWindow that begins with an arrival at a machine that names a
-// limit. Requests of routers that may not know of it are left out.
-func overrunLimits(history *History, bounds Bounds, disturbances []Disturbance) []string {
+// exceededLimits checks the arrivals at machines that state a rate limit. Arrivals from routers that may not
+// know of the limit are left out.
+func exceededLimits(history *History, bounds Bounds, disturbances []Disturbance) []string {
 	arrivals := map[string][]Arrival{}
 	for _, arrival := range history.Arrivals {
-		if arrival.Limit > 0 && !bounds.mayNotKnow(disturbances, history.Requests[arrival.Request].Router, arrival.At) {
+		if arrival.Limit > 0 && !bounds.mayBeStale(disturbances, history.Requests[arrival.Request].Router, arrival.At) {
 			arrivals[arrival.Machine] = append(arrivals[arrival.Machine], arrival)
 		}
 	}
@@ -309,7 +303,7 @@
 				first++
 			}
 			if count := last - first + 1; float64(count) > limitFactor*each.Limit*limitWindow.Seconds()+limitSlack {
-				found = append(found, fmt.Sprintf("%s got %d requests in the %s before %s, and takes %g a second", machine, count, limitWindow, each.At, each.Limit))
+				found = append(found, fmt.Sprintf("%s got %d requests in the %s before %s, with a limit of %g a second", machine, count, limitWindow, each.At, each.Limit))
 				break
 			}
 		}
@@ -317,7 +311,7 @@
 	return found
 }
 
-func forbiddenRegions(history *History, _ Bounds, _ []Disturbance) []string {
+func arrivalsInForbiddenRegions(history *History, _ Bounds, _ []Disturbance) []string {
 	var found []string
 	for _, arrival := range history.Arrivals {
 		if request := history.Requests[arrival.Request]; !request.Allowed.Allows(arrival.Place.Region) {
@@ -327,7 +321,7 @@
 	return found
 }
 
-// sortedGroups visits groups by name, so that the same history is always told alike.
+// sortedGroups visits the groups in the order of their names, so that reports are deterministic.
 func sortedGroups[T any](groups map[string][]T) func(yield func(string, []T) bool) {
 	return func(yield func(string, []T) bool) {
 		for _, name := range slices.SortedFunc(maps.Keys(groups), cmp.Compare[string]) {
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -7,10 +7,10 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-var testBounds = Bounds{Apply: 2 * time.Second, Drain: 2 * time.Second, Contact: time.Second, Tolerated: 1, WarmingPerSecond: 3}
+var testBounds = Bounds{ApplyTimeout: 2 * time.Second, DrainTimeout: 2 * time.Second, CatchUpTime: time.Second, ToleratedNodes: 1, MaxWarmingPerSecond: 3}
 
-// kept returns a history that breaks nothing.
-func kept() *History {
+// validHistory returns a history without violations.
+func validHistory() *History {
 	history := NewHistory()
 	history.Requests["once"] = Request{ID: "once", Router: "r1", Allowed: places.Only("north")}
 	history.Requests["again"] = Request{ID: "again", Router: "r1", Repeatable: true}
@@ -38,22 +38,21 @@
 	return history
 }
 
-func TestJudgeFindsNothing(t *testing.T) {
-	if found := Judge(kept(), testBounds, explained); len(found) > 0 {
+func TestJudgeAcceptsValidHistory(t *testing.T) {
+	if found := Judge(validHistory(), testBounds, explainingDisturbances); len(found) > 0 {
 		t.Errorf("%v", found)
 	}
 }
 
-// explained explains the order that nobody acknowledged, and nothing else.
-var explained = []Disturbance{
-	{From: 10 * time.Second, Till: 11500 * time.Millisecond, Node: "c1", Control: true},
-	{From: 11 * time.Second, Till: 11500 * time.Millisecond, Node: "c2", Control: true},
+// explainingDisturbances explain the unacknowledged order of validHistory, and nothing else.
+var explainingDisturbances = []Disturbance{
+	{Start: 10 * time.Second, End: 11500 * time.Millisecond, Node: "c1", IsControl: true},
+	{Start: 11 * time.Second, End: 11500 * time.Millisecond, Node: "c2", IsControl: true},
 }
 
-// TestEachCheckCanFail breaks one promise at a time.
-func TestEachCheckCanFail(t *testing.T) {
+func TestEachCheckFindsItsViolation(t *testing.T) {
 	late := Arrival{Request: "again", Machine: "m2", Place: Place{Zone: "s1", Region: "south"}, At: 7 * time.Second}
-	breaks := map[string]func(history *History){
+	violate := map[string]func(history *History){
 		"whole-answers":  func(h *History) { h.Answers[0].Right = false },
 		"no-denials":     func(h *History) { h.Answers[1].Outcome = OutcomeDenied },
 		"at-most-once":   func(h *History) { h.Arrivals[1].Request = "once" },
@@ -89,103 +88,104 @@
 		"recovery": func(h *History) { h.Unserved = append(h.Unserved, "r1") },
 	}
 	for _, each := range checks {
-		history := kept()
-		breaks[each.promise](history)
-		found := Judge(history, testBounds, explained)
-		if len(found) != 1 || found[0].Promise != each.promise {
-			t.Errorf("%s: found %v", each.promise, found)
+		history := validHistory()
+		violate[each.invariant](history)
+		found := Judge(history, testBounds, explainingDisturbances)
+		if len(found) != 1 || found[0].Invariant != each.invariant {
+			t.Errorf("%s: found %v", each.invariant, found)
 		}
 	}
 }
 
-// TestDrainsOfThoseWhoCannotKnow: a router that was cut off lately may send what it should not
-// have; one that was not may not.
-func TestDrainsOfThoseWhoCannotKnow(t *testing.T) {
-	history := kept()
+// TestDisturbedRoutersMayIgnoreDrains checks that requests may reach a drained zone only from a router
+// whose own state was disturbed shortly before.
+func TestDisturbedRoutersMayIgnoreDrains(t *testing.T) {
+	history := validHistory()
 	history.Arrivals = append(history.Arrivals, Arrival{Request: "again", Place: Place{Zone: "s1"}, At: 7 * time.Second})
 	for _, test := range []struct {
 		disturbance Disturbance
 		found       int
 	}{
-		{Disturbance{From: 5 * time.Second, Till: 6500 * time.Millisecond, Node: "r1"}, 0},
-		{Disturbance{From: 5 * time.Second, Till: 6500 * time.Millisecond, Node: "c1", Control: true}, 1},
-		{Disturbance{From: 5 * time.Second, Till: 6500 * time.Millisecond, Node: "r2"}, 1},
-		{Disturbance{From: 4 * time.Second, Till: 5 * time.Second, Node: "r1"}, 1},
-		{Disturbance{From: 8 * time.Second, Till: 9 * time.Second, Node: "r1"}, 1},
-		{Disturbance{From: 5 * time.Second, Till: 6500 * time.Millisecond, Node: "r1", Requests: true}, 1},
+		{Disturbance{Start: 5 * time.Second, End: 6500 * time.Millisecond, Node: "r1"}, 0},
+		{Disturbance{Start: 5 * time.Second, End: 6500 * time.Millisecond, Node: "c1", IsControl: true}, 1},
+		{Disturbance{Start: 5 * time.Second, End: 6500 * time.Millisecond, Node: "r2"}, 1},
+		{Disturbance{Start: 4 * time.Second, End: 5 * time.Second, Node: "r1"}, 1},
+		{Disturbance{Start: 8 * time.Second, End: 9 * time.Second, Node: "r1"}, 1},
+		{Disturbance{Start: 5 * time.Second, End: 6500 * time.Millisecond, Node: "r1", RequestsOnly: true}, 1},
 	} {
-		if found := Judge(history, testBounds, append([]Disturbance{test.disturbance}, explained...)); len(found) != test.found {
+		if found := Judge(history, testBounds, append([]Disturbance{test.disturbance}, explainingDisturbances...)); len(found) != test.found {
 			t.Errorf("%+v: found %v", test.disturbance, found)
 		}
 	}
 }
 
-// TestPlainRequestsThatFaultsExplain: a request may fail where its own router or a machine was
-// disturbed while it was under way, or a router that started again could not learn what is in
-// force. What strikes control nodes alone explains nothing.
-func TestPlainRequestsThatFaultsExplain(t *testing.T) {
-	history := kept()
-	history.Answers[3].Outcome = OutcomeUnknown // Sent at 2 s, over at 3 s.
-	span := func(from, till time.Duration) Disturbance {
-		return Disturbance{From: from * time.Millisecond, Till: till * time.Millisecond}
+// TestDisturbancesExplainFailedPlainRequests checks that a plain request may fail if its router or a
+// machine was disturbed while it was in flight, or if its restarted router could not fetch its state.
+// Disturbed control nodes alone explain no failure.
+func TestDisturbancesExplainFailedPlainRequests(t *testing.T) {
+	history := validHistory()
+	history.Answers[3].Outcome = OutcomeUnknown // Sent at 2 s, failed at 3 s.
+	span := func(startMs, endMs time.Duration) Disturbance {
+		return Disturbance{Start: startMs * time.Millisecond, End: endMs * time.Millisecond}
 	}
-	of := func(node string, span Disturbance) Disturbance {
-		span.Node = node
-		return span
+	router := func(node string, disturbance Disturbance) Disturbance {
+		disturbance.Node = node
+		return disturbance
 	}
-	control := func(node string, span Disturbance) Disturbance {
-		span.Node, span.Control = node, true
-		return span
+	control := func(node string, disturbance Disturbance) Disturbance {
+		disturbance.Node, disturbance.IsControl = node, true
+		return disturbance
 	}
-	requests := func(span Disturbance) Disturbance {
-		span.Requests = true
-		return span
+	requests := func(disturbance Disturbance) Disturbance {
+		disturbance.RequestsOnly = true
+		return disturbance
 	}
 	for _, test := range []struct {
 		disturbances []Disturbance
 		found        int
 	}{
-		{[]Disturbance{of("r2", span(2500, 2600))}, 0},
-		{[]Disturbance{of("r2", span(500, 2000))}, 0},
-		{[]Disturbance{of("r2", span(500, 1900))}, 1},
-		{[]Disturbance{of("r2", span(500, 900)), control("c1", span(800, 1500)), control("c2", span(800, 1500))}, 0},
-		{[]Disturbance{of("r2", span(500, 900)), control("c1", span(800, 1500))}, 1},
-		{[]Disturbance{of("r2", span(500, 900)), control("c1", span(1000, 1500)), control("c2", span(1000, 1500))}, 1},
-		{[]Disturbance{of("r2", span(3100, 3200))}, 1},
-		{[]Disturbance{of("r1", span(2500, 2600))}, 1},
+		{[]Disturbance{router("r2", span(2500, 2600))}, 0},
+		{[]Disturbance{router("r2", span(500, 2000))}, 0},
+		{[]Disturbance{router("r2", span(500, 1900))}, 1},
+		{[]Disturbance{router("r2", span(500, 900)), control("c1", span(800, 1500)), control("c2", span(800, 1500))}, 0},
+		{[]Disturbance{router("r2", span(500, 900)), control("c1", span(800, 1500))}, 1},
+		{[]Disturbance{router("r2", span(500, 900)), control("c1", span(1000, 1500)), control("c2", span(1000, 1500))}, 1},
+		{[]Disturbance{router("r2", span(3100, 3200))}, 1},
+		{[]Disturbance{router("r1", span(2500, 2600))}, 1},
 		{[]Disturbance{requests(span(2500, 2600))}, 0},
 		{[]Disturbance{control("c1", span(1500, 2600)), control("c2", span(1500, 2600))}, 1},
 	} {
-		if found := Judge(history, testBounds, append(test.disturbances, explained...)); len(found) != test.found {
+		if found := Judge(history, testBounds, append(test.disturbances, explainingDisturbances...)); len(found) != test.found {
 			t.Errorf("%+v: found %v", test.disturbances, found)
 		}
 	}
 }
 
-// TestIntolerableFaultsExplainArrivals: routers can't learn of a drain while more control nodes
-// are disturbed than are tolerated.
-func TestIntolerableFaultsExplainArrivals(t *testing.T) {
-	history := kept()
+// TestTooManyDisturbedControlNodesExplainArrivals checks that routers can't learn of a drain while more
+// control nodes are disturbed than are tolerated.
+func TestTooManyDisturbedControlNodesExplainArrivals(t *testing.T) {
+	history := validHistory()
 	history.Arrivals = append(history.Arrivals, Arrival{Request: "again", Place: Place{Zone: "s1"}, At: 7 * time.Second})
 	both := append([]Disturbance{
-		{From: 5 * time.Second, Till: 6500 * time.Millisecond, Node: "c1", Control: true},
-		{From: 5 * time.Second, Till: 6500 * time.Millisecond, Node: "c2", Control: true},
-	}, explained...)
+		{Start: 5 * time.Second, End: 6500 * time.Millisecond, Node: "c1", IsControl: true},
+		{Start: 5 * time.Second, End: 6500 * time.Millisecond, Node: "c2", IsControl: true},
+	}, explainingDisturbances...)
 	if found := Judge(history, testBounds, both); len(found) > 0 {
 		t.Errorf("found %v", found)
 	}
 }
 
-// TestFaultsOneAfterTheOtherAreTolerated: two control nodes are too many only at the same time.
-func TestFaultsOneAfterTheOtherAreTolerated(t *testing.T) {
-	first := Disturbance{From: 5 * time.Second, Till: 6 * time.Second, Node: "c1", Control: true}
-	second := Disturbance{Till: 9 * time.Second, Node: "c2", Control: true}
-	for from, intolerable := range map[time.Duration]bool{
+// TestConsecutiveFaultsAreTolerated checks that two disturbed control nodes exceed the tolerance only if
+// their disturbances overlap.
+func TestConsecutiveFaultsAreTolerated(t *testing.T) {
+	first := Disturbance{Start: 5 * time.Second, End: 6 * time.Second, Node: "c1", IsControl: true}
+	second := Disturbance{End: 9 * time.Second, Node: "c2", IsControl: true}
+	for start, exceeds := range map[time.Duration]bool{
 		5500 * time.Millisecond: true, 6500 * time.Millisecond: true, 7500 * time.Millisecond: false,
 	} {
-		second.From = from
-		if testBounds.intolerable([]Disturbance{first, second}, 8*time.Second, 8*time.Second) != intolerable {
-			t.Errorf("a second fault at %s: intolerable is not %t", from, intolerable)
+		second.Start = start
+		if testBounds.exceedsTolerance([]Disturbance{first, second}, 8*time.Second, 8*time.Second) != exceeds {
+			t.Errorf("second fault at %s: exceedsTolerance is not %t", start, exceeds)
 		}
 	}
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -7,73 +7,71 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// Times are since the soak began.
+// All times are relative to the start of recording.
 
-// Request is what a caller sent.
+// Request is a request that a caller sent.
 type Request struct {
 	ID     string
 	Router string
 	Sent   time.Duration
-	// Repeatable is set where the request may run more than once.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
-	// Plain is set where any machine of a pool without models can serve it.
+	// Plain is set if any machine of a pool without models can serve the request.
 	Plain bool
-	// Allowed says in which regions it may be served.
+	// Allowed are the regions that may serve the request.
 	Allowed places.Constraint
 }
 
-// Outcome is what a caller was told.
+// Outcome is the result of a request as its caller knows it.
 type Outcome int
 
-// The outcomes.
 const (
-	// OutcomeAnswered: an answer that claims to be whole.
+	// OutcomeAnswered is a response with status 200, complete or not.
 	OutcomeAnswered Outcome = iota
-	// OutcomeNotRun: a refusal that says that the request has not run and will not.
+	// OutcomeNotRun is a rejection with the guarantee that the request has not run and will not.
 	OutcomeNotRun
-	// OutcomeUnknown: a failure that says nothing of that, or a broken connection.
+	// OutcomeUnknown is a failure without that guarantee, or a broken connection.
 	OutcomeUnknown
-	// OutcomeDenied: the request was refused as one that may not be, or is for nobody.
+	// OutcomeDenied is any other status: the request is forbidden or no route matches it.
 	OutcomeDenied
 )
 
-// Answer is what a caller got.
+// Answer is the response to a request, or its failure.
 type Answer struct {
 	Request string
 	At      time.Duration
 	Outcome Outcome
-	// Right is set where an answer is the whole one to the request.
+	// Right is set if the response is complete and belongs to the request.
 	Right bool
-	// Kind tells apart, for reports, what the caller saw.
+	// Kind groups answers in reports: the status and the reason, or the error.
 	Kind string
 }
 
-// Arrival is a request that a machine took.
+// Arrival is a request that a machine ran.
 type Arrival struct {
 	Request string
 	Machine string
 	Place   Place
 	At      time.Duration
-	// Warming is set where the machine warmed up at that time.
+	// Warming is set if the machine was warming up.
 	Warming bool
-	// Limit is how many requests a second the machine had named that it takes, long enough before for
-	// all routers in touch to know; 0 for none.
+	// Limit is the rate limit in requests a second that the machine stated long enough before for all
+	// connected routers to know; 0 for none.
 	Limit float64
 }
 
-// Place is where a machine stands.
+// Place is the location of a machine.
 type Place struct {
 	Zone, Region string
 }
 
-// OrderKind is what an operator ordered.
+// OrderKind is the kind of an operator's order.
 type OrderKind int
 
-// The kinds of orders.
 const (
 	// OrderDeclare declares a version of the configuration.
 	OrderDeclare OrderKind = iota
-	// OrderDrain drains a zone, OrderUndrain takes that back.
+	// OrderDrain drains a zone, OrderUndrain ends its drain.
 	OrderDrain
 	OrderUndrain
 )
@@ -81,47 +79,44 @@
 // Order is an order of an operator that was acknowledged.
 type Order struct {
 	Kind OrderKind
-	// Version is that of a declaration, Zone that of a drain.
+	// Version belongs to a declaration, Zone to a drain.
 	Version uint64
 	Zone    string
-	// Sent is when it was sent first, Acknowledged when it was acknowledged first.
+	// Sent is the time of the first attempt, Acknowledged that of the first acknowledgement.
 	Sent, Acknowledged time.Duration
 }
 
-// Read is a configuration that was read back.
+// Read is a configuration version that a control node returned.
 type Read struct {
 	Node    string
 	Version uint64
 	Sent    time.Duration
 }
 
-// History is all that was seen from outside. It is safe for concurrent use while it is recorded.
+// History is everything that callers, operators and machines observed. Record is safe for concurrent use.
 type History struct {
-	mutex    sync.Mutex
-	Requests map[string]Request
-	Answers  []Answer
-	Arrivals []Arrival
-	// Rejections are requests that machines turned away and did not run.
+	mutex      sync.Mutex
+	Requests   map[string]Request
+	Answers    []Answer
+	Arrivals   []Arrival
 	Rejections []Rejection
-	// Leaving are the answers in which machines said that they are leaving.
-	Leaving []LeavingAnswer
-	Orders  []Order
-	// Ignored are orders that nobody acknowledged, though each was sent again and again; Acknowledged
-	// is when the operator gave up.
+	Leaving    []LeavingAnswer
+	Orders     []Order
+	// Ignored are orders that no control node acknowledged despite retries; Acknowledged is when the operator
+	// gave up.
 	Ignored []Order
 	Reads   []Read
-	// Overcommits tells of loads for which a machine had no memory.
+	// Overcommits describes loads for which a machine had no memory.
 	Overcommits []string
-	// Unserved tells of what did not come back after the last fault.
+	// Unserved describes routers and control nodes that did not recover after the last fault.
 	Unserved []string
 }
 
-// NewHistory returns an empty history.
 func NewHistory() *History {
 	return &History{Requests: map[string]Request{}}
 }
 
-// Record lets the function add to the history.
+// Record calls add while it holds the history's lock.
 func (h *History) Record(add func(history *History)) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,67 +8,63 @@
 	"time"
 )
 
-// FaultKind is what is done to a process, its links or a machine.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The kinds of faults.
 const (
-	// FaultKill ends a process without a word, FaultStop asks it to end; whoever started it
-	// starts it again.
+	// FaultKill sends SIGKILL to a process and FaultStop SIGTERM; its supervisor restarts it.
 	FaultKill FaultKind = "kill"
 	FaultStop FaultKind = "stop"
-	// FaultFreeze suspends a process by a signal for a while.
+	// FaultFreeze suspends a process with SIGSTOP.
 	FaultFreeze FaultKind = "freeze"
-	// FaultKillAll ends all control nodes at the same moment.
+	// FaultKillAll sends SIGKILL to all control nodes at once.
 	FaultKillAll FaultKind = "kill-all"
-	// FaultSilenceTo and FaultSilenceFrom let nothing through to, or from, a control node on the
-	// connections that stand; new ones work.
+	// FaultSilenceTo and FaultSilenceFrom drop all traffic to or from a control node on existing connections;
+	// new connections work.
 	FaultSilenceTo   FaultKind = "silence-to"
 	FaultSilenceFrom FaultKind = "silence-from"
-	// FaultCutTo and FaultCutFrom let nothing through between a control node and everybody else, one way, on
-	// connections old and new.
+	// FaultCutTo and FaultCutFrom block all traffic to or from a control node, on new connections too.
 	FaultCutTo   FaultKind = "cut-to"
 	FaultCutFrom FaultKind = "cut-from"
-	// FaultReset closes all connections to a control node.
+	// FaultReset resets all connections to a control node.
 	FaultReset FaultKind = "reset"
-	// FaultDelay holds everything to and from a control node up.
+	// FaultDelay delays all traffic to and from a control node.
 	FaultDelay FaultKind = "delay"
-	// FaultCrashMachine ends a machine; it comes back as another, and warms up.
+	// FaultCrashMachine terminates a machine; one with another id replaces it and warms up.
 	FaultCrashMachine FaultKind = "crash-machine"
-	// FaultCoolMachine makes a machine warm up again, without a restart.
+	// FaultCoolMachine makes a machine warm up again without a restart.
 	FaultCoolMachine FaultKind = "cool-machine"
-	// FaultResetMachine, FaultSilenceMachine and FaultDelayMachine strike the links to a machine.
-	// A silent one says nothing any more on connections that stand.
+	// FaultResetMachine, FaultSilenceMachine and FaultDelayMachine affect the connections to a machine.
+	// FaultSilenceMachine drops its responses on existing connections.
 	FaultResetMachine   FaultKind = "reset-machine"
 	FaultSilenceMachine FaultKind = "silence-machine"
 	FaultDelayMachine   FaultKind = "delay-machine"
-	// FaultResetCallers, FaultSilenceCallers and FaultDelayCallers strike what callers have open to
-	// a router.
+	// FaultResetCallers, FaultSilenceCallers and FaultDelayCallers affect the connections from callers to a
+	// router.
 	FaultResetCallers   FaultKind = "reset-callers"
 	FaultSilenceCallers FaultKind = "silence-callers"
 	FaultDelayCallers   FaultKind = "delay-callers"
-	// FaultCutZone cuts all links of a zone's control nodes, both ways.
+	// FaultCutZone blocks all traffic to and from the control nodes of a zone.
 	FaultCutZone FaultKind = "cut-zone"
-	// FaultRollControl and FaultRollRouters stop all of them, one after the other, as an update does.
+	// FaultRollControl and FaultRollRouters restart all control nodes or routers, one after the other.
 	FaultRollControl FaultKind = "roll-control"
 	FaultRollRouters FaultKind = "roll-routers"
-	// FaultLoseDisk ends a control node, which comes back with an empty data folder.
+	// FaultLoseDisk kills a control node, which restarts with an empty data folder.
 	FaultLoseDisk FaultKind = "lose-disk"
-	// FaultBurst lets many more callers come for a while.
+	// FaultBurst adds many callers for its duration.
 	FaultBurst FaultKind = "burst"
-	// FaultUpgrade stops a process, which comes back as the present build, and FaultDowngrade as the
-	// former one.
+	// FaultUpgrade restarts a process with the current build and FaultDowngrade with the previous one.
 	FaultUpgrade   FaultKind = "upgrade"
 	FaultDowngrade FaultKind = "downgrade"
-	// FaultLimitMachine makes a machine name a limit in its answers for a while.
+	// FaultLimitMachine makes a machine state a rate limit in its responses.
 	FaultLimitMachine FaultKind = "limit-machine"
-	// FaultRestMachine makes a machine reject requests with a rest for a while.
+	// FaultRestMachine makes a machine reject requests with Retry-After.
 	FaultRestMachine FaultKind = "rest-machine"
-	// FaultLeaveMachine makes a machine say in its answers that it is leaving, and end after a while.
+	// FaultLeaveMachine makes a machine announce in its responses that it is leaving, and then terminate.
 	FaultLeaveMachine FaultKind = "leave-machine"
 )
 
-// Layout is what there is to be disturbed.
+// Layout lists the processes and machines of a deployment.
 type Layout struct {
 	Control, Routers []string
 	// Zones lists the control nodes by zone.
@@ -76,22 +72,20 @@
 	Machines int
 }
 
-// Fault is a disturbance from a time on.
+// Fault is a planned fault.
 type Fault struct {
 	Kind FaultKind     `json:"kind"`
 	At   time.Duration `json:"at"`
-	// For is how long it lasts; 0 for those that happen at once.
-	For time.Duration `json:"for"`
-	// Node is the process, Machine the number of the machine that it strikes.
+	// Duration is 0 for faults without an extent in time.
+	Duration time.Duration `json:"for"`
+	// Node is the affected process, Machine and Zone are indexes.
 	Node    string `json:"node,omitempty"`
 	Machine int    `json:"machine,omitempty"`
-	// Zone is the number of the zone that it strikes.
-	Zone int `json:"zone,omitempty"`
+	Zone    int    `json:"zone,omitempty"`
 }
 
-// String tells the fault in reports.
 func (f Fault) String() string {
-	return fmt.Sprintf("%s %s %s for %s", f.At, f.Kind, f.target(), f.For)
+	return fmt.Sprintf("%s %s %s for %s", f.At, f.Kind, f.target(), f.Duration)
 }
 
 func (f Fault) target() string {
@@ -101,45 +95,37 @@
 	return fmt.Sprintf("machine %d, zone %d", f.Machine, f.Zone)
 }
 
-// Disturbance is a span in which a fault keeps somebody from knowing what the others know.
+// Disturbance is an interval in which a fault may leave a node with stale state or fail its requests.
 type Disturbance struct {
-	From, Till time.Duration
-	// Node is whom it concerns; Control is set for a control node, from which routers may lack what
-	// they are to know.
-	Node    string
-	Control bool
-	// Requests is set where only requests are held up, those of a node or of all: nobody lacks
-	// knowledge by that.
-	Requests bool
+	Start, End time.Duration
+	// Node is empty for a disturbance of requests through any router.
+	Node      string
+	IsControl bool
+	// RequestsOnly is set if requests may fail while the node's state stays current.
+	RequestsOnly bool
 }
 
 const (
-	// calmStart leaves the system time to form and to serve before the first fault.
-	calmStart = 3 * time.Second
-	// meanPause is between two faults; many overlap, since they last up to longestFault.
-	meanPause     = 900 * time.Millisecond
-	longestFault  = 4 * time.Second
-	shortestFault = 200 * time.Millisecond
-	// restartTime is what it takes until a process that ended is back: whoever supervises it has
-	// to notice that first.
-	restartTime = 2 * time.Second
-	// stopTime is what one takes that is asked to end, and finishes what it has first.
-	stopTime = 5 * time.Second
-	// replaceTime is what it takes until a control node that lost its disk counts again, or another
-	// in its place.
-	replaceTime = 6 * time.Second
-	// silentTime is for how long requests may meet a connection that fell silent: as long as callers
-	// wait for an answer, twice, as a request may meet one silent connection after another.
-	silentTime = 10 * time.Second
-	// rollTime is between two stops of a series: a node that stops lets go of its requests first.
-	rollTime = 1500 * time.Millisecond
-	// mostDisksLost is how many disks are lost in one soak: what the deployment tolerates at once,
-	// and nothing says from outside when the replicated log has replaced a node.
-	mostDisksLost = 1
+	faultFreeStart    = 3 * time.Second
+	meanFaultInterval = 900 * time.Millisecond // shorter than most faults, so that faults overlap
+	maxFaultDuration  = 4 * time.Second
+	minFaultDuration  = 200 * time.Millisecond
+	// restartDuration includes the time until the supervisor notices the exit.
+	restartDuration = 2 * time.Second
+	// stopDuration includes the time to finish open requests.
+	stopDuration = 5 * time.Second
+	// replaceDuration runs until a control node that lost its disk, or its replacement, is a voter again.
+	replaceDuration = 6 * time.Second
+	// silentConnectionDuration is twice a caller's timeout: a request may meet two silent connections in turn.
+	silentConnectionDuration = 10 * time.Second
+	// rollInterval leaves a stopping node time to finish open requests.
+	rollInterval = 1500 * time.Millisecond
+	// maxDisksLost is what the deployment tolerates at once: clients can't tell when a node was replaced.
+	maxDisksLost = 1
 )
 
-// kinds lists each kind as often as it is to come.
-var kinds = []FaultKind{
+// weightedKinds lists each kind in proportion to its frequency.
+var weightedKinds = []FaultKind{
 	FaultKill, FaultKill, FaultStop, FaultFreeze, FaultFreeze, FaultKillAll,
 	FaultSilenceTo, FaultSilenceFrom, FaultCutTo, FaultCutFrom, FaultReset, FaultDelay,
 	FaultCrashMachine, FaultCrashMachine, FaultCoolMachine, FaultCoolMachine,
@@ -148,35 +134,34 @@
 	FaultCutZone, FaultRollControl, FaultRollRouters, FaultLoseDisk, FaultBurst,
 }
 
-// limitTime is for how long a machine names a limit: a few of the windows in which its requests are
-// counted. The first one comes within limitPause.
 const (
-	limitTime  = 9 * time.Second
-	limitPause = 4 * time.Second
+	limitDuration = 9 * time.Second // more than two of the windows in which requests are counted
+	maxLimitPause = 4 * time.Second
 )
 
-// NewPlanWithLimits is NewPlan with machines that name limits besides, one at a time. They have random
-// numbers of their own, so that the other faults of a seed are what they are without them.
+// NewPlanWithLimits adds machines that state rate limits, one at a time, to the faults of NewPlan. Limits have
+// a random source of their own, so that the other faults of a seed don't depend on them.
 func NewPlanWithLimits(seed uint64, layout Layout, span time.Duration) []Fault {
 	var limits []Fault
 	random := rand.New(rand.NewPCG(seed, 1))
-	for at := calmStart; ; at += limitTime {
-		at += time.Duration(random.Int64N(int64(limitPause)))
-		if at+limitTime+restartTime > span {
+	for at := faultFreeStart; ; at += limitDuration {
+		at += time.Duration(random.Int64N(int64(maxLimitPause)))
+		if at+limitDuration+restartDuration > span {
 			break
 		}
-		limits = append(limits, Fault{Kind: FaultLimitMachine, At: at, For: limitTime, Machine: random.IntN(layout.Machines)})
+		limits = append(limits, Fault{Kind: FaultLimitMachine, At: at, Duration: limitDuration, Machine: random.IntN(layout.Machines)})
 	}
-	return Together(NewPlan(seed, layout, span), limits)
+	return MergePlans(NewPlan(seed, layout, span), limits)
 }
 
-// Rollout draws the replacement of a former build by the present one, node by node in any order: all but
-// one, half of these back, and then all. While one node is of the former build every other may go back.
-func Rollout(seed uint64, layout Layout, span time.Duration) []Fault {
+// NewRolloutPlan draws a rollout of the current build, node by node in random order: it upgrades all nodes but
+// one, downgrades half of these, and then upgrades all. A downgrade is safe only while a node still runs the
+// previous build.
+func NewRolloutPlan(seed uint64, layout Layout, span time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 2))
 	nodes := slices.Concat(layout.Control, layout.Routers)
 	random.Shuffle(len(nodes), func(left, right int) { nodes[left], nodes[right] = nodes[right], nodes[left] })
-	back := nodes[:(len(nodes)-1)/2]
+	downgraded := nodes[:(len(nodes)-1)/2]
 	var plan []Fault
 	add := func(kind FaultKind, nodes []string) {
 		for _, node := range nodes {
@@ -184,39 +169,39 @@
 		}
 	}
 	add(FaultUpgrade, nodes[:len(nodes)-1])
-	add(FaultDowngrade, back)
+	add(FaultDowngrade, downgraded)
 	add(FaultUpgrade, nodes[len(nodes)-1:])
-	add(FaultUpgrade, back)
-	pause := (span - calmStart - stopTime) / time.Duration(len(plan))
+	add(FaultUpgrade, downgraded)
+	interval := (span - faultFreeStart - stopDuration) / time.Duration(len(plan))
 	for position := range plan {
-		plan[position].At = calmStart + pause*time.Duration(position)
+		plan[position].At = faultFreeStart + interval*time.Duration(position)
 	}
 	return plan
 }
 
-// Together are the faults of several plans in the order of their times.
-func Together(plans ...[]Fault) []Fault {
+// MergePlans returns the faults of several plans in the order of their times.
+func MergePlans(plans ...[]Fault) []Fault {
 	all := slices.Concat(plans...)
 	slices.SortStableFunc(all, func(left, right Fault) int { return cmp.Compare(left.At, right.At) })
 	return all
 }
 
-// NewPlan draws the faults of a soak; all are over by the end of the span.
+// NewPlan draws the faults of a soak; all of them end within the span.
 func NewPlan(seed uint64, layout Layout, span time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 0))
 	var plan []Fault
 	disksLost := 0
-	for at := calmStart; ; {
-		at += time.Duration(random.ExpFloat64() * float64(meanPause))
+	for at := faultFreeStart; ; {
+		at += time.Duration(random.ExpFloat64() * float64(meanFaultInterval))
 		drawn := drawFault(random, layout, at)
-		if at+restartTime > span {
+		if at+restartDuration > span {
 			return plan
 		}
-		if at+drawn.For+restartTime > span {
-			continue // Too long; shorter ones still have time.
+		if at+drawn.Duration+restartDuration > span {
+			continue // A shorter fault may still fit.
 		}
 		if drawn.Kind == FaultLoseDisk {
-			if disksLost == mostDisksLost {
+			if disksLost == maxDisksLost {
 				continue
 			}
 			disksLost++
@@ -226,104 +211,103 @@
 }
 
 func drawFault(random *rand.Rand, layout Layout, at time.Duration) Fault {
-	drawn := Fault{Kind: kinds[random.IntN(len(kinds))], At: at}
-	span := shortestFault + time.Duration(random.Int64N(int64(longestFault-shortestFault)))
-	everybody := append(append([]string{}, layout.Control...), layout.Routers...)
+	drawn := Fault{Kind: weightedKinds[random.IntN(len(weightedKinds))], At: at}
+	duration := minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
+	nodes := append(append([]string{}, layout.Control...), layout.Routers...)
 	switch drawn.Kind {
 	case FaultCrashMachine, FaultCoolMachine, FaultResetMachine, FaultSilenceMachine:
 		drawn.Machine = random.IntN(layout.Machines)
 	case FaultDelayMachine:
-		drawn.Machine, drawn.For = random.IntN(layout.Machines), span
+		drawn.Machine, drawn.Duration = random.IntN(layout.Machines), duration
 	case FaultResetCallers, FaultSilenceCallers:
 		drawn.Node = layout.Routers[random.IntN(len(layout.Routers))]
 	case FaultDelayCallers:
-		drawn.Node, drawn.For = layout.Routers[random.IntN(len(layout.Routers))], span
+		drawn.Node, drawn.Duration = layout.Routers[random.IntN(len(layout.Routers))], duration
 	case FaultCutZone:
-		drawn.Zone, drawn.For = random.IntN(len(layout.Zones)), span
+		drawn.Zone, drawn.Duration = random.IntN(len(layout.Zones)), duration
 	case FaultRollControl:
-		drawn.For = rollTime * time.Duration(len(layout.Control))
+		drawn.Duration = rollInterval * time.Duration(len(layout.Control))
 	case FaultRollRouters:
-		drawn.For = rollTime * time.Duration(len(layout.Routers))
+		drawn.Duration = rollInterval * time.Duration(len(layout.Routers))
 	case FaultBurst:
-		drawn.For = span
+		drawn.Duration = duration
 	case FaultKill, FaultStop:
-		drawn.Node = everybody[random.IntN(len(everybody))]
+		drawn.Node = nodes[random.IntN(len(nodes))]
 	case FaultFreeze:
-		drawn.Node, drawn.For = everybody[random.IntN(len(everybody))], span
+		drawn.Node, drawn.Duration = nodes[random.IntN(len(nodes))], duration
 	case FaultReset, FaultLoseDisk:
 		drawn.Node = layout.Control[random.IntN(len(layout.Control))]
 	case FaultKillAll:
 	default:
-		drawn.Node, drawn.For = layout.Control[random.IntN(len(layout.Control))], span
+		drawn.Node, drawn.Duration = layout.Control[random.IntN(len(layout.Control))], duration
 	}
 	return drawn
 }
 
-// Disturbances returns whom the faults of a plan keep from knowing, or from being served, and for
-// how long. What strikes a machine is felt by whoever has requests there.
+// Disturbances returns the disturbances that the faults of a plan may cause. A fault of a machine may fail
+// requests through any router.
 func Disturbances(plan []Fault, layout Layout) []Disturbance {
-	var spans []Disturbance
+	var disturbances []Disturbance
 	for _, fault := range plan {
-		spans = append(spans, fault.disturbances(layout)...)
+		disturbances = append(disturbances, fault.disturbances(layout)...)
 	}
-	return spans
+	return disturbances
 }
 
 func (f Fault) disturbances(layout Layout) []Disturbance {
-	span := Disturbance{From: f.At, Till: f.At + f.For, Node: f.Node, Control: slices.Contains(layout.Control, f.Node)}
+	span := Disturbance{Start: f.At, End: f.At + f.Duration, Node: f.Node, IsControl: slices.Contains(layout.Control, f.Node)}
 	switch f.Kind {
 	case FaultCoolMachine, FaultLimitMachine, FaultRestMachine, FaultLeaveMachine, FaultBurst:
 		return nil
 	case FaultCrashMachine, FaultResetMachine, FaultDelayMachine:
-		span.Till += restartTime
-		span.Requests = true
+		span.End += restartDuration
+		span.RequestsOnly = true
 	case FaultResetCallers, FaultDelayCallers:
-		span.Requests = true
+		span.RequestsOnly = true
 	case FaultSilenceMachine, FaultSilenceCallers:
-		span.Till += silentTime
-		span.Requests = true
+		span.End += silentConnectionDuration
+		span.RequestsOnly = true
 	case FaultCutZone:
-		return ofEach(span, layout.Zones[f.Zone])
+		return perControlNode(span, layout.Zones[f.Zone])
 	case FaultKillAll:
-		span.Till += restartTime
-		return ofEach(span, layout.Control)
+		span.End += restartDuration
+		return perControlNode(span, layout.Control)
 	case FaultRollControl:
-		return ofEach(rolled(span), layout.Control)
+		return perControlNode(controlRollSpan(span), layout.Control)
 	case FaultRollRouters:
-		return rollOf(span, layout.Routers)
+		return perRolledRouter(span, layout.Routers)
 	case FaultStop, FaultUpgrade, FaultDowngrade:
-		span.Till += stopTime
+		span.End += stopDuration
 	case FaultKill:
-		span.Till += restartTime
+		span.End += restartDuration
 	case FaultLoseDisk:
-		span.Till += replaceTime
+		span.End += replaceDuration
 	}
 	return []Disturbance{span}
 }
 
-// rolled is the span in which control nodes that stop one after the other are disturbed: it
-// lasts until the last of them has stopped.
-func rolled(span Disturbance) Disturbance {
-	span.Till += stopTime
-	return span
+// controlRollSpan extends the disturbance of a rolling restart until the last control node has stopped.
+func controlRollSpan(roll Disturbance) Disturbance {
+	roll.End += stopDuration
+	return roll
 }
 
-// ofEach returns the disturbance of each of some control nodes.
-func ofEach(span Disturbance, nodes []string) []Disturbance {
-	var spans []Disturbance
+// perControlNode returns a copy of a disturbance for each control node.
+func perControlNode(disturbance Disturbance, nodes []string) []Disturbance {
+	var disturbances []Disturbance
 	for _, node := range nodes {
-		span.Node, span.Control = node, true
-		spans = append(spans, span)
+		disturbance.Node, disturbance.IsControl = node, true
+		disturbances = append(disturbances, disturbance)
 	}
-	return spans
+	return disturbances
 }
 
-// rollOf returns the disturbances of routers that stop one after the other.
-func rollOf(whole Disturbance, nodes []string) []Disturbance {
-	var spans []Disturbance
+// perRolledRouter returns the disturbance of each router in a rolling restart.
+func perRolledRouter(roll Disturbance, nodes []string) []Disturbance {
+	var disturbances []Disturbance
 	for position, node := range nodes {
-		from := whole.From + rollTime*time.Duration(position)
-		spans = append(spans, Disturbance{From: from, Till: from + stopTime, Node: node})
+		start := roll.Start + rollInterval*time.Duration(position)
+		disturbances = append(disturbances, Disturbance{Start: start, End: start + stopDuration, Node: node})
 	}
-	return spans
+	return disturbances
 }
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlan checks what every plan must hold: the same for the same seed, over in time, struck is
-// who exists, and somewhere faults overlap.
+// TestPlan checks that every plan is reproducible from its seed, stays within its span, affects existing
+// targets only and has overlapping faults.
 func TestPlan(t *testing.T) {
 	layout := Layout{Control: []string{"c1", "c2", "c3"}, Routers: []string{"r1", "r2"}, Zones: [][]string{{"c1", "c3"}, {"c2"}}, Machines: 4}
-	everybody := append(slices.Clone(layout.Control), layout.Routers...)
+	nodes := append(slices.Clone(layout.Control), layout.Routers...)
 	const span = time.Minute
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -23,18 +23,18 @@
 		}
 		overlaps, disksLost := false, 0
 		for position, each := range plan {
-			if each.At < calmStart || each.At+each.For > span {
+			if each.At < faultFreeStart || each.At+each.Duration > span {
 				t.Fatalf("%s is not within the span", each)
 			}
-			if each.Node != "" && !slices.Contains(everybody, each.Node) || each.Machine >= layout.Machines {
-				t.Fatalf("%s strikes nobody", each)
+			if each.Node != "" && !slices.Contains(nodes, each.Node) || each.Machine >= layout.Machines {
+				t.Fatalf("%s has no existing target", each)
 			}
 			if each.Kind == FaultLoseDisk {
 				disksLost++
 			}
-			overlaps = overlaps || position > 0 && each.At < plan[position-1].At+plan[position-1].For
+			overlaps = overlaps || position > 0 && each.At < plan[position-1].At+plan[position-1].Duration
 		}
-		if disksLost > mostDisksLost {
+		if disksLost > maxDisksLost {
 			t.Fatalf("%d disks are lost", disksLost)
 		}
 		if !overlaps {
@@ -43,36 +43,36 @@
 	})
 }
 
-// TestDisturbances: each fault disturbs the nodes that it strikes, all of them where it strikes
-// several, and what strikes a machine or callers' links keeps nobody from knowing.
+// TestDisturbances checks that a fault disturbs every node that it affects. Faults of machines and of
+// callers' connections disturb requests only.
 func TestDisturbances(t *testing.T) {
 	layout := Layout{Control: []string{"c1"}, Zones: [][]string{{"c1"}}, Routers: []string{"r1"}, Machines: 1}
-	spans := Disturbances([]Fault{
+	disturbances := Disturbances([]Fault{
 		{Kind: FaultKill, At: time.Second, Node: "r1"},
-		{Kind: FaultCutTo, At: 2 * time.Second, For: time.Second, Node: "c1"},
+		{Kind: FaultCutTo, At: 2 * time.Second, Duration: time.Second, Node: "c1"},
 		{Kind: FaultCrashMachine, At: 3 * time.Second},
 	}, layout)
-	spans = append(spans, Disturbances([]Fault{
-		{Kind: FaultRollRouters, At: time.Second, For: rollTime},
-		{Kind: FaultCutZone, At: time.Second, For: time.Second},
+	disturbances = append(disturbances, Disturbances([]Fault{
+		{Kind: FaultRollRouters, At: time.Second, Duration: rollInterval},
+		{Kind: FaultCutZone, At: time.Second, Duration: time.Second},
 		{Kind: FaultSilenceCallers, At: time.Second, Node: "r1"},
-		{Kind: FaultBurst, At: time.Second, For: time.Second},
+		{Kind: FaultBurst, At: time.Second, Duration: time.Second},
 	}, layout)...)
 	want := []Disturbance{
-		{From: time.Second, Till: time.Second + restartTime, Node: "r1"},
-		{From: 2 * time.Second, Till: 3 * time.Second, Node: "c1", Control: true},
-		{From: 3 * time.Second, Till: 3*time.Second + restartTime, Requests: true},
-		{From: time.Second, Till: time.Second + stopTime, Node: "r1"},
-		{From: time.Second, Till: 2 * time.Second, Node: "c1", Control: true},
-		{From: time.Second, Till: time.Second + silentTime, Node: "r1", Requests: true},
+		{Start: time.Second, End: time.Second + restartDuration, Node: "r1"},
+		{Start: 2 * time.Second, End: 3 * time.Second, Node: "c1", IsControl: true},
+		{Start: 3 * time.Second, End: 3*time.Second + restartDuration, RequestsOnly: true},
+		{Start: time.Second, End: time.Second + stopDuration, Node: "r1"},
+		{Start: time.Second, End: 2 * time.Second, Node: "c1", IsControl: true},
+		{Start: time.Second, End: time.Second + silentConnectionDuration, Node: "r1", RequestsOnly: true},
 	}
-	if !reflect.DeepEqual(spans, want) {
-		t.Errorf("%+v", spans)
+	if !reflect.DeepEqual(disturbances, want) {
+		t.Errorf("got %+v, want %+v", disturbances, want)
 	}
 }
 
-// TestPlanWithLimits: the other faults of a seed are what they are without limits, and limits are over in
-// time, one after the other.
+// TestPlanWithLimits checks that rate limits come one after the other, end within the span and leave the
+// other faults of a seed unchanged.
 func TestPlanWithLimits(t *testing.T) {
 	layout := Layout{Control: []string{"c1", "c2", "c3"}, Routers: []string{"r1"}, Zones: [][]string{{"c1", "c3"}, {"c2"}}, Machines: 4}
 	const span = 30 * time.Second
@@ -86,11 +86,11 @@
 			}
 		}
 		if !reflect.DeepEqual(others, NewPlan(seed, layout, span)) {
-			t.Fatalf("seed %d has other faults", seed)
+			t.Fatalf("seed %d: limits changed the other faults", seed)
 		}
 		for position, each := range limits {
-			if each.At+each.For > span || position > 0 && each.At < limits[position-1].At+limits[position-1].For {
-				t.Errorf("seed %d: %s", seed, each)
+			if each.At+each.Duration > span || position > 0 && each.At < limits[position-1].At+limits[position-1].Duration {
+				t.Errorf("seed %d: %s overlaps another limit or exceeds the span", seed, each)
 			}
 		}
 		if len(limits) == 0 {
@@ -99,17 +99,17 @@
 	}
 }
 
-// TestStatements: the machines of each kind of statement come one after the other, and are over in time.
-func TestStatements(t *testing.T) {
+// TestBackoffAndLeavePlan checks that faults of each kind come one after the other and end within the span.
+func TestBackoffAndLeavePlan(t *testing.T) {
 	layout := Layout{Machines: 4}
 	const span = 30 * time.Second
 	for seed := range uint64(50) {
 		last := map[FaultKind]time.Duration{}
-		for _, each := range Statements(seed, layout, span) {
-			if each.At < max(calmStart, last[each.Kind]) || each.At+each.For > span {
-				t.Errorf("seed %d: %s", seed, each)
+		for _, each := range NewBackoffAndLeavePlan(seed, layout, span) {
+			if each.At < max(faultFreeStart, last[each.Kind]) || each.At+each.Duration > span {
+				t.Errorf("seed %d: %s overlaps another fault of its kind or exceeds the span", seed, each)
 			}
-			last[each.Kind] = each.At + each.For
+			last[each.Kind] = each.At + each.Duration
 		}
 		if len(last) != 2 {
 			t.Errorf("seed %d has only %v", seed, last)
@@ -117,28 +117,28 @@
 	}
 }
 
-// TestRollout: every node is replaced in the end, some go back before, and never while all are of the present
-// build.
-func TestRollout(t *testing.T) {
+// TestRolloutPlan checks that a rollout upgrades every node, downgrades some on the way, and downgrades
+// none once all run the current build.
+func TestRolloutPlan(t *testing.T) {
 	layout := Layout{Control: []string{"c1", "c2", "c3", "c4"}, Routers: []string{"r1", "r2", "r3"}}
 	const span = time.Minute
 	for seed := range uint64(50) {
-		present, downgraded := map[string]bool{}, 0
-		for _, each := range Rollout(seed, layout, span) {
+		upgraded, downgrades := map[string]bool{}, 0
+		for _, each := range NewRolloutPlan(seed, layout, span) {
 			switch {
-			case each.At < calmStart || each.At+stopTime > span:
+			case each.At < faultFreeStart || each.At+stopDuration > span:
 				t.Fatalf("seed %d: %s is not within the span", seed, each)
 			case each.Kind == FaultUpgrade:
-				present[each.Node] = true
-			case len(present) == len(layout.Control)+len(layout.Routers):
-				t.Fatalf("seed %d: %s, when none is left of the former build", seed, each)
+				upgraded[each.Node] = true
+			case len(upgraded) == len(layout.Control)+len(layout.Routers):
+				t.Fatalf("seed %d: %s although all nodes run the current build", seed, each)
 			default:
-				delete(present, each.Node)
-				downgraded++
+				delete(upgraded, each.Node)
+				downgrades++
 			}
 		}
-		if len(present) != 7 || downgraded != 3 {
-			t.Errorf("seed %d: %d nodes are replaced, %d went back", seed, len(present), downgraded)
+		if len(upgraded) != 7 || downgrades != 3 {
+			t.Errorf("seed %d: %d nodes are upgraded after %d downgrades", seed, len(upgraded), downgrades)
 		}
 	}
 }
--- a/internal/soak/processes.go
+++ b/internal/soak/processes.go
@@ -10,39 +10,37 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// Processes signals the processes of a soak. Whoever starts them writes the id of each into a
-// file of its name, and starts one that has ended again. No other process is ever signalled.
+// Processes signals the processes of a soak. Their supervisor, scripts/soak.sh, writes the id of each process
+// to a file named after its node and restarts processes that end. No other process is signalled.
 type Processes struct {
-	// Folder holds the files.
+	// Folder holds the process ids, and the marker files that the supervisor reads.
 	Folder string
 }
 
-// LoseDisk makes a node find an empty data folder when it is started next: whoever starts it moves
-// the folder away where it finds this mark.
-func (p Processes) LoseDisk(node string) error {
+// MarkDiskLost makes the supervisor remove a node's data folder before it starts the node the next time.
+func (p Processes) MarkDiskLost(node string) error {
 	if err := os.WriteFile(filepath.Join(p.Folder, "lose-"+node), nil, 0o644); err != nil {
-		return fault.Storage.Wrap(err, "marking the disk of %s as lost", node)
+		return fault.Storage.Wrap(err, "writing the lost-disk marker of %s", node)
 	}
 	return nil
 }
 
-// SetBuild makes a node run the former build, or the present one, when it is started next: whoever
-// starts it looks for this mark.
-func (p Processes) SetBuild(node string, isFormer bool) error {
-	mark := filepath.Join(p.Folder, "former-"+node)
-	if !isFormer {
-		if err := os.Remove(mark); err != nil && !os.IsNotExist(err) {
-			return fault.Storage.Wrap(err, "giving %s the present build", node)
+// SetBuild makes the supervisor run the previous or the current build when it starts the node the next time.
+func (p Processes) SetBuild(node string, usePrevious bool) error {
+	marker := filepath.Join(p.Folder, "former-"+node)
+	if !usePrevious {
+		if err := os.Remove(marker); err != nil && !os.IsNotExist(err) {
+			return fault.Storage.Wrap(err, "switching %s to the current build", node)
 		}
 		return nil
 	}
-	if err := os.WriteFile(mark, nil, 0o644); err != nil {
-		return fault.Storage.Wrap(err, "giving %s the former build", node)
+	if err := os.WriteFile(marker, nil, 0o644); err != nil {
+		return fault.Storage.Wrap(err, "switching %s to the previous build", node)
 	}
 	return nil
 }
 
-// Signal sends a signal to the process of a node, if it runs at present.
+// Signal sends a signal to the process of a node. It fails with fault.NotFound if the process isn't running.
 func (p Processes) Signal(node string, signal syscall.Signal) error {
 	content, err := os.ReadFile(filepath.Join(p.Folder, node))
 	if err != nil {
@@ -50,7 +48,7 @@
 	}
 	id, err := strconv.Atoi(strings.TrimSpace(string(content)))
 	if err != nil || id <= 1 {
-		return fault.InvalidField("process id", "%q of %s is not one", string(content), node)
+		return fault.InvalidField("process id", "%q of %s is not a process id", string(content), node)
 	}
 	if err := syscall.Kill(id, signal); err != nil {
 		return fault.NotFound.Wrap(err, "signalling %s", node)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -11,60 +11,58 @@
 	"github.com/weldline/weldline/internal/signal"
 )
 
-// Direction is a way through a proxy.
+// Direction is a direction of traffic through a proxy.
 type Direction int
 
-// The directions: to the server behind the proxy, and from it.
+// The directions, as seen from the proxied server.
 const (
-	To Direction = iota
-	From
-	directions
+	ToServer Direction = iota
+	FromServer
+	directionCount
 )
 
 const (
-	// copyBytes is how much is passed on at once.
-	copyBytes = 16 << 10
-	// proxyDialTimeout bounds connecting to a server on this machine.
+	copyBufferBytes  = 16 << 10
 	proxyDialTimeout = time.Second
 )
 
-// Proxy passes connections on to one server, and disturbs them when told so. It is safe for
+// Proxy forwards TCP connections to one server and can block, silence, delay and reset them. It is safe for
 // concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
 	mutex sync.Mutex
-	// cuts counts the reasons for which a direction is held back; several may overlap.
-	cuts  [directions]int
-	delay time.Duration
-	links map[*link]bool
-	// changed is told of each change of cuts.
+	// blocks counts the calls of Block that are in force, by direction.
+	blocks      [directionCount]int
+	delay       time.Duration
+	connections map[*connection]bool
+	// changed is notified after each change of blocks.
 	changed *signal.Broadcast
 }
 
-// link is a connection through a proxy.
-type link struct {
+// connection is a connection through a proxy.
+type connection struct {
 	client, server net.Conn
-	// closed ends with the link.
+	// closed is cancelled when the connection is dropped.
 	closed context.Context
 	close  context.CancelFunc
-	// silent directions never pass anything on again; the proxy's mutex guards it.
-	silent [directions]bool
+	// silent directions forward nothing any more; guarded by the proxy's mutex.
+	silent [directionCount]bool
 }
 
-// NewProxy listens at an address, whose port may be 0, for connections to a target.
+// NewProxy listens on an address, whose port may be 0, and forwards connections to target.
 func NewProxy(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fault.Unavailable.Wrap(err, "listening for a proxy")
+		return nil, fault.Unavailable.Wrap(err, "opening the listener of a proxy")
 	}
-	created := &Proxy{listener: listener, target: target, links: map[*link]bool{}, changed: signal.New()}
+	created := &Proxy{listener: listener, target: target, connections: map[*connection]bool{}, changed: signal.New()}
 	go created.accept()
 	return created, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string {
 	return p.listener.Addr().String()
 }
@@ -79,7 +77,7 @@
 	for {
 		client, err := p.listener.Accept()
 		if err != nil {
-			return // Closed.
+			return // The listener is closed.
 		}
 		go p.serve(client)
 	}
@@ -92,27 +90,27 @@
 		return
 	}
 	closed, cancel := context.WithCancel(context.Background())
-	current := &link{client: client, server: server, closed: closed, close: cancel}
+	current := &connection{client: client, server: server, closed: closed, close: cancel}
 	p.mutex.Lock()
-	p.links[current] = true
+	p.connections[current] = true
 	p.mutex.Unlock()
 	var copies sync.WaitGroup
-	copies.Go(func() { p.copy(current, To, server, client) })
-	copies.Go(func() { p.copy(current, From, client, server) })
+	copies.Go(func() { p.copy(current, ToServer, server, client) })
+	copies.Go(func() { p.copy(current, FromServer, client, server) })
 	copies.Wait()
 	p.drop(current)
 }
 
-// copy passes on what comes one way until either side ends.
-func (p *Proxy) copy(current *link, direction Direction, destination, source net.Conn) {
-	buffer := make([]byte, copyBytes)
+// copy forwards one direction until either side closes.
+func (p *Proxy) copy(current *connection, direction Direction, destination, source net.Conn) {
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		count, err := source.Read(buffer)
-		if count > 0 && (!p.await(current, direction) || !wrote(destination, buffer[:count])) {
+		if count > 0 && (!p.awaitRelease(current, direction) || !writeAll(destination, buffer[:count])) {
 			break
 		}
 		if err == io.EOF {
-			if !p.await(current, direction) || !closeWrite(destination) {
+			if !p.awaitRelease(current, direction) || !closeWrite(destination) {
 				break
 			}
 			return
@@ -124,7 +122,7 @@
 	p.drop(current)
 }
 
-func wrote(destination net.Conn, content []byte) bool {
+func writeAll(destination net.Conn, content []byte) bool {
 	_, err := destination.Write(content)
 	return err == nil
 }
@@ -134,8 +132,9 @@
 	return isTCP && connection.CloseWrite() == nil
 }
 
-// await holds what is to be passed on as long as it may not, and reports whether it may then.
-func (p *Proxy) await(current *link, direction Direction) bool {
+// awaitRelease blocks while a direction is delayed, blocked or silent. It returns false once the connection is
+// closed.
+func (p *Proxy) awaitRelease(current *connection, direction Direction) bool {
 	p.mutex.Lock()
 	delay := p.delay
 	p.mutex.Unlock()
@@ -149,9 +148,9 @@
 	for {
 		changed := p.changed.Wait()
 		p.mutex.Lock()
-		held := p.cuts[direction] > 0 || current.silent[direction]
+		blocked := p.blocks[direction] > 0 || current.silent[direction]
 		p.mutex.Unlock()
-		if !held {
+		if !blocked {
 			return true
 		}
 		select {
@@ -162,68 +161,68 @@
 	}
 }
 
-func (p *Proxy) drop(current *link) {
+func (p *Proxy) drop(current *connection) {
 	p.mutex.Lock()
-	delete(p.links, current)
+	delete(p.connections, current)
 	p.mutex.Unlock()
 	current.close()
 	_ = current.client.Close()
 	_ = current.server.Close()
 }
 
-// Cut holds back whatever goes one way, on connections old and new, until Heal has been called
+// Block holds back all traffic in a direction, on existing and new connections, until Unblock has been called
 // as often.
-func (p *Proxy) Cut(direction Direction) {
-	p.addCut(direction, 1)
+func (p *Proxy) Block(direction Direction) {
+	p.addBlock(direction, 1)
 }
 
-// Heal takes a Cut back.
-func (p *Proxy) Heal(direction Direction) {
-	p.addCut(direction, -1)
+// Unblock reverts one call of Block.
+func (p *Proxy) Unblock(direction Direction) {
+	p.addBlock(direction, -1)
 }
 
-func (p *Proxy) addCut(direction Direction, change int) {
+func (p *Proxy) addBlock(direction Direction, change int) {
 	p.mutex.Lock()
-	p.cuts[direction] += change
+	p.blocks[direction] += change
 	p.mutex.Unlock()
 	p.changed.Notify()
 }
 
-// AddDelay holds whatever is passed on from now on up for longer, or, below 0, for less long.
+// AddDelay changes the delay of traffic by the given amount, which may be negative.
 func (p *Proxy) AddDelay(delay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.delay += delay
 }
 
-// Silence lets nothing through one way on the connections that stand; new ones work.
+// Silence drops all further traffic in a direction on existing connections; new connections work.
 func (p *Proxy) Silence(direction Direction) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for each := range p.links {
-		each.silent[direction] = true
+	for existing := range p.connections {
+		existing.silent[direction] = true
 	}
 }
 
 // Reset resets all connections.
 func (p *Proxy) Reset() {
 	p.mutex.Lock()
-	links := make([]*link, 0, len(p.links))
-	for each := range p.links {
-		links = append(links, each)
+	existing := make([]*connection, 0, len(p.connections))
+	for each := range p.connections {
+		existing = append(existing, each)
 	}
 	p.mutex.Unlock()
-	for _, each := range links {
+	for _, each := range existing {
 		reset(each.client)
 		reset(each.server)
 		each.close()
 	}
 }
 
-// reset closes a connection without the usual exchange: its other end gets an error.
+// reset closes a connection with a TCP reset, so that the peer reads an error.
 func reset(connection net.Conn) {
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
-		_ = tcp.SetLinger(0) // Without it the end is a plain one.
+		_ = tcp.SetLinger(0) // Close sends RST instead of FIN.
 	}
 	_ = connection.Close()
 }
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// echo returns the address of a server that sends back what it gets.
-func echo(t *testing.T) string {
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +31,7 @@
 
 func newProxy(t *testing.T) *Proxy {
 	t.Helper()
-	created, err := NewProxy("127.0.0.1:0", echo(t))
+	created, err := NewProxy("127.0.0.1:0", startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +39,7 @@
 	return created
 }
 
-func connect(t *testing.T, proxy *Proxy) net.Conn {
+func dial(t *testing.T, proxy *Proxy) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", proxy.Address())
 	if err != nil {
@@ -65,58 +64,58 @@
 	}
 }
 
-// silentFor is how long nothing may come where nothing should.
-const silentFor = 50 * time.Millisecond
+// silenceTimeout bounds the wait for data that must not arrive.
+const silenceTimeout = 50 * time.Millisecond
 
 func expectNothing(t *testing.T, connection net.Conn) {
 	t.Helper()
-	_ = connection.SetReadDeadline(time.Now().Add(silentFor))
+	_ = connection.SetReadDeadline(time.Now().Add(silenceTimeout))
 	if count, err := connection.Read(make([]byte, 1)); count > 0 || err == io.EOF {
 		t.Fatalf("read %d bytes, %v", count, err)
 	}
 	_ = connection.SetReadDeadline(time.Time{})
 }
 
-// TestCutHoldsBackUntilItHeals: what is sent during two overlapping cuts comes after both.
-func TestCutHoldsBackUntilItHeals(t *testing.T) {
+// TestBlockHoldsBackDataUntilUnblocked checks that data sent while a direction is blocked twice arrives
+// after the second Unblock.
+func TestBlockHoldsBackDataUntilUnblocked(t *testing.T) {
 	proxy := newProxy(t)
-	connection := connect(t, proxy)
+	connection := dial(t, proxy)
 	send(t, connection, "a")
 	expect(t, connection, "a")
-	for _, direction := range []Direction{To, From} {
-		proxy.Cut(direction)
-		proxy.Cut(direction)
+	for _, direction := range []Direction{ToServer, FromServer} {
+		proxy.Block(direction)
+		proxy.Block(direction)
 		send(t, connection, "b")
 		expectNothing(t, connection)
-		proxy.Heal(direction)
+		proxy.Unblock(direction)
 		expectNothing(t, connection)
-		proxy.Heal(direction)
+		proxy.Unblock(direction)
 		expect(t, connection, "b")
 	}
 }
 
-// TestSilenceLeavesNewConnectionsAlone: a connection that was there is silent for good.
-func TestSilenceLeavesNewConnectionsAlone(t *testing.T) {
+func TestSilenceAffectsExistingConnectionsOnly(t *testing.T) {
 	proxy := newProxy(t)
-	old := connect(t, proxy)
+	old := dial(t, proxy)
 	send(t, old, "a")
 	expect(t, old, "a")
-	proxy.Silence(From)
+	proxy.Silence(FromServer)
 	send(t, old, "b")
 	expectNothing(t, old)
-	fresh := connect(t, proxy)
+	fresh := dial(t, proxy)
 	send(t, fresh, "c")
 	expect(t, fresh, "c")
 }
 
-// TestReset: both ends of a connection learn that it is gone, by an error.
+// TestReset checks that the peer of a reset connection reads an error, not the end of the stream.
 func TestReset(t *testing.T) {
 	proxy := newProxy(t)
-	connection := connect(t, proxy)
+	connection := dial(t, proxy)
 	send(t, connection, "a")
 	expect(t, connection, "a")
 	proxy.Reset()
 	if _, err := connection.Read(make([]byte, 1)); err == nil || err == io.EOF {
-		t.Errorf("a connection that was reset ends with %v", err)
+		t.Errorf("read on a reset connection: %v", err)
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -10,64 +10,61 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// Machines disturbs the stand-ins for machines.
+// Machines injects faults into the simulated machines.
 type Machines interface {
-	// Crash ends a machine. Another one that warms up takes its place some time later.
+	// Crash terminates a machine. A new one replaces it later and warms up.
 	Crash(machine int)
-	// Cool makes a machine warm up again.
-	Cool(machine int)
-	// Limit makes a machine name a limit, and returns what ends that.
-	Limit(machine int) (end func())
-	// Rest makes a machine reject requests with a rest, and returns what ends that.
-	Rest(machine int) (end func())
-	// Leave makes a machine say that it is leaving, and returns what ends its life.
-	Leave(machine int) (end func())
-	// Proxy stands before the machine that is there at present; nil while none is.
+	// RestartWarmup makes a machine warm up again.
+	RestartWarmup(machine int)
+	// StateLimit makes a machine state a rate limit in its responses until end is called.
+	StateLimit(machine int) (end func())
+	// RejectRequests makes a machine reject requests with Retry-After until end is called.
+	RejectRequests(machine int) (end func())
+	// AnnounceLeaving makes a machine announce that it is leaving; end terminates it.
+	AnnounceLeaving(machine int) (end func())
+	// Proxy returns the proxy before a machine, or nil while the machine is down.
 	Proxy(machine int) *Proxy
 }
 
-// Callers are those who send requests.
+// Callers injects faults on the side of the clients.
 type Callers interface {
-	// Burst lets many more of them come, for a while.
+	// Burst runs many additional callers for the given time.
 	Burst(ctx context.Context, span time.Duration)
-	// CallerProxy stands between callers and a router.
+	// CallerProxy returns the proxy between callers and a router.
 	CallerProxy(router string) *Proxy
 }
 
-// Injector carries out a plan.
+// Injector executes a plan.
 type Injector struct {
 	Layout    Layout
 	Processes Processes
-	// Proxies stand before the control nodes, by name.
+	// Proxies are the proxies before control nodes, by node name.
 	Proxies  map[string]*Proxy
 	Machines Machines
 	Callers  Callers
-	// Tell takes a line about each fault, for whoever watches.
-	Tell func(text string)
+	Log      func(text string)
 }
 
-// addedDelay is by how much a delayed link is slower each way: as a far region's, or a link that
-// is nearly full.
+// addedDelay is the added one-way latency of a delayed connection, like that between distant regions.
 const addedDelay = 150 * time.Millisecond
 
-// Run carries out the faults at their times, and returns when the last is over or ctx ends; it
-// leaves nothing frozen or cut. It returns the faults as they were carried out: on a busy machine they come late,
-// and last until then.
+// Run injects the faults at their times and returns once all have ended, or ctx has. It reverts every fault
+// that it has begun. In the returned faults, the duration of a fault that came late includes its delay.
 func (i *Injector) Run(ctx context.Context, plan []Fault, started time.Time) []Fault {
-	carriedOut := slices.Clone(plan)
+	executed := slices.Clone(plan)
 	var running sync.WaitGroup
 	defer running.Wait()
 	for position, each := range plan {
 		if !sleepUntil(ctx, started.Add(each.At)) {
-			return carriedOut
+			return executed
 		}
-		i.Tell("fault: " + each.String())
+		i.Log("fault: " + each.String())
 		running.Go(func() {
 			i.inject(ctx, each)
-			carriedOut[position].For = max(each.For, time.Since(started)-each.At)
+			executed[position].Duration = max(each.Duration, time.Since(started)-each.At)
 		})
 	}
-	return carriedOut
+	return executed
 }
 
 func sleepUntil(ctx context.Context, moment time.Time) bool {
@@ -79,30 +76,30 @@
 	}
 }
 
-// inject brings a fault about, and ends it when its time is over.
+// inject applies a fault and reverts it after its duration.
 func (i *Injector) inject(ctx context.Context, each Fault) {
 	switch each.Kind {
 	case FaultRollControl:
-		i.roll(ctx, i.Layout.Control)
+		i.stopInTurn(ctx, i.Layout.Control)
 	case FaultRollRouters:
-		i.roll(ctx, i.Layout.Routers)
+		i.stopInTurn(ctx, i.Layout.Routers)
 	case FaultBurst:
-		i.Callers.Burst(ctx, each.For)
+		i.Callers.Burst(ctx, each.Duration)
 	default:
-		defer i.begin(each)()
-		sleepUntil(ctx, time.Now().Add(each.For))
+		defer i.start(each)()
+		sleepUntil(ctx, time.Now().Add(each.Duration))
 	}
 }
 
-// begin brings about a fault that lasts until it is ended, and returns what ends it.
-func (i *Injector) begin(each Fault) func() {
+// start applies a fault and returns the function that reverts it.
+func (i *Injector) start(each Fault) func() {
 	switch each.Kind {
 	case FaultKill:
 		i.signal(each.Node, syscall.SIGKILL)
 	case FaultStop:
 		i.signal(each.Node, syscall.SIGTERM)
 	case FaultUpgrade, FaultDowngrade:
-		i.replaceBuild(each.Node, each.Kind == FaultDowngrade)
+		i.switchBuild(each.Node, each.Kind == FaultDowngrade)
 	case FaultKillAll:
 		for _, node := range i.Layout.Control {
 			i.signal(node, syscall.SIGKILL)
@@ -111,117 +108,114 @@
 		i.signal(each.Node, syscall.SIGSTOP)
 		return func() { i.signal(each.Node, syscall.SIGCONT) }
 	case FaultLoseDisk:
-		i.loseDisk(each.Node)
+		i.killAndLoseDisk(each.Node)
 	case FaultCutZone:
-		return i.cutOffZone(each.Zone)
+		return i.blockZone(each.Zone)
 	case FaultCrashMachine:
 		i.Machines.Crash(each.Machine)
 	case FaultCoolMachine:
-		i.Machines.Cool(each.Machine)
+		i.Machines.RestartWarmup(each.Machine)
 	case FaultLimitMachine:
-		return i.Machines.Limit(each.Machine)
+		return i.Machines.StateLimit(each.Machine)
 	case FaultRestMachine:
-		return i.Machines.Rest(each.Machine)
+		return i.Machines.RejectRequests(each.Machine)
 	case FaultLeaveMachine:
-		return i.Machines.Leave(each.Machine)
+		return i.Machines.AnnounceLeaving(each.Machine)
 	case FaultResetMachine, FaultSilenceMachine, FaultDelayMachine:
-		return strikeIfThere(each.Kind, i.Machines.Proxy(each.Machine))
+		return applyLinkFaultIfRunning(each.Kind, i.Machines.Proxy(each.Machine))
 	case FaultResetCallers, FaultSilenceCallers, FaultDelayCallers:
-		return strikeIfThere(each.Kind, i.Callers.CallerProxy(each.Node))
+		return applyLinkFaultIfRunning(each.Kind, i.Callers.CallerProxy(each.Node))
 	default:
-		return strike(each.Kind, i.Proxies[each.Node])
+		return applyLinkFault(each.Kind, i.Proxies[each.Node])
 	}
-	return nothing
+	return noop
 }
 
-// nothing ends a fault that is over at once.
-func nothing() {}
+// noop reverts a fault that needs no reverting.
+func noop() {}
 
-// loseDisk ends a control node whose disk is lost.
-func (i *Injector) loseDisk(node string) {
-	if err := i.Processes.LoseDisk(node); err != nil {
-		i.Tell("no effect: " + fault.Message(err))
+func (i *Injector) killAndLoseDisk(node string) {
+	if err := i.Processes.MarkDiskLost(node); err != nil {
+		i.Log("no effect: " + fault.Message(err))
 		return
 	}
 	i.signal(node, syscall.SIGKILL)
 }
 
-// replaceBuild stops a node, which comes back as another build.
-func (i *Injector) replaceBuild(node string, isFormer bool) {
-	if err := i.Processes.SetBuild(node, isFormer); err != nil {
-		i.Tell("no effect: " + fault.Message(err))
+// switchBuild stops a node, which its supervisor restarts with the given build.
+func (i *Injector) switchBuild(node string, usePrevious bool) {
+	if err := i.Processes.SetBuild(node, usePrevious); err != nil {
+		i.Log("no effect: " + fault.Message(err))
 		return
 	}
 	i.signal(node, syscall.SIGTERM)
 }
 
-// cutOffZone cuts off the control nodes of a zone, and returns what heals that.
-func (i *Injector) cutOffZone(zone int) func() {
-	var heals []func()
+// blockZone blocks all traffic of a zone's control nodes and returns the function that unblocks it.
+func (i *Injector) blockZone(zone int) func() {
+	var unblocks []func()
 	for _, node := range i.Layout.Zones[zone] {
-		heals = append(heals, cutOff(i.Proxies[node]))
+		unblocks = append(unblocks, blockBoth(i.Proxies[node]))
 	}
 	return func() {
-		for _, heal := range heals {
-			heal()
+		for _, unblock := range unblocks {
+			unblock()
 		}
 	}
 }
 
-// cutOff cuts both ways, and returns what heals that.
-func cutOff(proxy *Proxy) func() {
-	proxy.Cut(To)
-	proxy.Cut(From)
+// blockBoth blocks both directions and returns the function that unblocks them.
+func blockBoth(proxy *Proxy) func() {
+	proxy.Block(ToServer)
+	proxy.Block(FromServer)
 	return func() {
-		proxy.Heal(To)
-		proxy.Heal(From)
+		proxy.Unblock(ToServer)
+		proxy.Unblock(FromServer)
 	}
 }
 
-// strikeIfThere is strike where there may be no proxy at present, as while a machine is down.
-func strikeIfThere(kind FaultKind, proxy *Proxy) func() {
+// applyLinkFaultIfRunning is applyLinkFault for a proxy that is nil while its server is down.
+func applyLinkFaultIfRunning(kind FaultKind, proxy *Proxy) func() {
 	if proxy == nil {
-		return nothing
+		return noop
 	}
-	return strike(kind, proxy)
+	return applyLinkFault(kind, proxy)
 }
 
-// strike strikes the links through a proxy, and returns what ends that.
-func strike(kind FaultKind, proxy *Proxy) func() {
+// applyLinkFault applies a fault to the connections of a proxy and returns the function that reverts it.
+func applyLinkFault(kind FaultKind, proxy *Proxy) func() {
 	switch kind {
 	case FaultReset, FaultResetMachine, FaultResetCallers:
 		proxy.Reset()
 	case FaultSilenceTo:
-		proxy.Silence(To)
+		proxy.Silence(ToServer)
 	case FaultSilenceFrom, FaultSilenceMachine, FaultSilenceCallers:
-		proxy.Silence(From)
+		proxy.Silence(FromServer)
 	case FaultCutTo:
-		proxy.Cut(To)
-		return func() { proxy.Heal(To) }
+		proxy.Block(ToServer)
+		return func() { proxy.Unblock(ToServer) }
 	case FaultCutFrom:
-		proxy.Cut(From)
-		return func() { proxy.Heal(From) }
+		proxy.Block(FromServer)
+		return func() { proxy.Unblock(FromServer) }
 	case FaultDelay, FaultDelayMachine, FaultDelayCallers:
 		proxy.AddDelay(addedDelay)
 		return func() { proxy.AddDelay(-addedDelay) }
 	}
-	return nothing
+	return noop
 }
 
-// roll stops nodes one after the other.
-func (i *Injector) roll(ctx context.Context, nodes []string) {
+func (i *Injector) stopInTurn(ctx context.Context, nodes []string) {
 	for _, node := range nodes {
 		i.signal(node, syscall.SIGTERM)
-		if !sleepUntil(ctx, time.Now().Add(rollTime)) {
+		if !sleepUntil(ctx, time.Now().Add(rollInterval)) {
 			return
 		}
 	}
 }
 
-// signal signals a node. One that has just ended and is not back yet can't be: that is no fault
-// of the soak's.
+// signal signals a node. It only logs a failure: the node may be between its exit and its restart.
 func (i *Injector) signal(node string, signal syscall.Signal) {
 	if err := i.Processes.Signal(node, signal); err != nil {
-		i.Tell("no effect: " + signal.String() + " to " + node + ": " + fault.Message(err))
+		i.Log("no effect: " + signal.String() + " to " + node + ": " + fault.Message(err))
 	}
 }
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// surroundings are machines and callers of which only the links count.
-type surroundings struct {
+// fakeEnvironment implements Machines and Callers with proxies and without behaviour.
+type fakeEnvironment struct {
 	machine, callers *Proxy
 }
 
-func (s *surroundings) Crash(int) {}
+func (s *fakeEnvironment) Crash(int) {}
 
-func (s *surroundings) Cool(int) {}
+func (s *fakeEnvironment) RestartWarmup(int) {}
 
-func (s *surroundings) Limit(int) func() { return func() {} }
+func (s *fakeEnvironment) StateLimit(int) func() { return func() {} }
 
-func (s *surroundings) Rest(int) func() { return func() {} }
+func (s *fakeEnvironment) RejectRequests(int) func() { return func() {} }
 
-func (s *surroundings) Leave(int) func() { return func() {} }
+func (s *fakeEnvironment) AnnounceLeaving(int) func() { return func() {} }
 
-func (s *surroundings) Proxy(int) *Proxy { return s.machine }
+func (s *fakeEnvironment) Proxy(int) *Proxy { return s.machine }
 
-func (s *surroundings) Burst(context.Context, time.Duration) {}
+func (s *fakeEnvironment) Burst(context.Context, time.Duration) {}
 
-func (s *surroundings) CallerProxy(string) *Proxy { return s.callers }
+func (s *fakeEnvironment) CallerProxy(string) *Proxy { return s.callers }
 
-// works reports whether what is sent comes back in the time in which nothing should.
-func works(connection net.Conn) bool {
-	_ = connection.SetDeadline(time.Now().Add(silentFor))
+// echoes reports whether data sent over a connection comes back within silenceTimeout.
+func echoes(connection net.Conn) bool {
+	_ = connection.SetDeadline(time.Now().Add(silenceTimeout))
 	defer func() { _ = connection.SetDeadline(time.Time{}) }()
 	if _, err := io.WriteString(connection, "x"); err != nil {
 		return false
@@ -42,40 +42,40 @@
 	return err == nil
 }
 
-// TestLateFaultsAreJudgedByWhenTheyCame: on a busy machine a reset came a millisecond late and cut a request that was
-// sent after its planned time, which was held against the product.
-func TestLateFaultsAreJudgedByWhenTheyCame(t *testing.T) {
+// TestLateFaultsExplainFailures checks that disturbances follow the actual times of the faults: a fault
+// that came late on a busy machine explains the failure of a request that was sent after the planned time.
+func TestLateFaultsExplainFailures(t *testing.T) {
 	const late = 300 * time.Millisecond
-	around := &surroundings{machine: newProxy(t), callers: newProxy(t)}
-	injector := &Injector{Layout: Layout{Routers: []string{"r2"}}, Machines: around, Callers: around, Tell: func(string) {}}
+	environment := &fakeEnvironment{machine: newProxy(t), callers: newProxy(t)}
+	injector := &Injector{Layout: Layout{Routers: []string{"r2"}}, Machines: environment, Callers: environment, Log: func(string) {}}
 	plan := []Fault{{Kind: FaultResetCallers, Node: "r2", At: 2 * time.Second}}
-	history := kept()
+	history := validHistory()
 	history.Answers[3] = Answer{Request: "plain", Outcome: OutcomeUnknown, At: 2*time.Second + late}
 	history.Requests["plain"] = Request{ID: "plain", Router: "r2", Plain: true, Sent: 2*time.Second + late - time.Millisecond}
-	judge := func(faults []Fault) int {
-		return len(Judge(history, testBounds, append(Disturbances(faults, injector.Layout), explained...)))
+	violations := func(faults []Fault) int {
+		return len(Judge(history, testBounds, append(Disturbances(faults, injector.Layout), explainingDisturbances...)))
 	}
-	if judge(plan) != 1 {
-		t.Error("by its planned time the fault explains the request")
+	if violations(plan) != 1 {
+		t.Error("the planned fault explains a request that was sent after it")
 	}
-	carriedOut := injector.Run(t.Context(), plan, time.Now().Add(-2*time.Second-late))
-	if found := judge(carriedOut); found != 0 {
-		t.Errorf("%d violations by %v", found, carriedOut)
+	executed := injector.Run(t.Context(), plan, time.Now().Add(-2*time.Second-late))
+	if found := violations(executed); found != 0 {
+		t.Errorf("%d violations with the executed faults %v", found, executed)
 	}
-	if len(carriedOut) != 1 || carriedOut[0].At != plan[0].At || carriedOut[0].For < late || plan[0].For != 0 {
-		t.Errorf("%v was carried out as %v", plan, carriedOut)
+	if len(executed) != 1 || executed[0].At != plan[0].At || executed[0].Duration < late || plan[0].Duration != 0 {
+		t.Errorf("%v was executed as %v", plan, executed)
 	}
 }
 
-// TestLinkFaults: each fault breaks the connections that stand on the links that it names, and
-// no others; once it is over, new connections work everywhere.
+// TestLinkFaults checks that a link fault breaks the existing connections of its target only. Once it has
+// ended, new connections work everywhere.
 func TestLinkFaults(t *testing.T) {
-	around := &surroundings{machine: newProxy(t), callers: newProxy(t)}
+	environment := &fakeEnvironment{machine: newProxy(t), callers: newProxy(t)}
 	control := map[string]*Proxy{"c1": newProxy(t), "c2": newProxy(t)}
-	links := map[string]*Proxy{"machine": around.machine, "r1": around.callers, "c1": control["c1"], "c2": control["c2"]}
+	links := map[string]*Proxy{"machine": environment.machine, "r1": environment.callers, "c1": control["c1"], "c2": control["c2"]}
 	injector := &Injector{
 		Layout:  Layout{Control: []string{"c1", "c2"}, Routers: []string{"r1"}, Zones: [][]string{{"c1"}, {"c2"}}, Machines: 1},
-		Proxies: control, Machines: around, Callers: around, Tell: func(string) {},
+		Proxies: control, Machines: environment, Callers: environment, Log: func(string) {},
 	}
 	for _, test := range []struct {
 		fault  Fault
@@ -94,7 +94,7 @@
 	} {
 		open := map[string]net.Conn{}
 		for name, proxy := range links {
-			open[name] = connect(t, proxy)
+			open[name] = dial(t, proxy)
 			send(t, open[name], "a")
 			expect(t, open[name], "a")
 		}
@@ -103,33 +103,31 @@
 			if name != test.broken {
 				send(t, open[name], "b")
 				expect(t, open[name], "b")
-			} else if works(open[name]) {
-				t.Errorf("%s: the open connection to %s works on", test.fault.Kind, name)
+			} else if echoes(open[name]) {
+				t.Errorf("%s: the open connection to %s still works", test.fault.Kind, name)
 			}
-			fresh := connect(t, proxy)
+			fresh := dial(t, proxy)
 			send(t, fresh, "c")
 			expect(t, fresh, "c")
 		}
 	}
 }
 
-// TestCutZoneWhileItLasts: nothing passes to or from the zone's control nodes, and all else does.
-func TestCutZoneWhileItLasts(t *testing.T) {
+func TestBlockBothAffectsOneProxyOnly(t *testing.T) {
 	inside, outside := newProxy(t), newProxy(t)
-	held, free := connect(t, inside), connect(t, outside)
-	heal := cutOff(inside)
-	send(t, held, "a")
-	expectNothing(t, held)
-	send(t, free, "b")
-	expect(t, free, "b")
-	heal()
-	expect(t, held, "a")
+	blocked, open := dial(t, inside), dial(t, outside)
+	unblock := blockBoth(inside)
+	send(t, blocked, "a")
+	expectNothing(t, blocked)
+	send(t, open, "b")
+	expect(t, open, "b")
+	unblock()
+	expect(t, blocked, "a")
 }
 
-// TestLostDisk: the mark is what whoever starts the node looks for.
-func TestLostDisk(t *testing.T) {
+func TestMarkDiskLostWritesMarker(t *testing.T) {
 	processes := Processes{Folder: t.TempDir()}
-	if err := processes.LoseDisk("c1"); err != nil {
+	if err := processes.MarkDiskLost("c1"); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(processes.Folder, "lose-c1")); err != nil {
@@ -137,16 +135,17 @@
 	}
 }
 
-// TestBuildOfANode: the mark is there while the node is to run the former build.
-func TestBuildOfANode(t *testing.T) {
+// TestSetBuildWritesAndRemovesMarker checks that the marker exists while the node is to run the previous
+// build.
+func TestSetBuildWritesAndRemovesMarker(t *testing.T) {
 	processes := Processes{Folder: t.TempDir()}
-	mark := filepath.Join(processes.Folder, "former-c1")
-	for _, isFormer := range []bool{false, true, true, false} {
-		if err := processes.SetBuild("c1", isFormer); err != nil {
+	marker := filepath.Join(processes.Folder, "former-c1")
+	for _, usePrevious := range []bool{false, true, true, false} {
+		if err := processes.SetBuild("c1", usePrevious); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := os.Stat(mark); (err == nil) != isFormer {
-			t.Errorf("former %v: %v", isFormer, err)
+		if _, err := os.Stat(marker); (err == nil) != usePrevious {
+			t.Errorf("usePrevious %v: %v", usePrevious, err)
 		}
 	}
 }
--- a/internal/soak/statements.go
+++ b/internal/soak/statements.go
@@ -8,75 +8,72 @@
 )
 
 const (
-	// restTime is for how long a machine rejects all requests, each with a rest; the next one begins within
-	// statementPause of its end.
-	restTime = 4 * time.Second
-	// leaveTime is for how long a machine says that it is leaving before it ends.
-	leaveTime      = 6 * time.Second
-	statementPause = 2 * time.Second
+	backoffDuration = 4 * time.Second
+	// leaveDuration runs from the announcement of a machine until it terminates.
+	leaveDuration     = 6 * time.Second
+	maxStatementPause = 2 * time.Second
 )
 
-// Statements draws machines that ask for rests and, beside them, machines that say that they are leaving, each
-// kind one at a time. They have random numbers of their own, so that the other faults of a seed are what they are
-// without them.
-func Statements(seed uint64, layout Layout, span time.Duration) []Fault {
+// NewBackoffAndLeavePlan draws machines that reject requests with Retry-After and machines that announce that
+// they are leaving, each kind one at a time. It has a random source of its own, so that the other faults of a
+// seed don't depend on it.
+func NewBackoffAndLeavePlan(seed uint64, layout Layout, span time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 3))
-	series := func(kind FaultKind, lasts time.Duration) (drawn []Fault) {
-		for at := calmStart; ; at += lasts {
-			at += time.Duration(random.Int64N(int64(statementPause)))
-			if at+lasts+restartTime > span {
+	series := func(kind FaultKind, duration time.Duration) (drawn []Fault) {
+		for at := faultFreeStart; ; at += duration {
+			at += time.Duration(random.Int64N(int64(maxStatementPause)))
+			if at+duration+restartDuration > span {
 				return drawn
 			}
-			drawn = append(drawn, Fault{Kind: kind, At: at, For: lasts, Machine: random.IntN(layout.Machines)})
+			drawn = append(drawn, Fault{Kind: kind, At: at, Duration: duration, Machine: random.IntN(layout.Machines)})
 		}
 	}
-	return Together(series(FaultRestMachine, restTime), series(FaultLeaveMachine, leaveTime))
+	return MergePlans(series(FaultRestMachine, backoffDuration), series(FaultLeaveMachine, leaveDuration))
 }
 
-// Rejection is a request that a machine turned away, and asked the router that sent it for a rest.
+// Rejection is a request that a machine rejected without running it, with Retry-After.
 type Rejection struct {
 	Request string
 	Machine string
 	At      time.Duration
-	Rest    time.Duration
+	// Rest is the value of Retry-After.
+	Rest time.Duration
 }
 
-// LeavingAnswer is an answer in which a machine said that it is leaving.
+// LeavingAnswer is a response in which a machine announced that it is leaving.
 type LeavingAnswer struct {
 	Request string
 	Machine string
 }
 
 const (
-	// restGrace is how long after its rejection a machine may get requests that were under way.
-	restGrace = 500 * time.Millisecond
-	// mostDuringRest is how many requests may reach it from then to the end of the rest.
-	mostDuringRest = 2
+	// inFlightGrace allows for requests that a router had sent before it read the rejection.
+	inFlightGrace            = 500 * time.Millisecond
+	maxArrivalsDuringBackoff = 2
 )
 
-// passage is a router's way to a machine.
-type passage struct {
+// routerMachine is a router and a machine that it sends requests to.
+type routerMachine struct {
 	router, machine string
 }
 
-// passages groups the times at which requests reached machines, run or not, by whence they came.
-func (h *History) passages() map[passage][]time.Duration {
-	times := map[passage][]time.Duration{}
-	note := func(request, machine string, at time.Duration) {
-		taken := passage{router: h.Requests[request].Router, machine: machine}
-		times[taken] = append(times[taken], at)
+// requestTimes returns when requests reached a machine, run or rejected, by router and machine.
+func (h *History) requestTimes() map[routerMachine][]time.Duration {
+	times := map[routerMachine][]time.Duration{}
+	add := func(request, machine string, at time.Duration) {
+		pair := routerMachine{router: h.Requests[request].Router, machine: machine}
+		times[pair] = append(times[pair], at)
 	}
 	for _, arrival := range h.Arrivals {
-		note(arrival.Request, arrival.Machine, arrival.At)
+		add(arrival.Request, arrival.Machine, arrival.At)
 	}
 	for _, rejection := range h.Rejections {
-		note(rejection.Request, rejection.Machine, rejection.At)
+		add(rejection.Request, rejection.Machine, rejection.At)
 	}
 	return times
 }
 
-// answersOf returns the answers by request.
-func (h *History) answersOf() map[string]Answer {
+func (h *History) answersByRequest() map[string]Answer {
 	answers := map[string]Answer{}
 	for _, answer := range h.Answers {
 		answers[answer.Request] = answer
@@ -84,81 +81,81 @@
 	return answers
 }
 
-// JudgedRests are the rejections that the router is known to have read in time: it said that the request had
-// not run, which it can't say while it waits for a machine.
-func (h *History) JudgedRests() []Rejection {
-	answers := h.answersOf()
-	var judged []Rejection
+// ConfirmedBackoffs returns the rejections that the router is known to have read in time: it answered that the
+// request had not run, which it does only after the machine's response.
+func (h *History) ConfirmedBackoffs() []Rejection {
+	answers := h.answersByRequest()
+	var confirmed []Rejection
 	for _, rejection := range h.Rejections {
 		answer, isAnswered := answers[rejection.Request]
-		if isAnswered && answer.Outcome == OutcomeNotRun && answer.At <= rejection.At+restGrace {
-			judged = append(judged, rejection)
+		if isAnswered && answer.Outcome == OutcomeNotRun && answer.At <= rejection.At+inFlightGrace {
+			confirmed = append(confirmed, rejection)
 		}
 	}
-	return judged
+	return confirmed
 }
 
-// arrivalsDuringRests are requests that reached a machine after it had asked their router for a rest. A router
-// that was disturbed since may not know of it.
-func arrivalsDuringRests(history *History, _ Bounds, disturbances []Disturbance) []string {
-	times := history.passages()
+// arrivalsDuringBackoff finds machines that got requests from a router during the back-off that they had asked
+// it for. Routers that were disturbed meanwhile are left out.
+func arrivalsDuringBackoff(history *History, _ Bounds, disturbances []Disturbance) []string {
+	times := history.requestTimes()
 	var found []string
-	for _, rejection := range history.JudgedRests() {
+	for _, rejection := range history.ConfirmedBackoffs() {
 		router := history.Requests[rejection.Request].Router
 		until := rejection.At + rejection.Rest
 		if isDisturbed(disturbances, router, rejection.At, until) {
 			continue
 		}
 		count := 0
-		for _, at := range times[passage{router: router, machine: rejection.Machine}] {
-			if at > rejection.At+restGrace && at < until {
+		for _, at := range times[routerMachine{router: router, machine: rejection.Machine}] {
+			if at > rejection.At+inFlightGrace && at < until {
 				count++
 			}
 		}
-		if count > mostDuringRest {
-			found = append(found, fmt.Sprintf("%s asked %s at %s for a rest of %s, and got %d requests from it", rejection.Machine, router, rejection.At, rejection.Rest, count))
+		if count > maxArrivalsDuringBackoff {
+			found = append(found, fmt.Sprintf("%s asked %s at %s for a back-off of %s, but got %d requests from it", rejection.Machine, router, rejection.At, rejection.Rest, count))
 		}
 	}
 	return found
 }
 
-// departures returns when each router had passed on an answer that said that its machine is leaving. Only
-// requests that reached a single machine tell.
-func (h *History) departures() map[passage]time.Duration {
-	answers, arrivals := h.answersOf(), h.arrivalsOf()
-	departures := map[passage]time.Duration{}
+// leavingTimes returns when each router first forwarded a response in which a machine announced that it is
+// leaving. Requests that ran more than once are left out: the forwarded response may be another machine's.
+func (h *History) leavingTimes() map[routerMachine]time.Duration {
+	answers, arrivals := h.answersByRequest(), h.arrivalsByRequest()
+	times := map[routerMachine]time.Duration{}
 	for _, leaving := range h.Leaving {
 		answer, isAnswered := answers[leaving.Request]
 		if !isAnswered || answer.Outcome != OutcomeAnswered || len(arrivals[leaving.Request]) != 1 {
 			continue
 		}
-		taken := passage{router: h.Requests[leaving.Request].Router, machine: leaving.Machine}
-		if earliest, known := departures[taken]; !known || answer.At < earliest {
-			departures[taken] = answer.At
+		pair := routerMachine{router: h.Requests[leaving.Request].Router, machine: leaving.Machine}
+		if earliest, known := times[pair]; !known || answer.At < earliest {
+			times[pair] = answer.At
 		}
 	}
-	return departures
+	return times
 }
 
-// arrivalsAtLeaving are requests that reached a machine though their router had passed on, well before they were
-// sent, that it is leaving.
-func arrivalsAtLeaving(history *History, bounds Bounds, disturbances []Disturbance) []string {
-	departures := history.departures()
+// arrivalsAtLeavingMachines finds requests that reached a machine although their router had forwarded its
+// announcement that it is leaving well before they were sent.
+func arrivalsAtLeavingMachines(history *History, bounds Bounds, disturbances []Disturbance) []string {
+	leavingTimes := history.leavingTimes()
 	var found []string
 	for _, arrival := range history.Arrivals {
 		request := history.Requests[arrival.Request]
-		since, isLeaving := departures[passage{router: request.Router, machine: arrival.Machine}]
-		if !isLeaving || request.Sent <= since+bounds.Drain || isDisturbed(disturbances, request.Router, since, arrival.At) {
+		since, isLeaving := leavingTimes[routerMachine{router: request.Router, machine: arrival.Machine}]
+		if !isLeaving || request.Sent <= since+bounds.DrainTimeout || isDisturbed(disturbances, request.Router, since, arrival.At) {
 			continue
 		}
-		found = append(found, fmt.Sprintf("%s, sent to %s at %s, reached %s, which had said there at %s that it is leaving", arrival.Request, request.Router, request.Sent, arrival.Machine, since))
+		found = append(found, fmt.Sprintf("%s, sent to %s at %s, reached %s, which had announced to that router at %s that it is leaving", arrival.Request, request.Router, request.Sent, arrival.Machine, since))
 	}
 	return found
 }
 
-// isDisturbed reports whether a node was disturbed in a span. What only holds up requests does not count.
-func isDisturbed(disturbances []Disturbance, node string, from, till time.Duration) bool {
-	return slices.ContainsFunc(disturbances, func(each Disturbance) bool {
-		return each.Node == node && !each.Requests && each.From <= till && from <= each.Till
+// isDisturbed reports whether the state of a node was disturbed in an interval.
+func isDisturbed(disturbances []Disturbance, node string, start, end time.Duration) bool {
+	return slices.ContainsFunc(disturbances, func(disturbance Disturbance) bool {
+		return disturbance.Node == node && !disturbance.RequestsOnly && disturbance.Start <= end && start <= disturbance.End
 	})
 }
