--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -22,13 +22,11 @@
 	MaxWarmingPerSecond int
 }
 
-// Violation is a violated invariant.
 type Violation struct {
 	Invariant string `json:"promise"`
 	Detail    string `json:"detail"`
 }
 
-// check finds the violations of one invariant.
 type check struct {
 	invariant string
 	find      func(history *History, bounds Bounds, disturbances []Disturbance) []string
@@ -52,8 +50,7 @@
 	{"recovery", func(history *History, _ Bounds, _ []Disturbance) []string { return history.Unserved }},
 }
 
-// Judge returns the violated invariants, in the order of the checks. Nothing may be recorded in the history
-// any more.
+// Judge returns the violated invariants, in the order of the checks. The history must not change during the call.
 func Judge(history *History, bounds Bounds, disturbances []Disturbance) []Violation {
 	var violations []Violation
 	for _, each := range checks {
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -53,30 +53,27 @@
 	Machine string
 	Place   Place
 	At      time.Duration
-	// Warming is set if the machine was warming up.
 	Warming bool
 	// Limit is the rate limit in requests a second that the machine stated long enough before for all
 	// connected routers to know; 0 for none.
 	Limit float64
 }
 
-// Place is the location of a machine.
 type Place struct {
 	Zone, Region string
 }
 
-// OrderKind is the kind of an operator's order.
 type OrderKind int
 
 const (
-	// OrderDeclare declares a version of the configuration.
+	// OrderDeclare declares a configuration version.
 	OrderDeclare OrderKind = iota
-	// OrderDrain drains a zone, OrderUndrain ends its drain.
+	// OrderDrain starts the drain of a zone, OrderUndrain ends it.
 	OrderDrain
 	OrderUndrain
 )
 
-// Order is an order of an operator that was acknowledged.
+// Order is an order that an operator sent to the control nodes, with retries.
 type Order struct {
 	Kind OrderKind
 	// Version belongs to a declaration, Zone to a drain.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,7 +8,6 @@
 	"time"
 )
 
-// FaultKind is the kind of a fault.
 type FaultKind string
 
 const (
@@ -72,7 +71,7 @@
 	Machines int
 }
 
-// Fault is a planned fault.
+// Fault is a fault of a plan, or one that was executed. Its times are relative to the start of the plan.
 type Fault struct {
 	Kind FaultKind     `json:"kind"`
 	At   time.Duration `json:"at"`
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -11,7 +11,6 @@
 	"github.com/weldline/weldline/internal/signal"
 )
 
-// Direction is a direction of traffic through a proxy.
 type Direction int
 
 // The directions, as seen from the proxied server.
@@ -41,7 +40,6 @@
 	changed *signal.Broadcast
 }
 
-// connection is a connection through a proxy.
 type connection struct {
 	client, server net.Conn
 	// closed is cancelled when the connection is dropped.
@@ -204,7 +202,6 @@
 	}
 }
 
-// Reset resets all connections.
 func (p *Proxy) Reset() {
 	p.mutex.Lock()
 	existing := make([]*connection, 0, len(p.connections))
