--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -125,8 +125,8 @@
 func TestDisturbancesExplainFailedPlainRequests(t *testing.T) {
 	history := validHistory()
 	history.Answers[3].Outcome = OutcomeUnknown // Sent at 2 s, failed at 3 s.
-	span := func(startMs, endMs time.Duration) Disturbance {
-		return Disturbance{Start: startMs * time.Millisecond, End: endMs * time.Millisecond}
+	span := func(start, end time.Duration) Disturbance {
+		return Disturbance{Start: start * time.Millisecond, End: end * time.Millisecond}
 	}
 	router := func(node string, disturbance Disturbance) Disturbance {
 		disturbance.Node = node
