--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -12,7 +12,7 @@
 // validHistory returns a history without violations.
 func validHistory() *History {
 	history := NewHistory()
-	history.Requests["once"] = Request{ID: "once", Router: "r1", Allowed: places.Only("north")}
+	history.Requests["once"] = Request{ID: "once", Router: "r1", Allowed: places.RestrictTo("north")}
 	history.Requests["again"] = Request{ID: "again", Router: "r1", Repeatable: true}
 	history.Requests["refused"] = Request{ID: "refused", Router: "r2"}
 	history.Requests["plain"] = Request{ID: "plain", Router: "r2", Plain: true, Sent: 2 * time.Second}
