--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -43,8 +43,8 @@
 	// It gives no orders to machines: it needs those that its requests may go to.
 	identity.Hello.Subset = true
 	created.client = feed.NewClient(settings.Formation.Addresses(), identity, created.view, node.logger)
-	created.client.Discover(created.controlNodes)
-	created.client.Prefer(settings.Position())
+	created.client.SetDiscovery(created.controlNodes)
+	created.client.SetLocation(settings.Position())
 	created.reports.client = created.client
 	created.ingress = ingress.New(ingress.Options{
 		View: created.view, Logger: node.logger, Metrics: ingress.NewMetrics(node.registry),
@@ -62,7 +62,7 @@
 
 // controlNodes are the control nodes known by now besides the first seeds.
 func (r *ingressRole) controlNodes() []feed.Upstream {
-	return append(feed.Upstreams(r.node.seeds.Load().Addresses()), feed.UpstreamsOf(r.view.Digest().GetRoster())...)
+	return append(feed.UpstreamsFromAddresses(r.node.seeds.Load().Addresses()), feed.UpstreamsFromRoster(r.view.Digest().GetRoster())...)
 }
 
 func (r *ingressRole) start(ctx context.Context) error {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -215,14 +215,14 @@
 // holds for a time is measured by a clock that counts sleeps.
 func (n *Node) woke(time.Duration) {
 	if n.ingress != nil {
-		n.ingress.client.Woke()
+		n.ingress.client.Resumed()
 		n.ingress.ingress.Resumed()
 	}
 	if n.router != nil {
-		n.router.client.Woke()
+		n.router.client.Resumed()
 	}
 	if n.relay != nil {
-		n.relay.client.Woke()
+		n.relay.client.Resumed()
 	}
 }
 
