--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -177,7 +177,7 @@
 		return false
 	}
 	c.lastSweep = now
-	held, _ := machine.OpenClaims()
+	held, _ := machine.ClaimCounts()
 	return held > 0
 }
 
