--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -2,59 +2,58 @@
 
 import "sync"
 
-// Audit counts broken promises and what is needed to judge them.
+// Audit counts violations of weldline's guarantees and the activity needed to interpret them.
 type Audit struct {
-	// MemoryOvercommits counts loads that asked for memory that is not there.
+	// MemoryOvercommits counts load orders that exceeded the free memory.
 	MemoryOvercommits int `json:"memoryOvercommits"`
-	// Abandoned counts generations that ended because nobody followed them
-	// any more: their router stopped, or gave up.
-	Abandoned int `json:"abandoned"`
-	// LateWork counts requests begun on a machine that had been leaving for
-	// longer than LeaveGrace.
-	LateWork int `json:"lateWorkToLeaving"`
-	// DuplicateRuns counts unrepeatable requests that ran more than once.
+	// AbandonedStreams counts generations that were stopped because no client read them any more.
+	AbandonedStreams int `json:"abandoned"`
+	// WorkAfterLeaving counts requests that started on a machine more than LeaveGrace after it was
+	// listed as leaving.
+	WorkAfterLeaving int `json:"lateWorkToLeaving"`
+	// DuplicateRuns counts non-idempotent requests that ran more than once.
 	DuplicateRuns int `json:"duplicateRuns"`
-	// Runs counts inference requests that ran to their end.
+	// Runs counts completed inference requests.
 	Runs int `json:"runs"`
-	// Loads counts finished loads, StaleOrders refused orders.
-	Loads       int `json:"loads"`
-	StaleOrders int `json:"staleOrders"`
-	StoreBusy   int `json:"storeBusy"`
-	// MaxReplicas is, for each version, the most replicas held at once.
+	// Loads counts completed loads, StaleOrders rejected orders.
+	Loads           int `json:"loads"`
+	StaleOrders     int `json:"staleOrders"`
+	StoreRejections int `json:"storeBusy"`
+	// MaxReplicas is the maximum number of concurrent replicas of each version.
 	MaxReplicas map[string]int `json:"maxReplicas"`
-	// Executions is how often each unrepeatable key ran.
+	// Executions counts the runs of each idempotency key.
 	Executions map[string]int `json:"executions"`
 }
 
-// auditor gathers an Audit from everything in one process.
+// auditor collects the Audit of all emulated systems.
 type auditor struct {
-	mutex   sync.Mutex
-	audit   Audit
-	current map[string]int
+	mutex    sync.Mutex
+	audit    Audit
+	replicas map[string]int
 }
 
 func newAuditor() *auditor {
 	return &auditor{
-		audit:   Audit{MaxReplicas: map[string]int{}, Executions: map[string]int{}},
-		current: map[string]int{},
+		audit:    Audit{MaxReplicas: map[string]int{}, Executions: map[string]int{}},
+		replicas: map[string]int{},
 	}
 }
 
-func (a *auditor) count(change func(audit *Audit)) {
+func (a *auditor) update(change func(audit *Audit)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	change(&a.audit)
 }
 
-// holds notes that replicas of a version came (1) or went (-1).
-func (a *auditor) holds(version string, change int) {
+// addReplicas changes the current number of replicas of a version.
+func (a *auditor) addReplicas(version string, change int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.current[version] += change
-	a.audit.MaxReplicas[version] = max(a.audit.MaxReplicas[version], a.current[version])
+	a.replicas[version] += change
+	a.audit.MaxReplicas[version] = max(a.audit.MaxReplicas[version], a.replicas[version])
 }
 
-func (a *auditor) executed(key string) {
+func (a *auditor) recordExecution(key string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.audit.Executions[key]++
@@ -63,7 +62,6 @@
 	}
 }
 
-// snapshot copies the audit.
 func (a *auditor) snapshot() Audit {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -10,18 +10,16 @@
 	"github.com/weldline/weldline/api/engine"
 )
 
-// Backend emulates a worker of a generic pool, such as a ledger of seats. It
-// deliberately does not recognise resent keys: that a request runs at most
-// once is weldline's promise.
+// Backend emulates a worker of a generic pool. It does not deduplicate requests: running each one at
+// most once is weldline's responsibility.
 type Backend struct {
 	config  BackendConfig
-	faults  *faultSource
+	faults  *faultInjector
 	auditor *auditor
 }
 
-// backendAnswer repeats what was asked, so that a caller can check that the
-// answer is its own.
-type backendAnswer struct {
+// backendResponse echoes the request, so that a client can check that the response is its own.
+type backendResponse struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
@@ -35,7 +33,7 @@
 	}
 	key := request.Header.Get(engine.HeaderIdempotencyKey)
 	if key != "" && request.Method == http.MethodPost {
-		b.auditor.executed(b.config.Name + "|" + strings.TrimPrefix(request.URL.Path, "/") + "|" + key)
+		b.auditor.recordExecution(b.config.Name + "|" + strings.TrimPrefix(request.URL.Path, "/") + "|" + key)
 	}
 	time.Sleep(b.config.Latency)
 	if b.faults.draw(func(faults Faults) float64 { return faults.LostAnswer }) {
@@ -43,7 +41,7 @@
 	}
 	writer.Header().Set(engine.HeaderRequestID, request.Header.Get(engine.HeaderRequestID))
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(backendAnswer{
+	_ = json.NewEncoder(writer).Encode(backendResponse{
 		Method: request.Method, Path: request.URL.Path, Body: string(body), Key: key,
 	})
 }
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -12,11 +12,11 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// Config describes the emulated surroundings.
+// Config describes the emulated systems.
 type Config struct {
 	// Host is the IP address to listen on. Default 127.0.0.1.
 	Host string `yaml:"host"`
-	// Seed of the random faults. Default 1.
+	// Seed of the fault injection. Default 1.
 	Seed int64 `yaml:"seed"`
 
 	Machines MachinesConfig  `yaml:"machines"`
@@ -27,52 +27,50 @@
 	Grey     GreyConfig      `yaml:"grey"`
 }
 
-// GreyConfig describes workers that fail part of their requests at once, while their
-// connections and reports are good.
+// GreyConfig describes grey failures: workers that fail part of their requests while their connections
+// and reports stay healthy.
 type GreyConfig struct {
-	// Share of the engines, and of the workers of each pool of back ends, that are
-	// grey, rounded up. Default 0: none.
+	// Share is the fraction of the engines, and of the workers of each backend pool, that are grey,
+	// rounded up. Default 0.
 	Share float64 `yaml:"share"`
-	// Errors is the share of their requests that these fail. Default 0.
+	// Errors is the fraction of their requests that grey workers fail. Default 0.
 	Errors float64 `yaml:"errors"`
 }
 
-// count returns how many of some workers are grey.
-func (g GreyConfig) count(workers int) int {
+// workerCount returns how many of the given workers are grey.
+func (g GreyConfig) workerCount(workers int) int {
 	return int(math.Ceil(g.Share * float64(workers)))
 }
 
-// MachinesConfig describes the machines and their list.
+// MachinesConfig describes the machines and the machine list.
 type MachinesConfig struct {
 	// Count of machines. Default 18.
 	Count int `yaml:"count"`
-	// Zones that the machines are spread over, in turn.
+	// Zones are assigned to the machines round-robin.
 	Zones []string `yaml:"zones"`
 	// Accelerators of each machine. Default 2.
 	Accelerators int `yaml:"accelerators"`
 	// AcceleratorBytes of each accelerator. Default 80 GiB.
 	AcceleratorBytes int64 `yaml:"acceleratorBytes"`
-	// ListLag is how old the machine list is.
+	// ListLag is the delay of changes to the machine list.
 	ListLag time.Duration `yaml:"listLag"`
 }
 
-// EngineConfig describes the engines.
 type EngineConfig struct {
-	// MemoryBytesPerSecond, DiskBytesPerSecond are the speeds of loads from
-	// the machine's own tiers.
+	// MemoryBytesPerSecond and DiskBytesPerSecond are the load speeds from the machine's own tiers.
 	MemoryBytesPerSecond float64 `yaml:"memoryBytesPerSecond"`
 	DiskBytesPerSecond   float64 `yaml:"diskBytesPerSecond"`
-	// MemoryCacheBytes and DiskCacheBytes bound the cached checkpoints.
+	// MemoryCacheBytes and DiskCacheBytes limit the cached checkpoints.
 	MemoryCacheBytes int64 `yaml:"memoryCacheBytes"`
 	DiskCacheBytes   int64 `yaml:"diskCacheBytes"`
-	// PrefillPerToken and TokenInterval are the times of one token.
+	// PrefillPerToken and TokenInterval are the durations per token of prefill and decoding.
 	PrefillPerToken time.Duration `yaml:"prefillPerToken"`
 	TokenInterval   time.Duration `yaml:"tokenInterval"`
-	// BatchSlowdown is added to the interval for each other request.
+	// BatchSlowdown is added to the token interval for each concurrent request.
 	BatchSlowdown time.Duration `yaml:"batchSlowdown"`
-	// CacheBytesPerToken of the KV cache.
+	// CacheBytesPerToken is the KV cache size of one token.
 	CacheBytesPerToken int64 `yaml:"cacheBytesPerToken"`
-	// ReportLag is how old the load in a report is.
+	// ReportLag is the age of the load figures in reports.
 	ReportLag time.Duration `yaml:"reportLag"`
 }
 
@@ -85,50 +83,47 @@
 
 // StoreConfig describes the weight store.
 type StoreConfig struct {
-	// LoadsPerSecond that are admitted; more get 429. Default 3.
+	// LoadsPerSecond limits the loads that are admitted; further ones get status 429. Default 3.
 	LoadsPerSecond float64 `yaml:"loadsPerSecond"`
-	// ConcurrentLoads at full speed; more share that bandwidth. Default 6.
+	// ConcurrentLoads is the number of loads at full speed; more share the same bandwidth. Default 6.
 	ConcurrentLoads int `yaml:"concurrentLoads"`
-	// BytesPerSecond of one load at full speed.
+	// BytesPerSecond is the full speed of one load.
 	BytesPerSecond float64 `yaml:"bytesPerSecond"`
 	// Slowdown divides the speed. Default 1.
 	Slowdown float64 `yaml:"slowdown"`
 }
 
-// BackendConfig describes a pool of generic back ends.
+// BackendConfig describes a pool of generic backends.
 type BackendConfig struct {
-	// Name of the pool.
-	Name string `yaml:"name"`
-	// Workers of the pool.
-	Workers int `yaml:"workers"`
-	// Latency of an answer.
+	Name    string        `yaml:"name"`
+	Workers int           `yaml:"workers"`
 	Latency time.Duration `yaml:"latency"`
 }
 
-// Faults are probabilities from 0 to 1 of things that go wrong.
+// Faults are the probabilities, from 0 to 1, of injected faults.
 type Faults struct {
-	// LostAnswer: the request runs and its answer is lost.
+	// LostAnswer: the request runs but its response is lost.
 	LostAnswer float64 `yaml:"lostAnswer"`
-	// CrossedAnswer: the answer carries another request's id.
+	// CrossedAnswer: the response carries the ID of another request.
 	CrossedAnswer float64 `yaml:"crossedAnswer"`
-	// BrokenStream: a stream's connection breaks in the middle.
+	// BrokenStream: the connection of a stream breaks partway.
 	BrokenStream float64 `yaml:"brokenStream"`
-	// DieWhileLoading: the engine restarts in the middle of a load.
+	// DieWhileLoading: the engine crashes and restarts during a load.
 	DieWhileLoading float64 `yaml:"dieWhileLoading"`
-	// LostOrder: an order is not carried out and not answered.
+	// LostOrder: an order is neither executed nor answered.
 	LostOrder float64 `yaml:"lostOrder"`
 }
 
-// LoadConfig reads and checks an emulator configuration.
+// LoadConfig reads and validates an emulator configuration file.
 func LoadConfig(path string) (*Config, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.InvalidField("config", "can't read the emulator configuration: %s", err.Error())
+		return nil, fault.InvalidField("config", "reading the emulator configuration: %s", err.Error())
 	}
 	return ParseConfig(content)
 }
 
-// ParseConfig checks an emulator configuration.
+// ParseConfig decodes and validates an emulator configuration.
 func ParseConfig(content []byte) (*Config, error) {
 	config := &Config{}
 	if err := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict()).Decode(config); err != nil {
@@ -190,7 +185,7 @@
 		return fault.InvalidField("machines.count", "machines.count must be between 0 and 5000")
 	}
 	if c.Store.LoadsPerSecond <= 0 || c.Store.ConcurrentLoads <= 0 || c.Store.BytesPerSecond <= 0 || c.Store.Slowdown <= 0 {
-		return fault.InvalidField("store", "the store's limits and speeds must be above 0")
+		return fault.InvalidField("store", "store limits and speeds must be above 0")
 	}
 	return nil
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -14,93 +14,91 @@
 type Engine struct {
 	machine string
 	config  EngineConfig
-	faults  *faultSource
+	faults  *faultInjector
 	store   *Store
 	auditor *auditor
-	// leavingSince tells since when the machine has been leaving.
+	// leavingSince returns when the machine was listed as leaving.
 	leavingSince func(machine string) (time.Time, bool)
 
 	mutex sync.Mutex
 	model *enginemodel.Engine
-	// replicas holds what serving needs beside the model's replicas.
-	replicas map[string]*replica
-	streams  map[string]*stream
-	caches   *enginemodel.CheckpointCache
-	loads    loadHistory
-	// life ends with the incarnation.
-	life context.Context
-	kill context.CancelFunc
+	// replicas holds the serving state of the model's replicas.
+	replicas    map[string]*replica
+	streams     map[string]*stream
+	caches      *enginemodel.CheckpointCache
+	loadHistory loadHistory
+	// processContext is canceled when the emulated process ends.
+	processContext context.Context
+	stopProcess    context.CancelFunc
 }
 
-// replica is a loaded, loading or unloading model.
 type replica struct {
 	*enginemodel.Replica
-	readyAt   time.Time
-	cacheUsed int64
-	waiting   []*slotWaiter
-	adapters  map[string]bool
-	prefixes  map[uint64]bool
-	cancel    context.CancelFunc
+	readyAt    time.Time
+	cacheUsed  int64
+	waiting    []*slotWaiter
+	adapters   map[string]bool
+	prefixes   map[uint64]bool
+	cancelLoad context.CancelFunc
 }
 
-// faultSource draws faults.
-type faultSource struct {
+type faultInjector struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	faults Faults
 }
 
-func newFaultSource(seed int64, faults Faults) *faultSource {
-	return &faultSource{random: rand.New(rand.NewPCG(uint64(seed), 0)), faults: faults}
+func newFaultInjector(seed int64, faults Faults) *faultInjector {
+	return &faultInjector{random: rand.New(rand.NewPCG(uint64(seed), 0)), faults: faults}
 }
 
-// draw decides whether a fault strikes.
-func (f *faultSource) draw(probability func(Faults) float64) bool {
+// draw decides whether to inject a fault.
+func (f *faultInjector) draw(probability func(Faults) float64) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.random.Float64() < probability(f.faults)
 }
 
-func (f *faultSource) set(faults Faults) {
+func (f *faultInjector) set(faults Faults) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.faults = faults
 }
 
-func newEngine(machine string, config *Config, faults *faultSource, store *Store, auditor *auditor, leavingSince func(string) (time.Time, bool)) *Engine {
+func newEngine(machine string, config *Config, faults *faultInjector, store *Store, auditor *auditor, leavingSince func(string) (time.Time, bool)) *Engine {
 	created := &Engine{
 		machine: machine, config: config.Engine,
 		model: enginemodel.New(machine, config.Machines.Accelerators, config.Machines.AcceleratorBytes, 0), faults: faults, store: store, auditor: auditor, leavingSince: leavingSince,
 		caches: enginemodel.NewCheckpointCache(config.Engine.tiers()),
 	}
-	created.begin()
+	created.startProcess()
 	return created
 }
 
-// begin starts an incarnation with empty memory; disk caches survive.
-func (e *Engine) begin() {
+// startProcess starts a new incarnation with empty memory; disk caches survive.
+func (e *Engine) startProcess() {
 	e.model.Restart(uint64(time.Now().UnixNano()))
 	e.replicas = map[string]*replica{}
 	e.streams = map[string]*stream{}
 	e.caches.DropMemory()
-	e.life, e.kill = context.WithCancel(context.Background())
+	e.processContext, e.stopProcess = context.WithCancel(context.Background())
 }
 
-// Restart ends everything at once, as a crash would.
+// Restart crashes and restarts the emulated process.
 func (e *Engine) Restart() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.kill()
-	for _, held := range e.replicas {
-		if held.Phase != engine.PhaseFailed {
-			e.auditor.holds(held.Order.Version, -1)
+	e.stopProcess()
+	for _, target := range e.replicas {
+		if target.Phase != engine.PhaseFailed {
+			e.auditor.addReplicas(target.Order.Version, -1)
 		}
 	}
-	e.begin()
+	e.startProcess()
 }
 
-// order carries out a fenced order.
-func (e *Engine) order(order engine.Order) engine.OrderResult {
+// applyOrder executes a fenced order.
+func (e *Engine) applyOrder(order engine.Order) engine.OrderResult {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	result, effect := e.model.Apply(order)
@@ -110,29 +108,29 @@
 	case effect.Unloading != nil:
 		e.beginUnload(effect.Unloading)
 	case result.Reason == engine.ReasonNoMemory:
-		e.auditor.count(func(audit *Audit) { audit.MemoryOvercommits++ })
+		e.auditor.update(func(audit *Audit) { audit.MemoryOvercommits++ })
 	case !result.Accepted:
-		e.auditor.count(func(audit *Audit) { audit.StaleOrders++ })
+		e.auditor.update(func(audit *Audit) { audit.StaleOrders++ })
 	}
 	return result
 }
 
 func (e *Engine) beginLoad(loading *enginemodel.Replica) {
-	ctx, cancel := context.WithCancel(e.life)
+	ctx, cancel := context.WithCancel(e.processContext)
 	started := &replica{
-		Replica: loading, cancel: cancel, adapters: map[string]bool{}, prefixes: map[uint64]bool{},
+		Replica: loading, cancelLoad: cancel, adapters: map[string]bool{}, prefixes: map[uint64]bool{},
 	}
 	e.replicas[loading.Order.Replica] = started
-	e.auditor.holds(loading.Order.Version, 1)
+	e.auditor.addReplicas(loading.Order.Version, 1)
 	go e.runLoad(ctx, started)
 }
 
-// runLoad brings the weights in from the fastest tier that has them.
+// runLoad loads the weights from the fastest tier that has them.
 func (e *Engine) runLoad(ctx context.Context, loading *replica) {
-	defer loading.cancel()
-	dies := e.faults.draw(func(faults Faults) float64 { return faults.DieWhileLoading })
-	if dies {
-		time.AfterFunc(dieAfter, e.Restart)
+	defer loading.cancelLoad()
+	crashes := e.faults.draw(func(faults Faults) float64 { return faults.DieWhileLoading })
+	if crashes {
+		time.AfterFunc(loadCrashDelay, e.Restart)
 	}
 	bytes := loading.Order.WeightBytes
 	err := e.fetch(ctx, loading, bytes)
@@ -146,15 +144,15 @@
 		return
 	}
 	if err != nil {
-		e.auditor.holds(loading.Order.Version, -1)
+		e.auditor.addReplicas(loading.Order.Version, -1)
 		return
 	}
 	e.caches.Add(loading.Order.Checkpoint, bytes)
-	e.auditor.count(func(audit *Audit) { audit.Loads++ })
+	e.auditor.update(func(audit *Audit) { audit.Loads++ })
 }
 
-// dieAfter is how far into a load a dying engine comes.
-const dieAfter = 150 * time.Millisecond
+// loadCrashDelay is the time from the start of a load to an injected crash.
+const loadCrashDelay = 150 * time.Millisecond
 
 const storeRetryDelay = 100 * time.Millisecond
 
@@ -188,27 +186,27 @@
 	return e.store.Transfer(ctx, bytes, progress)
 }
 
-// beginUnload turns away those who wait; the running ones finish.
+// beginUnload refuses the queued requests; running ones finish.
 func (e *Engine) beginUnload(ending *enginemodel.Replica) {
-	held := e.replicas[ending.Order.Replica]
-	held.cancel()
-	for _, waiting := range held.waiting {
+	target := e.replicas[ending.Order.Replica]
+	target.cancelLoad()
+	for _, waiting := range target.waiting {
 		close(waiting.refused)
 	}
-	held.waiting = nil
-	e.dropUnloaded(held)
+	target.waiting = nil
+	e.removeIfUnloaded(target)
 }
 
-// dropUnloaded follows the model once it has freed a replica's memory.
-func (e *Engine) dropUnloaded(held *replica) {
-	name := held.Order.Replica
-	if e.replicas[name] == held && e.model.Replica(name) != held.Replica {
+// removeIfUnloaded removes a replica once the model has freed its memory.
+func (e *Engine) removeIfUnloaded(target *replica) {
+	name := target.Order.Replica
+	if e.replicas[name] == target && e.model.Replica(name) != target.Replica {
 		delete(e.replicas, name)
-		e.auditor.holds(held.Order.Version, -1)
+		e.auditor.addReplicas(target.Order.Version, -1)
 	}
 }
 
-// report returns the engine's state with load figures that lag.
+// report returns the engine's state with load figures that lag by ReportLag.
 func (e *Engine) report() engine.Report {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -217,26 +215,26 @@
 	queued := 0
 	for position := range report.Replicas {
 		entry := &report.Replicas[position]
-		held := e.replicas[entry.Replica]
-		if held == nil {
+		target := e.replicas[entry.Replica]
+		if target == nil {
 			continue
 		}
-		queued += len(held.waiting)
-		if held.Phase == engine.PhaseLoading {
-			entry.RemainingMillis = max(0, held.readyAt.Sub(now).Milliseconds())
+		queued += len(target.waiting)
+		if target.Phase == engine.PhaseLoading {
+			entry.RemainingMillis = max(0, target.readyAt.Sub(now).Milliseconds())
 		}
-		for adapter := range held.adapters {
+		for adapter := range target.adapters {
 			entry.Adapters = append(entry.Adapters, adapter)
 		}
 	}
 	running := report.Running
-	e.loads.add(now, running, queued)
-	report.Running, report.Queued = e.loads.at(now.Add(-e.config.ReportLag))
+	e.loadHistory.add(now, running, queued)
+	report.Running, report.Queued = e.loadHistory.at(now.Add(-e.config.ReportLag))
 	report.Checkpoints = e.caches.List()
 	return report
 }
 
-// loadHistory remembers loads, for reports that lag.
+// loadHistory keeps recent load samples for delayed reports.
 type loadHistory struct {
 	samples []loadSample
 }
@@ -246,16 +244,16 @@
 	running, queued int
 }
 
-const loadSamplesKept = 256
+const maxLoadSamples = 256
 
 func (h *loadHistory) add(now time.Time, running, queued int) {
 	h.samples = append(h.samples, loadSample{now, running, queued})
-	if len(h.samples) > loadSamplesKept {
-		h.samples = h.samples[len(h.samples)-loadSamplesKept:]
+	if len(h.samples) > maxLoadSamples {
+		h.samples = h.samples[len(h.samples)-maxLoadSamples:]
 	}
 }
 
-// at returns the newest sample that is not after the time.
+// at returns the latest sample taken no later than the given time.
 func (h *loadHistory) at(when time.Time) (running, queued int) {
 	for position := len(h.samples) - 1; position >= 0; position-- {
 		if sample := h.samples[position]; !sample.at.After(when) {
--- a/internal/emulator/enginehttp.go
+++ b/internal/emulator/enginehttp.go
@@ -36,71 +36,71 @@
 		return
 	}
 	if e.faults.draw(func(faults Faults) float64 { return faults.LostOrder }) {
-		panic(http.ErrAbortHandler) // Closes the connection without an answer.
+		panic(http.ErrAbortHandler) // Closes the connection without a response.
 	}
-	_ = json.NewEncoder(writer).Encode(e.order(order))
+	_ = json.NewEncoder(writer).Encode(e.applyOrder(order))
 }
 
-func notRun(writer http.ResponseWriter, status int, reason string) {
+func writeNotRun(writer http.ResponseWriter, status int, reason string) {
 	writer.Header().Set(engine.HeaderOutcome, engine.OutcomeNotRun)
 	http.Error(writer, reason, status)
 }
 
 func (e *Engine) serveInference(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get(engine.HeaderRequestID)
-	echoed := id
+	responseID := id
 	if e.faults.draw(func(faults Faults) float64 { return faults.CrossedAnswer }) {
-		echoed = "crossed-" + id
+		responseID = "crossed-" + id
 	}
-	writer.Header().Set(engine.HeaderRequestID, echoed)
+	writer.Header().Set(engine.HeaderRequestID, responseID)
 	var body inferenceRequest
 	if err := json.NewDecoder(io.LimitReader(request.Body, maxRequestBytes)).Decode(&body); err != nil {
-		notRun(writer, http.StatusBadRequest, err.Error())
+		writeNotRun(writer, http.StatusBadRequest, err.Error())
 		return
 	}
 	priority, _ := strconv.Atoi(request.Header.Get(engine.HeaderPriority))
 	name := request.Header.Get(engine.HeaderReplica)
-	started := e.start(request.Context(), name, id, request.Header.Get(engine.HeaderAdapter), priority, body)
-	if started == nil {
-		notRun(writer, http.StatusConflict, "the replica does not take requests")
+	output := e.start(request.Context(), name, id, request.Header.Get(engine.HeaderAdapter), priority, body)
+	if output == nil {
+		writeNotRun(writer, http.StatusConflict, "the replica does not take requests")
 		return
 	}
-	answer := &answerWriter{engine: e, writer: writer, request: request, id: id, body: body, chat: len(body.Messages) > 0}
+	answer := &completionWriter{engine: e, writer: writer, request: request, id: id, body: body, chat: len(body.Messages) > 0}
 	if body.Stream {
-		answer.stream(started, 0)
+		answer.writeStream(output, 0)
 		return
 	}
-	answer.plain(started)
+	answer.writeComplete(output)
 }
 
 func (e *Engine) serveResume(writer http.ResponseWriter, request *http.Request) {
 	id := mux.Vars(request)["id"]
 	from, err := strconv.Atoi(request.URL.Query().Get("from"))
 	e.mutex.Lock()
-	held := e.streams[id]
+	output := e.streams[id]
 	e.mutex.Unlock()
-	if held == nil || err != nil || from < 0 {
+	if output == nil || err != nil || from < 0 {
 		http.Error(writer, "no such stream", http.StatusNotFound)
 		return
 	}
 	writer.Header().Set(engine.HeaderRequestID, id)
-	answer := &answerWriter{engine: e, writer: writer, request: request, id: id, chat: held.chat}
-	answer.stream(held, from)
+	answer := &completionWriter{engine: e, writer: writer, request: request, id: id, chat: output.chat}
+	answer.writeStream(output, from)
 }
 
 func (e *Engine) serveCancel(writer http.ResponseWriter, request *http.Request) {
 	e.mutex.Lock()
-	held := e.streams[mux.Vars(request)["id"]]
+	output := e.streams[mux.Vars(request)["id"]]
 	e.mutex.Unlock()
-	if held == nil {
+	if output == nil {
 		http.Error(writer, "no such request", http.StatusNotFound)
 		return
 	}
-	held.cancel()
+	output.cancel()
 }
 
-// answerWriter writes one answer in the OpenAI manner.
-type answerWriter struct {
+// completionWriter writes one response in the format of the OpenAI API.
+type completionWriter struct {
 	engine  *Engine
 	writer  http.ResponseWriter
 	request *http.Request
@@ -109,31 +109,31 @@
 	chat    bool
 }
 
-type answerChoice struct {
-	Index        int            `json:"index"`
-	Text         string         `json:"text,omitempty"`
-	Message      *answerMessage `json:"message,omitempty"`
-	Delta        *answerMessage `json:"delta,omitempty"`
-	FinishReason *string        `json:"finish_reason"`
+type completionChoice struct {
+	Index        int                `json:"index"`
+	Text         string             `json:"text,omitempty"`
+	Message      *completionMessage `json:"message,omitempty"`
+	Delta        *completionMessage `json:"delta,omitempty"`
+	FinishReason *string            `json:"finish_reason"`
 }
 
-type answerMessage struct {
+type completionMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-type answerBody struct {
-	ID      string         `json:"id"`
-	Object  string         `json:"object"`
-	Created int64          `json:"created"`
-	Model   string         `json:"model"`
-	Choices []answerChoice `json:"choices"`
+type completionResponse struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
 }
 
-// plain waits for the whole answer and sends it.
-func (a *answerWriter) plain(output *stream) {
-	output.follow(1)
-	defer output.follow(-1)
+// writeComplete waits for the whole output and sends it as one response.
+func (a *completionWriter) writeComplete(output *stream) {
+	output.addReaders(1)
+	defer output.addReaders(-1)
 	text, position := "", 0
 	for {
 		events, ended, changed := output.after(position)
@@ -155,25 +155,25 @@
 		panic(http.ErrAbortHandler)
 	}
 	stop := "stop"
-	choice := answerChoice{FinishReason: &stop}
+	choice := completionChoice{FinishReason: &stop}
 	object := "text_completion"
 	if a.chat {
 		object = "chat.completion"
-		choice.Message = &answerMessage{Role: "assistant", Content: text}
+		choice.Message = &completionMessage{Role: "assistant", Content: text}
 	} else {
 		choice.Text = text
 	}
 	a.writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(a.writer).Encode(answerBody{
-		ID: a.id, Object: object, Model: a.body.Model, Choices: []answerChoice{choice},
+	_ = json.NewEncoder(a.writer).Encode(completionResponse{
+		ID: a.id, Object: object, Model: a.body.Model, Choices: []completionChoice{choice},
 	})
 }
 
-// stream sends events from a position on. Event number n of a stream is its
-// n-th token; the last event is the end mark.
-func (a *answerWriter) stream(output *stream, from int) {
-	output.follow(1)
-	defer output.follow(-1)
+// writeStream sends events from a position on. Event n of a stream is its n-th token; the last event
+// is the end marker.
+func (a *completionWriter) writeStream(output *stream, from int) {
+	output.addReaders(1)
+	defer output.addReaders(-1)
 	a.writer.Header().Set("Content-Type", "text/event-stream")
 	breakAt := -1
 	if a.engine.faults.draw(func(faults Faults) float64 { return faults.BrokenStream }) {
@@ -198,27 +198,27 @@
 			return
 		}
 	}
-	if a.engine.isCut(output, position) {
+	if a.engine.isTruncated(output, position) {
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(a.writer, "data: [DONE]\n\n")
 }
 
-// isCut reports whether the generation was ended before its last token.
-func (e *Engine) isCut(output *stream, position int) bool {
+// isTruncated reports whether the generation ended before its last token.
+func (e *Engine) isTruncated(output *stream, position int) bool {
 	output.mutex.Lock()
 	defer output.mutex.Unlock()
-	return output.cut || position < len(output.events)
+	return output.truncated || position < len(output.events)
 }
 
-func (a *answerWriter) writeEvent(token string) {
-	body := answerBody{ID: a.id, Object: "text_completion", Model: a.body.Model}
-	choice := answerChoice{Text: token}
+func (a *completionWriter) writeEvent(token string) {
+	body := completionResponse{ID: a.id, Object: "text_completion", Model: a.body.Model}
+	choice := completionChoice{Text: token}
 	if a.chat {
 		body.Object = "chat.completion.chunk"
-		choice = answerChoice{Delta: &answerMessage{Content: token}}
+		choice = completionChoice{Delta: &completionMessage{Content: token}}
 	}
-	body.Choices = []answerChoice{choice}
+	body.Choices = []completionChoice{choice}
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return
--- a/internal/emulator/grey_test.go
+++ b/internal/emulator/grey_test.go
@@ -9,7 +9,6 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// statusOf asks a worker and returns the status of its answer.
 func statusOf(t *testing.T, method, url string) int {
 	t.Helper()
 	request, err := http.NewRequest(method, url, strings.NewReader("{}"))
@@ -24,8 +23,8 @@
 	return response.StatusCode
 }
 
-// TestGreyWorkers: as many workers as asked for fail all of their requests, and nothing
-// else of them shows it.
+// TestGreyWorkers requires that exactly the configured number of workers fail their requests, while
+// their reports stay healthy.
 func TestGreyWorkers(t *testing.T) {
 	config, err := emulator.ParseConfig([]byte(`
 machines: {count: 3}
@@ -47,7 +46,7 @@
 		}
 	}
 	if failing != 2 {
-		t.Errorf("%d of 4 back ends fail, wanted 2", failing)
+		t.Errorf("%d of 4 backends fail, want 2", failing)
 	}
 	failing = 0
 	for name, endpoint := range world.Addresses().Engines {
@@ -55,15 +54,15 @@
 			failing++
 		}
 		if status := statusOf(t, http.MethodGet, endpoint+"/v1/report"); status != http.StatusOK {
-			t.Errorf("the report of %s: %d", name, status)
+			t.Errorf("report of %s: status %d, want 200", name, status)
 		}
 	}
 	if failing != 2 {
-		t.Errorf("%d of 3 engines fail, wanted 2", failing)
+		t.Errorf("%d of 3 engines fail, want 2", failing)
 	}
 }
 
-func TestGreySharesAreChecked(t *testing.T) {
+func TestGreyConfigValidation(t *testing.T) {
 	for _, test := range []struct{ configuration, field string }{
 		{"grey: {share: 1.5}", "grey.share"},
 		{"grey: {share: -0.1}", "grey.share"},
@@ -72,7 +71,7 @@
 	} {
 		_, err := emulator.ParseConfig([]byte(test.configuration))
 		if fault.FieldOf(err) != test.field || (err != nil) != (test.field != "") {
-			t.Errorf("%s: %v", test.configuration, err)
+			t.Errorf("%s: got error %v", test.configuration, err)
 		}
 	}
 }
--- a/internal/emulator/inference.go
+++ b/internal/emulator/inference.go
@@ -18,16 +18,16 @@
 	defaultMaxTokens = 16
 	bytesPerToken    = 4
 	prefixTokens     = 128
-	// LeaveGrace is how long after a machine was listed as leaving a request
-	// may still be begun there.
+	// LeaveGrace is the time after a machine was listed as leaving during which requests may still
+	// start there.
 	LeaveGrace = 5 * time.Second
-	// streamKept is how long an ended stream can be resumed.
-	streamKept = 30 * time.Second
-	// readerGrace is how long a stream runs on without a reader.
+	// streamRetention is how long a finished stream can be resumed.
+	streamRetention = 30 * time.Second
+	// readerGrace is how long a generation continues without a reader.
 	readerGrace = 3 * time.Second
 )
 
-// inferenceRequest is what the emulator reads of a request.
+// inferenceRequest holds the request fields that the emulator uses.
 type inferenceRequest struct {
 	Model     string          `json:"model"`
 	Prompt    json.RawMessage `json:"prompt"`
@@ -50,13 +50,13 @@
 	return r.MaxTokens
 }
 
-// Token returns the position-th token of the answer to a prompt: whoever
-// knows the prompt can check an answer word for word.
+// Token returns one token of the response to a prompt. It depends only on the prompt and the position,
+// so that clients can verify every token.
 func Token(prompt string, position int) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt)%1_000_000, 36) + "-" + strconv.Itoa(position) + " "
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the whole response to a prompt.
 func Answer(prompt string, tokens int) string {
 	var text strings.Builder
 	for position := range tokens {
@@ -65,7 +65,7 @@
 	return text.String()
 }
 
-// slotWaiter is a request that waits for a place in a replica's batch.
+// slotWaiter is a request queued for a slot in a replica's batch.
 type slotWaiter struct {
 	priority int
 	bytes    int64
@@ -73,92 +73,90 @@
 	refused  chan struct{}
 }
 
-// enter takes a place in the batch and the cache memory for a request, in
-// order of priority. It returns false where the replica does not, or no
-// longer, take requests: the request has then not run.
-func (e *Engine) enter(ctx context.Context, name string, priority int, bytes int64) (*replica, bool) {
+// acquireSlot reserves a batch slot and cache memory for a request, by priority. It returns false if
+// the replica does not accept requests or stops doing so; the request has then not run.
+func (e *Engine) acquireSlot(ctx context.Context, name string, priority int, bytes int64) (*replica, bool) {
 	e.mutex.Lock()
-	held := e.replicas[name]
-	if held == nil || held.Phase != engine.PhaseReady {
+	target := e.replicas[name]
+	if target == nil || target.Phase != engine.PhaseReady {
 		e.mutex.Unlock()
 		return nil, false
 	}
-	if held.admits(bytes) {
+	if target.hasCapacity(bytes) {
 		e.model.Begin(name)
-		held.cacheUsed += bytes
+		target.cacheUsed += bytes
 		e.mutex.Unlock()
-		return held, true
+		return target, true
 	}
 	waiting := &slotWaiter{priority: priority, bytes: bytes, granted: make(chan struct{}), refused: make(chan struct{})}
-	held.waiting = append(held.waiting, waiting)
-	sort.SliceStable(held.waiting, func(i, j int) bool { return held.waiting[i].priority > held.waiting[j].priority })
+	target.waiting = append(target.waiting, waiting)
+	sort.SliceStable(target.waiting, func(i, j int) bool { return target.waiting[i].priority > target.waiting[j].priority })
 	e.mutex.Unlock()
 	select {
 	case <-waiting.granted:
-		return held, true
+		return target, true
 	case <-waiting.refused:
 		return nil, false
 	case <-ctx.Done():
-		return nil, e.withdraw(held, waiting)
+		return nil, e.cancelWait(target, waiting)
 	}
 }
 
-func (r *replica) admits(bytes int64) bool {
+func (r *replica) hasCapacity(bytes int64) bool {
 	if r.Running >= r.Order.MaxConcurrent {
 		return false
 	}
 	return r.Running == 0 || r.cacheUsed+bytes <= r.Order.CacheBytes
 }
 
-// withdraw takes a waiter out; where it was granted at the same moment, its
-// place is given back.
-func (e *Engine) withdraw(held *replica, waiting *slotWaiter) bool {
+// cancelWait removes a waiter. If its slot was granted concurrently, it is released.
+func (e *Engine) cancelWait(target *replica, waiting *slotWaiter) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	for position, other := range held.waiting {
+	for position, other := range target.waiting {
 		if other == waiting {
-			held.waiting = append(held.waiting[:position], held.waiting[position+1:]...)
+			target.waiting = append(target.waiting[:position], target.waiting[position+1:]...)
 			return false
 		}
 	}
 	select {
 	case <-waiting.granted:
-		e.leaveLocked(held, waiting.bytes)
+		e.releaseSlotLocked(target, waiting.bytes)
 	default:
 	}
 	return false
 }
 
-func (e *Engine) leave(held *replica, bytes int64) {
+func (e *Engine) releaseSlot(target *replica, bytes int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.leaveLocked(held, bytes)
+	e.releaseSlotLocked(target, bytes)
 }
 
-func (e *Engine) leaveLocked(held *replica, bytes int64) {
-	e.model.End(held.Replica)
-	held.cacheUsed -= bytes
-	for len(held.waiting) > 0 && held.Phase == engine.PhaseReady && held.admits(held.waiting[0].bytes) {
-		next := held.waiting[0]
-		held.waiting = held.waiting[1:]
-		e.model.Begin(held.Order.Replica)
-		held.cacheUsed += next.bytes
+func (e *Engine) releaseSlotLocked(target *replica, bytes int64) {
+	e.model.End(target.Replica)
+	target.cacheUsed -= bytes
+	for len(target.waiting) > 0 && target.Phase == engine.PhaseReady && target.hasCapacity(target.waiting[0].bytes) {
+		next := target.waiting[0]
+		target.waiting = target.waiting[1:]
+		e.model.Begin(target.Order.Replica)
+		target.cacheUsed += next.bytes
 		close(next.granted)
 	}
-	e.dropUnloaded(held)
+	e.removeIfUnloaded(target)
 }
 
-// stream is the buffered output of one request; readers follow it.
+// stream buffers the output of one request for any number of readers.
 type stream struct {
 	mutex  sync.Mutex
 	events []string
 	ended  bool
-	// cut is set where the generation ended before its last token; chat is
-	// the form of the events.
-	cut     bool
-	chat    bool
-	changed chan struct{}
-	// readers counts those that follow; idleSince is when the last left.
+	// truncated is set if the generation ended before its last token; chat selects the format of the
+	// events.
+	truncated bool
+	chat      bool
+	changed   chan struct{}
+	// idleSince is when the last reader left.
 	readers   int
 	idleSince time.Time
 	cancel    context.CancelFunc
@@ -172,24 +170,24 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.events = append(s.events, event)
-	s.wake()
+	s.notify()
 }
 
 func (s *stream) end(cut bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.ended = true
-	s.cut = cut
-	s.wake()
+	s.truncated = cut
+	s.notify()
 }
 
-func (s *stream) wake() {
+func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// after returns the events from a position on, whether the stream has ended,
-// and a channel that is closed at the next change.
+// after returns the events from a position on, whether the stream has ended, and a channel that is
+// closed at the next change.
 func (s *stream) after(position int) ([]string, bool, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -199,7 +197,7 @@
 	return s.events[position:len(s.events):len(s.events)], s.ended, s.changed
 }
 
-func (s *stream) follow(change int) {
+func (s *stream) addReaders(change int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.readers += change
@@ -208,43 +206,43 @@
 	}
 }
 
-// abandoned reports whether nobody has followed the stream for a while.
-func (s *stream) abandoned(now time.Time) bool {
+// isAbandoned reports whether the stream has had no reader for longer than readerGrace.
+func (s *stream) isAbandoned(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.readers == 0 && now.Sub(s.idleSince) > readerGrace
 }
 
-// start begins a request and returns its stream, or nil where it does not
-// run. The generation goes on while anybody follows it.
+// start starts a request and returns its stream, or nil if the request does not run. The generation
+// continues as long as the stream has readers.
 func (e *Engine) start(ctx context.Context, name, id, adapter string, priority int, body inferenceRequest) *stream {
 	prompt := body.prompt()
 	promptTokens := len(prompt)/bytesPerToken + 1
 	bytes := int64(promptTokens+body.tokens()) * e.config.CacheBytesPerToken
-	held, admitted := e.enter(ctx, name, priority, bytes)
+	target, admitted := e.acquireSlot(ctx, name, priority, bytes)
 	if !admitted {
 		return nil
 	}
 	if since, leaving := e.leavingSince(e.machine); leaving && time.Since(since) > LeaveGrace {
-		e.auditor.count(func(audit *Audit) { audit.LateWork++ })
+		e.auditor.update(func(audit *Audit) { audit.WorkAfterLeaving++ })
 	}
 	e.mutex.Lock()
-	life, cancel := context.WithCancel(e.life)
+	life, cancel := context.WithCancel(e.processContext)
 	created := newStream(cancel)
 	created.chat = len(body.Messages) > 0
 	e.streams[id] = created
-	prefill := e.prefillTime(held, prompt, promptTokens, adapter)
+	prefill := e.prefillTime(target, prompt, promptTokens, adapter)
 	e.mutex.Unlock()
 	go func() {
 		defer cancel()
-		defer e.leave(held, bytes)
-		e.generate(life, held, created, body, prompt, prefill)
-		time.AfterFunc(streamKept, func() { e.forget(id, created) })
+		defer e.releaseSlot(target, bytes)
+		e.generate(life, target, created, body, prompt, prefill)
+		time.AfterFunc(streamRetention, func() { e.removeStream(id, created) })
 	}()
 	return created
 }
 
-func (e *Engine) forget(id string, ended *stream) {
+func (e *Engine) removeStream(id string, ended *stream) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.streams[id] == ended {
@@ -252,30 +250,30 @@
 	}
 }
 
-const maxPrefixesCached = 512
+const maxCachedPrefixes = 512
 
-// prefillTime is shorter where the prompt's beginning is cached.
-func (e *Engine) prefillTime(held *replica, prompt string, tokens int, adapter string) time.Duration {
+// prefillTime is shorter if the beginning of the prompt is cached.
+func (e *Engine) prefillTime(target *replica, prompt string, tokens int, adapter string) time.Duration {
 	if adapter != "" {
-		held.adapters[adapter] = true
+		target.adapters[adapter] = true
 	}
 	prefix := xxhash.Sum64String(prompt[:min(len(prompt), prefixTokens*bytesPerToken)])
 	uncached := tokens
-	if held.prefixes[prefix] {
+	if target.prefixes[prefix] {
 		uncached = max(1, tokens-prefixTokens)
 	}
-	if len(held.prefixes) >= maxPrefixesCached {
-		held.prefixes = map[uint64]bool{}
+	if len(target.prefixes) >= maxCachedPrefixes {
+		target.prefixes = map[uint64]bool{}
 	}
-	held.prefixes[prefix] = true
+	target.prefixes[prefix] = true
 	return time.Duration(uncached) * e.config.PrefillPerToken
 }
 
-func (e *Engine) generate(ctx context.Context, held *replica, output *stream, body inferenceRequest, prompt string, prefill time.Duration) {
+func (e *Engine) generate(ctx context.Context, target *replica, output *stream, body inferenceRequest, prompt string, prefill time.Duration) {
 	wait := prefill
 	for position := range body.tokens() {
 		e.mutex.Lock()
-		others := max(0, held.Running-1)
+		others := max(0, target.Running-1)
 		e.mutex.Unlock()
 		wait += e.config.TokenInterval + time.Duration(others)*e.config.BatchSlowdown
 		select {
@@ -284,14 +282,14 @@
 			return
 		case <-time.After(wait):
 		}
-		if output.abandoned(time.Now()) {
-			e.auditor.count(func(audit *Audit) { audit.Abandoned++ })
+		if output.isAbandoned(time.Now()) {
+			e.auditor.update(func(audit *Audit) { audit.AbandonedStreams++ })
 			output.end(true)
 			return
 		}
 		wait = 0
 		output.add(Token(prompt, position))
 	}
-	e.auditor.count(func(audit *Audit) { audit.Runs++ })
+	e.auditor.update(func(audit *Audit) { audit.Runs++ })
 	output.end(false)
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -12,17 +12,17 @@
 	"golang.org/x/time/rate"
 )
 
-// transferStep is how finely the store divides its bandwidth.
+// transferStep is the interval at which transfers adjust to the shared bandwidth.
 const transferStep = 10 * time.Millisecond
 
-// Store emulates the weight store: it admits so many loads a second, serves
-// so many at once at full speed, and shares that bandwidth beyond.
+// Store emulates the weight store. It limits the rate of loads, and concurrent loads beyond a limit
+// share its bandwidth.
 type Store struct {
 	config  StoreConfig
 	auditor *auditor
 
 	mutex    sync.Mutex
-	admitted *rate.Limiter
+	limiter  *rate.Limiter
 	active   int
 	slowdown float64
 }
@@ -31,11 +31,11 @@
 	burst := max(1, int(config.LoadsPerSecond))
 	return &Store{
 		config: config, auditor: auditor, slowdown: config.Slowdown,
-		admitted: rate.NewLimiter(rate.Limit(config.LoadsPerSecond), burst),
+		limiter: rate.NewLimiter(rate.Limit(config.LoadsPerSecond), burst),
 	}
 }
 
-// speed is that of each of the present loads, in bytes per second.
+// speed returns the current speed of each transfer, in bytes per second.
 func (s *Store) speed() float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -46,25 +46,25 @@
 	return s.config.BytesPerSecond * share / s.slowdown
 }
 
-func (s *Store) enter(change int) {
+func (s *Store) addTransfers(change int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.active += change
 }
 
-// Admit reports whether a load may begin now.
+// Admit reports whether a load may start now.
 func (s *Store) Admit() bool {
-	if s.admitted.Allow() {
+	if s.limiter.Allow() {
 		return true
 	}
-	s.auditor.count(func(audit *Audit) { audit.StoreBusy++ })
+	s.auditor.update(func(audit *Audit) { audit.StoreRejections++ })
 	return false
 }
 
-// Transfer takes as long as the bytes take; progress gets what is left.
+// Transfer blocks for the duration of a transfer; progress receives the estimated remaining time.
 func (s *Store) Transfer(ctx context.Context, bytes int64, progress func(remaining time.Duration)) error {
-	s.enter(1)
-	defer s.enter(-1)
+	s.addTransfers(1)
+	defer s.addTransfers(-1)
 	left := float64(bytes)
 	for left > 0 {
 		speed := s.speed()
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,7 +14,7 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// Addresses tells where everything listens.
+// Addresses holds the base URLs of the emulated systems.
 type Addresses struct {
 	Platform string              `json:"platform"`
 	Store    string              `json:"store"`
@@ -22,21 +22,21 @@
 	Backends map[string][]string `json:"backends"`
 }
 
-// World is the running surroundings.
+// World is the set of running emulated systems.
 type World struct {
 	config    *Config
 	auditor   *auditor
-	faults    *faultSource
+	faults    *faultInjector
 	store     *Store
 	engines   map[string]*Engine
 	addresses Addresses
 	servers   []*http.Server
 
 	mutex sync.Mutex
-	// current is the true machine list; history holds what it was.
-	current []platform.Machine
-	history []listVersion
-	leaving map[string]time.Time
+	// machines is the current machine list; history holds its earlier versions.
+	machines []platform.Machine
+	history  []listVersion
+	leaving  map[string]time.Time
 }
 
 type listVersion struct {
@@ -44,10 +44,10 @@
 	machines []platform.Machine
 }
 
-// Start listens on ports that the kernel chooses.
+// Start starts all systems on ports chosen by the kernel.
 func Start(config *Config) (*World, error) {
 	world := &World{
-		config: config, auditor: newAuditor(), faults: newFaultSource(config.Seed, config.Faults),
+		config: config, auditor: newAuditor(), faults: newFaultInjector(config.Seed, config.Faults),
 		engines: map[string]*Engine{}, leaving: map[string]time.Time{},
 		addresses: Addresses{Engines: map[string]string{}, Backends: map[string][]string{}},
 	}
@@ -59,7 +59,7 @@
 			return nil, err
 		}
 	}
-	world.remember()
+	world.recordList()
 	return world, nil
 }
 
@@ -78,13 +78,13 @@
 	for position := range w.config.Machines.Count {
 		name := fmt.Sprintf("worker-%03d", position+1)
 		created := newEngine(name, w.config, w.faults, w.store, w.auditor, w.leavingSince)
-		endpoint, err := w.listen(w.greyed(created.handler(), position, w.config.Machines.Count))
+		endpoint, err := w.listen(w.withGreyFailures(created.handler(), position, w.config.Machines.Count))
 		if err != nil {
 			return err
 		}
 		w.engines[name] = created
 		w.addresses.Engines[name] = endpoint
-		w.current = append(w.current, platform.Machine{
+		w.machines = append(w.machines, platform.Machine{
 			Name: name, Zone: w.config.Machines.Zones[position%len(w.config.Machines.Zones)], Endpoint: endpoint,
 			Accelerators: w.config.Machines.Accelerators, AcceleratorBytes: w.config.Machines.AcceleratorBytes,
 			State: platform.MachineLive,
@@ -97,7 +97,7 @@
 	for _, pool := range w.config.Backends {
 		for position := range pool.Workers {
 			worker := &Backend{config: pool, faults: w.faults, auditor: w.auditor}
-			endpoint, err := w.listen(w.greyed(http.HandlerFunc(worker.serve), position, pool.Workers))
+			endpoint, err := w.listen(w.withGreyFailures(http.HandlerFunc(worker.serve), position, pool.Workers))
 			if err != nil {
 				return err
 			}
@@ -123,29 +123,28 @@
 	return err
 }
 
-// Addresses tells where everything listens.
 func (w *World) Addresses() Addresses {
 	return w.addresses
 }
 
-// Engine returns an engine by its machine's name.
+// Engine returns the engine of a machine, or nil.
 func (w *World) Engine(machine string) *Engine {
 	return w.engines[machine]
 }
 
-// Audit returns the present counts.
+// Audit returns the current counts.
 func (w *World) Audit() Audit {
 	return w.auditor.snapshot()
 }
 
-// Close stops listening and ends everything in flight.
+// Close stops all listeners and engines.
 func (w *World) Close() {
 	for _, server := range w.servers {
 		_ = server.Close()
 	}
 	for _, running := range w.engines {
 		running.mutex.Lock()
-		running.kill()
+		running.stopProcess()
 		running.mutex.Unlock()
 	}
 }
@@ -157,11 +156,11 @@
 	return since, leaving
 }
 
-// remember keeps the present list, for readers who get it late.
-func (w *World) remember() {
+// recordList stores the current list for delayed readers.
+func (w *World) recordList() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.history = append(w.history, listVersion{time.Now(), append([]platform.Machine(nil), w.current...)})
+	w.history = append(w.history, listVersion{time.Now(), append([]platform.Machine(nil), w.machines...)})
 }
 
 func (w *World) serveMachines(writer http.ResponseWriter, _ *http.Request) {
@@ -192,17 +191,17 @@
 // Leave lists a machine as leaving.
 func (w *World) Leave(machine string) {
 	w.mutex.Lock()
-	for position := range w.current {
-		if w.current[position].Name == machine {
-			w.current[position].State = platform.MachineLeaving
+	for position := range w.machines {
+		if w.machines[position].Name == machine {
+			w.machines[position].State = platform.MachineLeaving
 		}
 	}
 	if _, known := w.leaving[machine]; !known {
-		// Audited from when the list shows it: nobody can know earlier.
+		// The machine counts as leaving from when the delayed list shows it.
 		w.leaving[machine] = time.Now().Add(w.config.Machines.ListLag)
 	}
 	w.mutex.Unlock()
-	w.remember()
+	w.recordList()
 }
 
 func (w *World) serveLeave(writer http.ResponseWriter, request *http.Request) {
@@ -214,21 +213,20 @@
 	name := mux.Vars(request)["machine"]
 	w.mutex.Lock()
 	var kept []platform.Machine
-	for _, machine := range w.current {
+	for _, machine := range w.machines {
 		if machine.Name != name {
 			kept = append(kept, machine)
 		}
 	}
-	w.current = kept
+	w.machines = kept
 	w.mutex.Unlock()
-	w.remember()
+	w.recordList()
 	if removed := w.engines[name]; removed != nil {
 		removed.Restart()
 	}
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// serveRestart ends an engine process and starts the next.
 func (w *World) serveRestart(writer http.ResponseWriter, request *http.Request) {
 	restarted := w.Engine(mux.Vars(request)["machine"])
 	if restarted == nil {
--- a/internal/faultsim/checks.go
+++ b/internal/faultsim/checks.go
@@ -189,7 +189,7 @@
 // checkFreedReplica checks that no engine still holds a replica whose reservation was freed.
 func (c *checks) checkFreedReplica(name string) {
 	for _, machine := range c.sim.machines {
-		if held := machine.engine.Replica(name); machine.up && held != nil && held.Phase != engine.PhaseFailed {
+		if replica := machine.engine.Replica(name); machine.up && replica != nil && replica.Phase != engine.PhaseFailed {
 			c.violate(CheckUnassigned, "%s still holds %s, whose reservation was freed", machine.name, name)
 		}
 	}
@@ -197,13 +197,13 @@
 
 // checkEngine compares an engine's replicas with the committed decisions.
 func (c *checks) checkEngine(m *machine) {
-	for _, held := range m.engine.Replicas() {
-		spec, decided := c.reference.Spec(v1.KindReplica, held.Order.Replica).(*v1.ReplicaSpec)
-		if held.Phase == engine.PhaseFailed {
+	for _, replica := range m.engine.Replicas() {
+		spec, decided := c.reference.Spec(v1.KindReplica, replica.Order.Replica).(*v1.ReplicaSpec)
+		if replica.Phase == engine.PhaseFailed {
 			continue
 		}
 		if !decided || spec.Machine != m.name || spec.Incarnation != m.incarnation {
-			c.violate(CheckUnassigned, "%s holds %s, which is not assigned to it", m.name, held.Order.Replica)
+			c.violate(CheckUnassigned, "%s holds %s, which is not assigned to it", m.name, replica.Order.Replica)
 		}
 	}
 	for accelerator, used := range m.engine.Used() {
@@ -357,7 +357,7 @@
 		if !node.up {
 			continue
 		}
-		if held, _ := node.member.State.Snapshot(); !bytes.Equal(held, wanted) {
+		if snapshot, _ := node.member.State.Snapshot(); !bytes.Equal(snapshot, wanted) {
 			c.violate(CheckConvergence, "%s is at revision %d, not %d, or has different content", node.name, node.member.State.Revision(), c.reference.Revision())
 		}
 	}
@@ -389,8 +389,8 @@
 			return
 		}
 		m := c.sim.machineNamed(replica.Machine)
-		held := m.engine.Replica(object.GetName())
-		if replica.Phase != v1.ReplicaReady || held == nil || held.Phase != engine.PhaseReady {
+		loaded := m.engine.Replica(object.GetName())
+		if replica.Phase != v1.ReplicaReady || loaded == nil || loaded.Phase != engine.PhaseReady {
 			c.violate(CheckConvergence, "replica %s is %s after the idle timeout", object.GetName(), replica.Phase)
 		}
 	})
--- a/internal/faultsim/conformance.go
+++ b/internal/faultsim/conformance.go
@@ -35,11 +35,11 @@
 		c.conformance.ended[m] = map[string]bool{}
 	}
 	ended := c.conformance.ended[m]
-	held := m.engine.Replica(order.Replica)
-	if held != nil && held.Phase == engine.PhaseFailed {
+	current := m.engine.Replica(order.Replica)
+	if current != nil && current.Phase == engine.PhaseFailed {
 		ended[order.Replica] = true
 	}
-	return spec.EngineAccepts(m.incarnation, m.engine.Fence, held != nil, ended[order.Replica],
+	return spec.EngineAccepts(m.incarnation, m.engine.Fence, current != nil, ended[order.Replica],
 		order.Kind == engine.OrderLoad, order.Incarnation, order.Fence)
 }
 
@@ -81,11 +81,11 @@
 			return
 		}
 		actual := result.GetClaims()[position].GetState()
-		held := c.conformance.claims[claim.GetKey()]
-		next, specified := stepClaim(held, claim)
-		if specified != actual && held.Phase == spec.ClaimOpen {
-			held.Phase = spec.ClaimUnknown
-			next, specified = stepClaim(held, claim)
+		current := c.conformance.claims[claim.GetKey()]
+		next, specified := stepClaim(current, claim)
+		if specified != actual && current.Phase == spec.ClaimOpen {
+			current.Phase = spec.ClaimUnknown
+			next, specified = stepClaim(current, claim)
 		}
 		if specified != actual {
 			c.violate(CheckSpec, "claim %s: %s, specified %s", claim.GetKey(), actual, specified)
@@ -94,8 +94,8 @@
 	}
 }
 
-func stepClaim(held spec.Claim[string], claim *wirepb.ClaimCommand) (spec.Claim[string], wirepb.ClaimState) {
-	next, granted := held.Step(specOperations[claim.GetOperation()], claim.GetOwner())
+func stepClaim(current spec.Claim[string], claim *wirepb.ClaimCommand) (spec.Claim[string], wirepb.ClaimState) {
+	next, granted := current.Step(specOperations[claim.GetOperation()], claim.GetOwner())
 	if granted {
 		return next, wirepb.ClaimState_CLAIM_STATE_GRANTED
 	}
@@ -105,19 +105,19 @@
 // checkHardState checks that a control node's durable term never decreases and that it votes once per
 // term.
 func (c *checks) checkHardState(node *controlNode) {
-	held := node.member.Raft.HardState()
-	if held.GetTerm() < c.conformance.terms[node.id] {
-		c.violate(CheckSpec, "%s went from term %d to %d", node.name, c.conformance.terms[node.id], held.GetTerm())
+	hardState := node.member.Raft.HardState()
+	if hardState.GetTerm() < c.conformance.terms[node.id] {
+		c.violate(CheckSpec, "%s went from term %d to %d", node.name, c.conformance.terms[node.id], hardState.GetTerm())
 	}
-	c.conformance.terms[node.id] = held.GetTerm()
+	c.conformance.terms[node.id] = hardState.GetTerm()
 	if c.conformance.votes[node.id] == nil {
 		c.conformance.votes[node.id] = map[uint64]uint64{}
 	}
 	votes := c.conformance.votes[node.id]
-	if before := votes[held.GetTerm()]; before != 0 && held.GetVote() != before {
-		c.violate(CheckSpec, "%s voted for %d, then for %d in term %d", node.name, before, held.GetVote(), held.GetTerm())
+	if before := votes[hardState.GetTerm()]; before != 0 && hardState.GetVote() != before {
+		c.violate(CheckSpec, "%s voted for %d, then for %d in term %d", node.name, before, hardState.GetVote(), hardState.GetTerm())
 	}
-	votes[held.GetTerm()] = held.GetVote()
+	votes[hardState.GetTerm()] = hardState.GetVote()
 }
 
 // forgetNode resets the state of a node whose disk was lost: it rejoins as a new node.
--- a/internal/faultsim/crashes.go
+++ b/internal/faultsim/crashes.go
@@ -103,9 +103,9 @@
 	for _, content := range m.breakRequests() {
 		m.sim.checks.recordCrash(m.instanceName(), content)
 	}
-	for _, held := range m.engine.Replicas() {
-		if held.Phase == engine.PhaseLoading {
-			m.sim.checks.crashRecordOf(quarantine.LoadIdentity(held.Order.Version)).instances[m.instanceName()] = true
+	for _, replica := range m.engine.Replicas() {
+		if replica.Phase == engine.PhaseLoading {
+			m.sim.checks.crashRecordOf(quarantine.LoadIdentity(replica.Order.Version)).instances[m.instanceName()] = true
 		}
 	}
 	for _, version := range m.unreportedLoads {
--- a/internal/faultsim/drains.go
+++ b/internal/faultsim/drains.go
@@ -145,8 +145,8 @@
 		if !record.acknowledged {
 			continue
 		}
-		spec, held := c.reference.Spec(v1.KindZoneDrain, zone).(*v1.ZoneDrainSpec)
-		if drained := held && spec.Drained; drained != record.drained {
+		spec, exists := c.reference.Spec(v1.KindZoneDrain, zone).(*v1.ZoneDrainSpec)
+		if drained := exists && spec.Drained; drained != record.drained {
 			c.violate(CheckDrains, "%s: drained is %t, %t was acknowledged at %s", zone, drained, record.drained, record.acknowledgedAt)
 		}
 	}
--- a/internal/faultsim/faults.go
+++ b/internal/faultsim/faults.go
@@ -321,8 +321,8 @@
 
 func (s *simulation) loadingMachine() *machine {
 	for _, candidate := range s.machines {
-		for _, held := range candidate.engine.Replicas() {
-			if candidate.up && held.Phase == "loading" {
+		for _, replica := range candidate.engine.Replicas() {
+			if candidate.up && replica.Phase == "loading" {
 				return candidate
 			}
 		}
--- a/internal/faultsim/machine.go
+++ b/internal/faultsim/machine.go
@@ -120,9 +120,9 @@
 
 // markReported records that a report of the engine was delivered.
 func (m *machine) markReported(report engine.Report) {
-	for _, held := range report.Replicas {
-		if held.Phase != engine.PhaseLoading {
-			delete(m.unreportedLoads, held.Replica)
+	for _, replica := range report.Replicas {
+		if replica.Phase != engine.PhaseLoading {
+			delete(m.unreportedLoads, replica.Replica)
 		}
 	}
 }
@@ -136,8 +136,8 @@
 		reply(m.response(runRejected))
 		return
 	}
-	held := m.engine.Begin(replica)
-	if held == nil {
+	serving := m.engine.Begin(replica)
+	if serving == nil {
 		reply(m.response(runRefused))
 		return
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	m.after(took, func() {
-		m.engine.End(held)
+		m.engine.End(serving)
 		if !m.sim.hasPoison || m.finishRequest(run) {
 			m.sim.checks.crashRecordOf(entry.content.identity).completed = true
 			reply(m.response(runCompleted))
--- a/internal/faultsim/requests.go
+++ b/internal/faultsim/requests.go
@@ -83,9 +83,9 @@
 
 // isQuarantined reports whether a request must currently not be sent to any engine.
 func (r *routerNode) isQuarantined(content *requestContent) bool {
-	held := r.view.Suspect(content.identity)
-	_, quarantined := r.crashes.Crashed(content.identity, held)
-	refused := quarantined || r.crashes.Doubted(content.identity, held)
+	suspect := r.view.Suspect(content.identity)
+	_, quarantined := r.crashes.Crashed(content.identity, suspect)
+	refused := quarantined || r.crashes.Doubted(content.identity, suspect)
 	if refused && !content.isPoison {
 		r.sim.checks.healthyRefused++
 	}
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -158,7 +158,7 @@
 	if answer.digest == nil {
 		return
 	}
-	r.liveness.Take(r.wall(), answer.digest, r.heldForLiveness(answer.digest))
+	r.liveness.Take(r.wall(), answer.digest, r.livenessRevision(answer.digest))
 	before := r.view.Digest()
 	r.view.TakeDigest(answer.digest)
 	if r.view.Digest() == before {
@@ -170,8 +170,8 @@
 	r.applyOutcome(r.core.SetEstimates(r.wall(), nodeview.EstimatesOf(answer.digest, r.wall())))
 }
 
-// heldForLiveness returns the revision that the router reports to its liveness tracking.
-func (r *routerNode) heldForLiveness(digest *wirepb.ClusterDigest) uint64 {
+// livenessRevision returns the revision that counts as applied for liveness tracking.
+func (r *routerNode) livenessRevision(digest *wirepb.ClusterDigest) uint64 {
 	if r.sim.mutation == MutationTrustDigest {
 		return digest.GetRevision()
 	}
--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -57,7 +57,7 @@
 	r.recorder.mutex.Lock()
 	defer r.recorder.mutex.Unlock()
 	r.recorder.summary.Violations["memory_overcommits"] = audit.MemoryOvercommits
-	r.recorder.summary.Violations["late_work_to_leaving"] = audit.LateWork
+	r.recorder.summary.Violations["late_work_to_leaving"] = audit.WorkAfterLeaving
 }
 
 func (g *generator) listModels(ctx context.Context) ([]string, error) {
