--- a/internal/policysim/arrivals.go
+++ b/internal/policysim/arrivals.go
@@ -11,47 +11,45 @@
 
 const day = 24 * time.Hour
 
-// arrival is one request of the traffic.
 type arrival struct {
-	at      time.Duration
-	service int
-	model   string
-	// answerTokens that the model will produce.
+	at           time.Duration
+	service      int
+	model        string
 	answerTokens int
 }
 
-func modelOf(service ServiceScenario, number int) string {
+func modelName(service ServiceScenario, number int) string {
 	return fmt.Sprintf("%s-%02d", service.Name, number+1)
 }
 
-// drawArrivals draws the traffic of all days, in order of time. It depends on
-// the scenario and the seed alone, so that every policy meets the same.
-func drawArrivals(scenario *Scenario, seed uint64) []arrival {
-	var drawn []arrival
+// generateArrivals returns the arrivals of all days, ordered by time. They depend on the scenario and
+// the seed alone, so that all policies get the same traffic.
+func generateArrivals(scenario *Scenario, seed uint64) []arrival {
+	var arrivals []arrival
 	for position, service := range scenario.Services {
-		source := &arrivalSource{
-			service: service, position: position, random: rand.New(rand.NewPCG(seed, uint64(position)+100)),
+		source := &trafficSource{
+			service: service, serviceIndex: position, random: rand.New(rand.NewPCG(seed, uint64(position)+100)),
 		}
-		source.popularity = zipfWeights(service.Models, service.Zipf)
-		for today := range scenario.Days {
-			source.drawDay(time.Duration(today) * day)
+		source.cumulativePopularity = cumulativeZipf(service.Models, service.Zipf)
+		for dayIndex := range scenario.Days {
+			source.generateDay(time.Duration(dayIndex) * day)
 		}
-		drawn = append(drawn, source.drawn...)
+		arrivals = append(arrivals, source.arrivals...)
 	}
-	slices.SortStableFunc(drawn, func(left, right arrival) int { return cmp.Compare(left.at, right.at) })
-	return drawn
+	slices.SortStableFunc(arrivals, func(left, right arrival) int { return cmp.Compare(left.at, right.at) })
+	return arrivals
 }
 
-type arrivalSource struct {
-	service    ServiceScenario
-	position   int
-	random     *rand.Rand
-	popularity []float64
-	drawn      []arrival
+type trafficSource struct {
+	service              ServiceScenario
+	serviceIndex         int
+	random               *rand.Rand
+	cumulativePopularity []float64
+	arrivals             []arrival
 }
 
-// zipfWeights are cumulative shares of the models' popularity.
-func zipfWeights(count int, exponent float64) []float64 {
+// cumulativeZipf returns the cumulative distribution of a Zipf law.
+func cumulativeZipf(count int, exponent float64) []float64 {
 	weights := make([]float64, count)
 	total := 0.0
 	for position := range weights {
@@ -64,39 +62,39 @@
 	return weights
 }
 
-func (s *arrivalSource) pickModel() string {
+func (s *trafficSource) pickModel() string {
 	share := s.random.Float64()
-	position, _ := slices.BinarySearch(s.popularity, share)
-	return modelOf(s.service, min(position, len(s.popularity)-1))
+	position, _ := slices.BinarySearch(s.cumulativePopularity, share)
+	return modelName(s.service, min(position, len(s.cumulativePopularity)-1))
 }
 
-func (s *arrivalSource) add(at time.Duration, model string) {
+func (s *trafficSource) add(at time.Duration, model string) {
 	spread := 0.5 + s.random.Float64()
-	s.drawn = append(s.drawn, arrival{
-		at: at, service: s.position, model: model, answerTokens: max(1, int(float64(s.service.AnswerTokens)*spread)),
+	s.arrivals = append(s.arrivals, arrival{
+		at: at, service: s.serviceIndex, model: model, answerTokens: max(1, int(float64(s.service.AnswerTokens)*spread)),
 	})
 }
 
-func (s *arrivalSource) drawDay(midnight time.Duration) {
+func (s *trafficSource) generateDay(midnight time.Duration) {
 	for range s.poisson(s.service.SessionsPerDay) {
-		s.session(midnight + s.timeOfDay())
+		s.addSession(midnight + s.randomTimeOfDay())
 	}
 	for _, burst := range s.service.Bursts {
-		s.burst(midnight, burst)
+		s.addBurst(midnight, burst)
 	}
 	if s.service.Batch != nil {
-		s.batch(midnight, *s.service.Batch)
+		s.addBatch(midnight, *s.service.Batch)
 	}
 }
 
-func (s *arrivalSource) poisson(mean float64) int {
-	// The normal approximation serves for the means that scenarios have.
+func (s *trafficSource) poisson(mean float64) int {
+	// Uses the normal approximation, which requires a large mean.
 	return max(0, int(math.Round(mean+math.Sqrt(mean)*s.random.NormFloat64())))
 }
 
-// timeOfDay draws from the peaks and the even base.
-func (s *arrivalSource) timeOfDay() time.Duration {
-	share := s.random.Float64() * (s.service.Base + peakShares(s.service.Peaks))
+// randomTimeOfDay draws from a mixture of the peaks and a uniform base.
+func (s *trafficSource) randomTimeOfDay() time.Duration {
+	share := s.random.Float64() * (s.service.Base + totalPeakShare(s.service.Peaks))
 	for _, peak := range s.service.Peaks {
 		if share < peak.Share {
 			at := float64(peak.At) + s.random.NormFloat64()*float64(peak.Width)
@@ -107,7 +105,7 @@
 	return time.Duration(s.random.Int64N(int64(day)))
 }
 
-func peakShares(peaks []Peak) float64 {
+func totalPeakShare(peaks []Peak) float64 {
 	total := 0.0
 	for _, peak := range peaks {
 		total += peak.Share
@@ -115,7 +113,7 @@
 	return total
 }
 
-func (s *arrivalSource) session(at time.Duration) {
+func (s *trafficSource) addSession(at time.Duration) {
 	model := s.pickModel()
 	for {
 		s.add(at, model)
@@ -126,17 +124,17 @@
 	}
 }
 
-func (s *arrivalSource) burst(midnight time.Duration, burst Burst) {
+func (s *trafficSource) addBurst(midnight time.Duration, burst Burst) {
 	begin := midnight + burst.At + time.Duration((2*s.random.Float64()-1)*float64(burst.Jitter))
 	for range burst.Requests {
 		at := begin + time.Duration(s.random.Float64()*float64(burst.Over))
-		s.add(at, modelOf(s.service, s.random.IntN(min(burst.Models, s.service.Models))))
+		s.add(at, modelName(s.service, s.random.IntN(min(burst.Models, s.service.Models))))
 	}
 }
 
-func (s *arrivalSource) batch(midnight time.Duration, batch Batch) {
+func (s *trafficSource) addBatch(midnight time.Duration, batch Batch) {
 	for number := range batch.Requests {
 		at := midnight + batch.At + time.Duration(number)*batch.Every
-		s.add(at, modelOf(s.service, number*batch.Models/batch.Requests%s.service.Models))
+		s.add(at, modelName(s.service, number*batch.Models/batch.Requests%s.service.Models))
 	}
 }
--- a/internal/policysim/machine.go
+++ b/internal/policysim/machine.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	// leavingFor is how long a leaving machine stays before it is taken.
-	leavingFor = 3 * time.Minute
-	// awayFor is how long it is gone, leavingGrace how long it may get work.
-	awayFor      = 20 * time.Minute
-	leavingGrace = 5 * time.Second
-	restartTakes = 5 * time.Second
-	diesAfter    = 150 * time.Millisecond
+	// removalDelay is the time from the announcement that a machine leaves to its removal.
+	removalDelay = 3 * time.Minute
+	// absenceDuration is the time until a removed machine is back; leavingGrace the time after the
+	// announcement during which it may receive new work.
+	absenceDuration = 20 * time.Minute
+	leavingGrace    = 5 * time.Second
+	restartDuration = 5 * time.Second
+	loadCrashDelay  = 150 * time.Millisecond
 )
 
-// machine is a machine with its engine and its agent.
+// machine is a machine with its engine and agent.
 type machine struct {
-	simulation  *simulation
-	name        string
-	engine      *enginemodel.Engine
-	caches      *enginemodel.CheckpointCache
-	incarnation uint64
-	up          bool
-	leaving     bool
-	leftAt      time.Duration
-	refused     agent.Refusals
-	// decided is the revision of the newest decision seen.
-	decided uint64
-	// life numbers the engine's lives, for what was scheduled in an old one.
-	life int
-
-	// slots holds who runs and who waits on each replica.
+	simulation   *simulation
+	name         string
+	engine       *enginemodel.Engine
+	caches       *enginemodel.CheckpointCache
+	incarnation  uint64
+	up           bool
+	leaving      bool
+	leavingSince time.Duration
+	refused      agent.Refusals
+	// decisionRevision is the revision of the newest decision that the agent has seen.
+	decisionRevision uint64
+	// instance counts engine processes, to discard events scheduled for an earlier one.
+	instance int
+
+	// slots holds the running and queued requests of each replica.
 	slots map[*enginemodel.Replica]*slots
 
-	accounted time.Duration
-	idle      int
-	// reported is the newest report, until something changes.
-	reported *wirepb.MachineReport
+	accountedUntil time.Duration
+	idleCount      int
+	// cachedReport is valid until the engine's state changes.
+	cachedReport *wirepb.MachineReport
 }
 
 func (s *simulation) newMachine(number int) *machine {
@@ -52,31 +53,31 @@
 	bytes := int64(s.scenario.Machines.AcceleratorGiB * gibibyte)
 	created.engine = enginemodel.New(created.name, s.scenario.Machines.Accelerators, bytes, 1)
 	created.incarnation = 1
-	created.dropSlots()
+	created.resetSlots()
 	return created
 }
 
-// account adds up the idle time since the last change, and must be called
-// after every change of what the engine holds or runs.
-func (m *machine) account() {
+// updateIdleTime adds the idle time since the last call. It must be called after every change of the
+// engine's replicas or running requests.
+func (m *machine) updateIdleTime() {
 	s := m.simulation
-	s.meter.idled(m.accounted, s.Now(), m.idle)
-	m.accounted = s.Now()
-	m.reported = nil
-	m.idle = m.idleAccelerators()
+	s.metrics.recordIdle(m.accountedUntil, s.Now(), m.idleCount)
+	m.accountedUntil = s.Now()
+	m.cachedReport = nil
+	m.idleCount = m.idleAccelerators()
 }
 
-// idleAccelerators counts those that hold weights while nothing runs on them.
+// idleAccelerators counts the accelerators that hold weights but run nothing.
 func (m *machine) idleAccelerators() int {
 	holds := make([]bool, m.engine.Accelerators)
 	runs := make([]bool, m.engine.Accelerators)
-	for _, held := range m.engine.Replicas() {
-		if held.Phase == engine.PhaseFailed {
+	for _, replica := range m.engine.Replicas() {
+		if replica.Phase == engine.PhaseFailed {
 			continue
 		}
-		for _, accelerator := range held.Order.Accelerators {
+		for _, accelerator := range replica.Order.Accelerators {
 			holds[accelerator] = true
-			runs[accelerator] = runs[accelerator] || held.Running > 0
+			runs[accelerator] = runs[accelerator] || replica.Running > 0
 		}
 	}
 	idle := 0
@@ -88,8 +89,8 @@
 	return idle
 }
 
-// followOrders is the agent's work: it gives the engine what is due.
-func (m *machine) followOrders() {
+// applyOrders gives the engine the orders that are due, as the agent does.
+func (m *machine) applyOrders() {
 	if !m.up {
 		return
 	}
@@ -105,89 +106,89 @@
 			m.refused.Note(order, s.wall())
 		}
 		if result.Reason == engine.ReasonNoMemory {
-			s.meter.memoryOvercommits++
+			s.metrics.memoryOvercommits++
 		}
 		if effect.Loading != nil {
 			m.load(effect.Loading)
 		}
 	}
-	m.account()
-	s.wake()
+	m.updateIdleTime()
+	s.requestReconcile()
 }
 
-// load brings weights in from the fastest tier that has them.
+// load loads weights from the fastest tier that has them.
 func (m *machine) load(loading *enginemodel.Replica) {
 	s := m.simulation
-	s.meter.loaded()
-	life := m.life
+	s.metrics.recordLoad()
+	life := m.instance
 	if s.random.Float64() < s.scenario.Faults.DieWhileLoading {
-		s.After(diesAfter, func() {
-			if m.life == life {
+		s.After(loadCrashDelay, func() {
+			if m.instance == life {
 				m.restart()
 			}
 		})
 	}
 	checkpoint, bytes := loading.Order.Checkpoint, loading.Order.WeightBytes
 	finish := func() {
-		if m.life != life || !m.engine.FinishLoad(loading, "") {
+		if m.instance != life || !m.engine.FinishLoad(loading, "") {
 			return
 		}
 		m.caches.Add(checkpoint, bytes)
-		m.account()
-		s.wake()
+		m.updateIdleTime()
+		s.requestReconcile()
 	}
 	if speed := m.caches.Speed(m.caches.Tier(checkpoint)); speed > 0 {
 		s.After(time.Duration(float64(bytes)/speed*float64(time.Second)), finish)
 		return
 	}
-	wanted := func() bool { return m.life == life && loading.Phase == engine.PhaseLoading }
+	wanted := func() bool { return m.instance == life && loading.Phase == engine.PhaseLoading }
 	s.store.load(bytes, wanted, finish)
 }
 
-// restart ends the engine process; another starts a moment later.
+// restart ends the engine process and starts another after restartDuration.
 func (m *machine) restart() {
 	if !m.up {
 		return
 	}
 	m.stop()
-	m.simulation.After(restartTakes, m.start)
+	m.simulation.After(restartDuration, m.start)
 }
 
 func (m *machine) stop() {
 	m.up = false
-	m.life++
+	m.instance++
 	m.engine.Restart(m.incarnation)
 	m.caches.DropMemory()
-	m.dropSlots()
-	m.account()
-	m.simulation.dropRequestsOn(m)
+	m.resetSlots()
+	m.updateIdleTime()
+	m.simulation.retryRequestsOf(m)
 }
 
 func (m *machine) start() {
 	m.up = true
 	m.incarnation++
 	m.engine.Restart(m.incarnation)
-	m.followOrders()
+	m.applyOrders()
 }
 
-// leave lists the machine as leaving, takes it away, and brings it back.
+// leave announces that the machine leaves, removes it, and brings it back.
 func (m *machine) leave() {
 	s := m.simulation
 	if m.leaving || !m.up {
 		return
 	}
 	m.leaving = true
-	m.leftAt = s.Now()
+	m.leavingSince = s.Now()
 	s.setDrain(m.name, true)
-	s.After(leavingFor, func() {
-		for _, held := range m.engine.Replicas() {
-			s.meter.cutInFlight += held.Running
+	s.After(removalDelay, func() {
+		for _, replica := range m.engine.Replicas() {
+			s.metrics.interruptedRequests += replica.Running
 		}
 		if m.up {
 			m.stop()
 		}
 	})
-	s.After(leavingFor+awayFor, func() {
+	s.After(removalDelay+absenceDuration, func() {
 		m.leaving = false
 		if !m.up {
 			m.start()
@@ -200,10 +201,10 @@
 	if !m.up {
 		return &wirepb.MachineReport{Machine: m.name}
 	}
-	if m.reported == nil || len(m.refused) > 0 {
+	if m.cachedReport == nil || len(m.refused) > 0 {
 		report := m.engine.Report()
 		report.Checkpoints = m.caches.List()
-		m.reported = agent.MachineReport(m.name, &report, m.refused, m.simulation.wall())
+		m.cachedReport = agent.MachineReport(m.name, &report, m.refused, m.simulation.wall())
 	}
-	return m.reported
+	return m.cachedReport
 }
--- a/internal/policysim/draw.go
+++ b/internal/policysim/plot.go
@@ -13,49 +13,49 @@
 )
 
 const (
-	drawingWidth  = 16 * vg.Centimeter
-	drawingHeight = 11 * vg.Centimeter
-	pointRadius   = 3
+	plotWidth   = 16 * vg.Centimeter
+	plotHeight  = 11 * vg.Centimeter
+	pointRadius = 3
 )
 
-// Quantity is what a drawing shows against idle hours.
+// Quantity is a value to plot against idle hours.
 type Quantity struct {
 	Title string
 	Of    func(Comparison) float64
 }
 
-// Drawings lists what can be drawn, by the name of its file.
+// Drawings lists the plots by file name.
 var Drawings = map[string]Quantity{
 	"cold-share":   {"requests that found no replica, %", func(c Comparison) float64 { return 100 * c.ColdShare }},
 	"replica-wait": {"p99 wait for a replica, s", func(c Comparison) float64 { return c.WaitP99 }},
 }
 
-// Draw writes a drawing of a quantity against idle accelerator hours: a point
-// or curve for each policy. The extension of the path says the format.
+// Draw writes a plot of a quantity against idle accelerator hours, with a point or curve per policy.
+// The file extension selects the format.
 func Draw(path string, quantity Quantity, compared []Comparison) error {
-	drawing := plot.New()
-	drawing.Title.Text = compared[0].Scenario
-	drawing.X.Label.Text = "idle accelerator hours"
-	drawing.Y.Label.Text = quantity.Title
-	drawing.Legend.Top = true
-	drawing.Add(plotter.NewGrid())
-	drawn := map[string]bool{}
+	chart := plot.New()
+	chart.Title.Text = compared[0].Scenario
+	chart.X.Label.Text = "idle accelerator hours"
+	chart.Y.Label.Text = quantity.Title
+	chart.Legend.Top = true
+	chart.Add(plotter.NewGrid())
+	seen := map[string]bool{}
 	for _, entry := range compared {
-		if drawn[entry.Policy] {
+		if seen[entry.Policy] {
 			continue
 		}
-		drawn[entry.Policy] = true
-		if err := addCurve(drawing, entry.Policy, len(drawn)-1, curve(compared, entry.Policy, quantity.Of)); err != nil {
+		seen[entry.Policy] = true
+		if err := addCurve(chart, entry.Policy, len(seen)-1, curveOf(compared, entry.Policy, quantity.Of)); err != nil {
 			return err
 		}
 	}
-	if err := drawing.Save(drawingWidth, drawingHeight, path); err != nil {
-		return fault.Storage.Wrap(err, "saving a drawing")
+	if err := chart.Save(plotWidth, plotHeight, path); err != nil {
+		return fault.Storage.Wrap(err, "saving a plot")
 	}
 	return nil
 }
 
-func addCurve(drawing *plot.Plot, policy string, number int, points [][2]float64) error {
+func addCurve(chart *plot.Plot, policy string, number int, points [][2]float64) error {
 	values := make(plotter.XYs, len(points))
 	for position, point := range points {
 		values[position] = plotter.XY{X: point[0], Y: point[1]}
@@ -64,13 +64,13 @@
 	if err != nil {
 		return fault.Internal.Wrap(err, "drawing a curve")
 	}
-	shade := plotutil.Color(number)
-	line.Color, marks.Color = shade, shade
+	lineColor := plotutil.Color(number)
+	line.Color, marks.Color = lineColor, lineColor
 	marks.Shape, marks.Radius = draw.CircleGlyph{}, vg.Points(pointRadius)
 	if len(points) == 1 {
 		line.Color = color.Transparent
 	}
-	drawing.Add(line, marks)
-	drawing.Legend.Add(policy, marks)
+	chart.Add(line, marks)
+	chart.Legend.Add(policy, marks)
 	return nil
 }
--- a/internal/policysim/policy.go
+++ b/internal/policysim/policy.go
@@ -8,45 +8,44 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
-// Policy is what a run is made under.
+// Policy selects the keep-alive and routing rules of a run.
 type Policy struct {
 	Name string
-	// RoundRobin routes without regard to load and affinity.
+	// RoundRobin ignores load and affinity in routing.
 	RoundRobin bool
-	// keepAlive makes the keep-alive policy; it may look at the arrivals to
-	// come.
+	// keepAlive creates the keep-alive policy. It gets the arrivals for policies that need future
+	// knowledge.
 	keepAlive func(arrivals []arrival) keepalive.Policy
 }
 
-// OwnPolicy is the project's own, with its default settings.
+// OwnPolicy is the default keep-alive policy.
 const OwnPolicy = "adaptive"
 
-// PolicyNames lists the policies: the project's own and the baselines.
+// PolicyNames lists the default policy and the baselines.
 var PolicyNames = []string{
 	OwnPolicy, "ski-rental", "fixed-10m", "none", "always-loaded", "round-robin", "clairvoyant",
 }
 
-// PolicyByName returns a policy.
 func PolicyByName(name string) (Policy, error) {
 	switch name {
 	case "round-robin":
-		return Policy{Name: name, RoundRobin: true, keepAlive: named(OwnPolicy)}, nil
+		return Policy{Name: name, RoundRobin: true, keepAlive: keepAliveByName(OwnPolicy)}, nil
 	case "clairvoyant":
 		return Policy{Name: name, keepAlive: newClairvoyant}, nil
 	}
 	if keepalive.New(name) == nil {
 		return Policy{}, fault.InvalidField("policy", "unknown policy %s", name)
 	}
-	return Policy{Name: name, keepAlive: named(name)}, nil
+	return Policy{Name: name, keepAlive: keepAliveByName(name)}, nil
 }
 
-func named(name string) func([]arrival) keepalive.Policy {
+func keepAliveByName(name string) func([]arrival) keepalive.Policy {
 	return func([]arrival) keepalive.Policy { return keepalive.New(name) }
 }
 
-// clairvoyant sees when each version is used next. It keeps a replica exactly
-// where idling until then costs no more than loading again, and loads nothing
-// ahead: the best that any rule of keeping can do under the same weights.
+// clairvoyant knows the next use of each version. It keeps a replica if and only if idling until then
+// costs no more than loading it again, and never prewarms. It is a lower bound for keep-alive policies
+// with the same weights.
 type clairvoyant struct {
 	uses map[string][]time.Time
 }
@@ -55,7 +54,7 @@
 	policy := &clairvoyant{uses: map[string][]time.Time{}}
 	for _, entry := range arrivals {
 		version := entry.model + ".v1"
-		policy.uses[version] = append(policy.uses[version], epoch.Add(entry.at))
+		policy.uses[version] = append(policy.uses[version], simulationStart.Add(entry.at))
 	}
 	return policy
 }
@@ -70,7 +69,7 @@
 func (c *clairvoyant) Index(subject keepalive.Subject, idle time.Duration, now time.Time) float64 {
 	uses := c.uses[subject.Version]
 	next := sort.Search(len(uses), func(i int) bool { return !uses[i].Before(now) })
-	// The whole gap counts: idling that is past was decided on, too.
+	// The elapsed idle time counts as well, since it was part of the same decision.
 	return keepalive.KeepIf(next < len(uses) && uses[next].Sub(now)+idle <= subject.Rent())
 }
 
--- a/internal/policysim/router.go
+++ b/internal/policysim/router.go
@@ -16,46 +16,45 @@
 const (
 	deadlineTick = 100 * time.Millisecond
 	retryDelay   = 50 * time.Millisecond
-	// digestInterval is how often loads are spread while somebody waits.
+	// digestInterval is the interval of load digests while requests wait.
 	digestInterval = 500 * time.Millisecond
 	maxRetries     = 2
 )
 
-// router is a node's router with its share of the agents.
+// router is a node's router; it also reports its share of the machines.
 type router struct {
-	simulation *simulation
-	name       string
-	number     int
-	core       *dispatch.Core
-	news       *nodeview.DemandNews
-	sequence   uint64
-	requests   map[uint64]*request
-	ticking    bool
+	simulation     *simulation
+	name           string
+	number         int
+	core           *dispatch.Core
+	demandReporter *nodeview.DemandNews
+	sequence       uint64
+	requests       map[uint64]*request
+	ticking        bool
 }
 
-// request is one request on its way.
 type request struct {
 	arrival
-	router *router
-	asked  *dispatch.Request
-	// cold is set where no replica was ready at its arrival.
-	cold    bool
-	started time.Duration
-	floor   time.Duration
-	retries int
-	grant   dispatch.Grant
-	held    *enginemodel.Replica
-	machine *machine
-	life    int
-	// finished counts the engines that ran it to its end.
-	finished int
-	ended    bool
+	router          *router
+	dispatchRequest *dispatch.Request
+	// coldStart is set if no replica was ready at arrival.
+	coldStart   bool
+	started     time.Duration
+	minimumLoad time.Duration
+	retries     int
+	grant       dispatch.Grant
+	replica     *enginemodel.Replica
+	machine     *machine
+	instance    int
+	// completions counts the engines that ran the request to completion.
+	completions int
+	ended       bool
 }
 
 func (s *simulation) newRouter(number int) *router {
 	return &router{
 		simulation: s, name: numbered("router", number), number: number, core: dispatch.New(s.dispatchConfig()),
-		news: nodeview.NewDemandNews(), requests: map[uint64]*request{},
+		demandReporter: nodeview.NewDemandNews(), requests: map[uint64]*request{},
 	}
 }
 
@@ -63,7 +62,7 @@
 	r.sequence++
 	report := &wirepb.NodeReport{
 		Node: r.name, Zone: zone, Incarnation: 1, Sequence: r.sequence, Router: true,
-		AppliedRevision: r.simulation.view.Revision(), Demand: r.news.Messages(r.core.Demand(r.simulation.wall())),
+		AppliedRevision: r.simulation.view.Revision(), Demand: r.demandReporter.Messages(r.core.Demand(r.simulation.wall())),
 	}
 	for position, machine := range r.simulation.machines {
 		if position%len(r.simulation.routers) == r.number {
@@ -73,28 +72,26 @@
 	return report
 }
 
-// arrive takes a request of the traffic.
 func (r *router) arrive(number uint64, entry arrival) {
 	s := r.simulation
 	service := s.scenario.Services[entry.service]
 	version := entry.model + ".v1"
-	accepted := &request{arrival: entry, router: r, started: s.Now(), cold: s.ready[version] == 0}
-	accepted.asked = &dispatch.Request{
+	accepted := &request{arrival: entry, router: r, started: s.Now(), coldStart: s.readyReplicas[version] == 0}
+	accepted.dispatchRequest = &dispatch.Request{
 		ID: number, Version: version, Priority: service.Priority, Arrived: s.wall(), Deadline: s.wall().Add(service.Deadline),
 	}
-	s.meter.arrived(accepted)
-	if accepted.cold {
-		accepted.floor = s.bareLoad(version)
-		s.wake()
+	s.metrics.recordArrival(accepted)
+	if accepted.coldStart {
+		accepted.minimumLoad = s.minimumLoadTime(version)
+		s.requestReconcile()
 	}
 	r.requests[number] = accepted
-	r.deliver(r.core.Submit(s.wall(), accepted.asked))
-	r.watchDeadlines()
+	r.applyOutcome(r.core.Submit(s.wall(), accepted.dispatchRequest))
+	r.scheduleDeadlineCheck()
 }
 
-// bareLoad is the time of a load from the best tier present, with an idle
-// store.
-func (s *simulation) bareLoad(version string) time.Duration {
+// minimumLoadTime is the duration of a load from the fastest available tier with an idle store.
+func (s *simulation) minimumLoadTime(version string) time.Duration {
 	speed := s.scenario.Store.GBps * gigabyte
 	for _, machine := range s.machines {
 		if !machine.up || machine.leaving {
@@ -105,23 +102,23 @@
 	return time.Duration(float64(s.weights[version]) / speed * float64(time.Second))
 }
 
-// watchDeadlines looks at deadlines for as long as requests wait.
-func (r *router) watchDeadlines() {
+// scheduleDeadlineCheck checks deadlines periodically while requests wait.
+func (r *router) scheduleDeadlineCheck() {
 	if r.ticking || r.core.Waiting() == 0 {
 		return
 	}
 	r.ticking = true
 	r.simulation.After(deadlineTick, func() {
 		r.ticking = false
-		if r.simulation.Now()-r.simulation.passed >= digestInterval {
-			r.simulation.wake()
+		if r.simulation.Now()-r.simulation.reconciledAt >= digestInterval {
+			r.simulation.requestReconcile()
 		}
-		r.deliver(r.core.Tick(r.simulation.wall()))
-		r.watchDeadlines()
+		r.applyOutcome(r.core.Tick(r.simulation.wall()))
+		r.scheduleDeadlineCheck()
 	})
 }
 
-func (r *router) deliver(outcome dispatch.Outcome) {
+func (r *router) applyOutcome(outcome dispatch.Outcome) {
 	s := r.simulation
 	for _, grant := range outcome.Grants {
 		entry := r.requests[grant.Request.ID]
@@ -135,79 +132,78 @@
 	}
 }
 
-// run begins on the engine, if the replica takes requests.
+// run sends the request to its engine, if the replica accepts requests.
 func (e *request) run() {
 	s := e.router.simulation
-	e.machine = s.byName[e.grant.Target.Machine]
+	e.machine = s.machinesByName[e.grant.Target.Machine]
 	if e.machine.up {
-		e.held = e.machine.engine.Begin(e.grant.Target.Replica)
+		e.replica = e.machine.engine.Begin(e.grant.Target.Replica)
 	}
-	if !e.machine.up || e.held == nil {
-		e.again(dispatch.ResultNotRun)
+	if !e.machine.up || e.replica == nil {
+		e.resubmit(dispatch.ResultNotRun)
 		return
 	}
-	e.life = e.machine.life
-	s.meter.ran(e)
-	e.machine.account()
-	e.machine.admit(e)
+	e.instance = e.machine.instance
+	s.metrics.recordRun(e)
+	e.machine.updateIdleTime()
+	e.machine.enqueue(e)
 }
 
-// start begins to generate: the replica has a slot for the request.
+// start starts generation once the request has a slot.
 func (e *request) start() {
 	s := e.router.simulation
 	service := s.scenario.Services[e.service]
 	prefill := time.Duration(service.PromptTokens) * s.scenario.Machines.PrefillPerToken
-	s.meter.firstToken(e, s.Now()+prefill)
+	s.metrics.recordFirstToken(e, s.Now()+prefill)
 	took := prefill + time.Duration(e.answerTokens)*s.scenario.Machines.TokenInterval
 	s.After(took, e.finish)
 }
 
 func (e *request) finish() {
-	if e.ended || e.held == nil || e.machine.life != e.life {
-		return // The engine died meanwhile.
+	if e.ended || e.replica == nil || e.machine.instance != e.instance {
+		return // The engine has been restarted.
 	}
-	e.finished++
-	e.machine.engine.End(e.held)
-	e.machine.free(e)
-	e.machine.account()
+	e.completions++
+	e.machine.engine.End(e.replica)
+	e.machine.releaseSlot(e)
+	e.machine.updateIdleTime()
 	e.router.release(e.grant, dispatch.ResultOK)
 	e.end(outcomeAnswered)
 }
 
 func (r *router) release(grant dispatch.Grant, result dispatch.Result) {
-	r.deliver(r.core.Release(r.simulation.wall(), grant, result))
-	r.watchDeadlines()
+	r.applyOutcome(r.core.Release(r.simulation.wall(), grant, result))
+	r.scheduleDeadlineCheck()
 }
 
-// expire gives up a request that still waits at its engine when its deadline
-// comes: it was sent, so its router can't say that it did not run.
+// expire ends a request whose deadline passes while it is queued at its engine. Its outcome is
+// unknown, because it was sent.
 func (e *request) expire() {
-	e.machine.engine.End(e.held)
-	e.machine.account()
+	e.machine.engine.End(e.replica)
+	e.machine.updateIdleTime()
 	e.router.release(e.grant, dispatch.ResultOK)
 	e.end(outcomeUnknown)
 }
 
-// again looks for another replica.
-func (e *request) again(result dispatch.Result) {
-	e.held = nil
+// resubmit resubmits the request, avoiding the previous replica.
+func (e *request) resubmit(result dispatch.Result) {
+	e.replica = nil
 	e.router.release(e.grant, result)
-	e.asked.Avoid = e.grant.Target.Replica
+	e.dispatchRequest.Avoid = e.grant.Target.Replica
 	e.router.simulation.After(retryDelay, func() {
 		if e.ended {
 			return
 		}
-		e.router.deliver(e.router.core.Resubmit(e.router.simulation.wall(), e.asked))
-		e.router.watchDeadlines()
+		e.router.applyOutcome(e.router.core.Resubmit(e.router.simulation.wall(), e.dispatchRequest))
+		e.router.scheduleDeadlineCheck()
 	})
 }
 
-// dropRequestsOn deals with what ran on an engine that died: inference may be
-// repeated, a few times.
-func (s *simulation) dropRequestsOn(m *machine) {
+// retryRequestsOf resubmits the requests that ran on a stopped engine, up to maxRetries times each.
+func (s *simulation) retryRequestsOf(m *machine) {
 	for _, router := range s.routers {
-		for _, entry := range router.sorted() {
-			if entry.machine != m || entry.held == nil {
+		for _, entry := range router.requestsByID() {
+			if entry.machine != m || entry.replica == nil {
 				continue
 			}
 			entry.retries++
@@ -216,28 +212,27 @@
 				entry.end(outcomeUnknown)
 				continue
 			}
-			entry.again(dispatch.ResultFailed)
+			entry.resubmit(dispatch.ResultFailed)
 		}
 	}
 }
 
-// sorted lists a router's requests by number.
-func (r *router) sorted() []*request {
+func (r *router) requestsByID() []*request {
 	listed := make([]*request, 0, len(r.requests))
 	for _, entry := range r.requests {
 		listed = append(listed, entry)
 	}
-	slices.SortFunc(listed, func(left, right *request) int { return cmp.Compare(left.asked.ID, right.asked.ID) })
+	slices.SortFunc(listed, func(left, right *request) int { return cmp.Compare(left.dispatchRequest.ID, right.dispatchRequest.ID) })
 	return listed
 }
 
 func (e *request) end(result requestOutcome) {
 	e.ended = true
-	delete(e.router.requests, e.asked.ID)
-	e.router.simulation.meter.ended(e, result)
+	delete(e.router.requests, e.dispatchRequest.ID)
+	e.router.simulation.metrics.recordOutcome(e, result)
 }
 
-// setDrain marks a machine as leaving in the resources.
+// setDrain sets the drain flag of a machine resource.
 func (s *simulation) setDrain(name string, drain bool) {
 	spec, isMachine := s.state.Spec(v1.KindMachine, name).(*v1.MachineSpec)
 	if !isMachine {
--- a/internal/policysim/run.go
+++ b/internal/policysim/run.go
@@ -13,7 +13,6 @@
 	Dropped       int `json:"dropped"`
 }
 
-// Result is what one run showed.
 type Result struct {
 	Scenario   string      `json:"scenario"`
 	Seed       uint64      `json:"seed"`
@@ -21,47 +20,46 @@
 	Requests   Requests    `json:"requests"`
 	ColdStarts int         `json:"cold_starts"`
 	ColdStart  Percentiles `json:"cold_start_seconds"`
-	// ReplicaWait is over all requests, 0 where a replica was ready.
+	// ReplicaWait covers all requests, with 0 for those that found a ready replica.
 	ReplicaWait Percentiles `json:"replica_wait_seconds"`
 	FirstToken  Percentiles `json:"first_token_seconds"`
-	// ColdStartFloor is for the same requests as ColdStart: the bare load
-	// from the best tier present with an idle store.
-	ColdStartFloor      Percentiles `json:"cold_start_floor_seconds"`
+	// ColdStartMinimum covers the same requests as ColdStart, with the load time from the fastest
+	// available tier and an idle store.
+	ColdStartMinimum    Percentiles `json:"cold_start_floor_seconds"`
 	IdleHours           float64     `json:"idle_accelerator_hours"`
 	Loads               int         `json:"loads"`
 	ReplicasOverDecided int         `json:"replicas_over_decided"`
 	MemoryOvercommits   int         `json:"memory_overcommits"`
-	// DuplicateRuns and FalseNotRun count requests that ended twice, or were
-	// refused after they had run to their end.
-	DuplicateRuns int `json:"duplicate_runs"`
-	FalseNotRun   int `json:"false_not_run"`
-	CutInFlight   int `json:"cut_in_flight"`
-	LateWork      int `json:"late_work_to_leaving"`
-	// Events is how many events the run took, Seconds how long.
+	// DuplicateRuns counts requests that completed more than once, FalseNotRun those that were refused
+	// after completing.
+	DuplicateRuns       int `json:"duplicate_runs"`
+	FalseNotRun         int `json:"false_not_run"`
+	InterruptedRequests int `json:"cut_in_flight"`
+	WorkAfterLeaving    int `json:"late_work_to_leaving"`
+	// Events counts simulation events; Seconds is the wall-clock duration of the run.
 	Events  int     `json:"events"`
 	Seconds float64 `json:"seconds"`
 }
 
-// Run simulates a scenario.
 func Run(scenario *Scenario, seed uint64, policy Policy) Result {
-	return runFor(scenario, seed, policy, time.Duration(scenario.Days)*day)
+	return runUntil(scenario, seed, policy, time.Duration(scenario.Days)*day)
 }
 
-// runFor simulates the beginning of a scenario.
-func runFor(scenario *Scenario, seed uint64, policy Policy, end time.Duration) Result {
+// runUntil simulates a scenario up to the given time.
+func runUntil(scenario *Scenario, seed uint64, policy Policy, end time.Duration) Result {
 	started := time.Now()
-	arrivals := drawArrivals(scenario, seed)
+	arrivals := generateArrivals(scenario, seed)
 	s := newSimulation(scenario, seed, policy, arrivals)
-	s.feed(end)
+	s.scheduleArrivals(end)
 	s.RunUntil(end)
-	s.settle(end)
+	s.drainRequests(end)
 	result := s.result(seed)
 	result.Seconds = time.Since(started).Seconds()
 	return result
 }
 
-// feed schedules the arrivals one after the other, spread over the routers.
-func (s *simulation) feed(end time.Duration) {
+// scheduleArrivals schedules the arrivals round-robin over the routers.
+func (s *simulation) scheduleArrivals(end time.Duration) {
 	var next func(number int)
 	next = func(number int) {
 		if number == len(s.arrivals) || s.arrivals[number].at >= end {
@@ -76,35 +74,35 @@
 	next(0)
 }
 
-// settle lets the last requests end, without counting more idle time.
-func (s *simulation) settle(end time.Duration) {
+// drainRequests lets the remaining requests end without adding idle time.
+func (s *simulation) drainRequests(end time.Duration) {
 	for _, machine := range s.machines {
-		machine.account()
+		machine.updateIdleTime()
 	}
-	idle := s.meter.idle
-	const patience = 15 * time.Minute
-	s.RunUntil(end + patience)
-	s.meter.idle = idle
+	idle := s.metrics.idleTime
+	const drainTime = 15 * time.Minute
+	s.RunUntil(end + drainTime)
+	s.metrics.idleTime = idle
 }
 
 func (s *simulation) result(seed uint64) Result {
-	m := s.meter
+	m := s.metrics
 	return Result{
 		Scenario: s.scenario.Name, Seed: seed, Policy: s.policy.Name,
 		Requests: Requests{
-			Total: m.total, Answered: m.answered, RefusedNotRun: m.refused, Unknown: m.unknown, Dropped: m.open,
+			Total: m.total, Answered: m.answered, RefusedNotRun: m.refused, Unknown: m.unknown, Dropped: m.unfinished,
 		},
-		ColdStarts: len(m.cold), ColdStart: percentilesOf(m.cold), ReplicaWait: percentilesOf(m.waits),
-		FirstToken: percentilesOf(m.firstTokens), ColdStartFloor: percentilesOf(m.floors),
-		IdleHours: m.idle.Hours(), Loads: m.loads,
+		ColdStarts: len(m.coldStarts), ColdStart: percentilesOf(m.coldStarts), ReplicaWait: percentilesOf(m.waits),
+		FirstToken: percentilesOf(m.firstTokens), ColdStartMinimum: percentilesOf(m.minimumLoads),
+		IdleHours: m.idleTime.Hours(), Loads: m.loads,
 		ReplicasOverDecided: m.replicasOverDecided, MemoryOvercommits: m.memoryOvercommits,
 		DuplicateRuns: m.duplicateRuns, FalseNotRun: m.falseNotRun,
-		CutInFlight: m.cutInFlight, LateWork: m.lateWork, Events: s.Ran(),
+		InterruptedRequests: m.interruptedRequests, WorkAfterLeaving: m.workAfterLeaving, Events: s.Ran(),
 	}
 }
 
-// Broken counts the broken promises.
+// Broken counts violations of weldline's guarantees.
 func (r Result) Broken() int {
 	return r.Requests.Dropped + r.ReplicasOverDecided + r.MemoryOvercommits + r.DuplicateRuns +
-		r.FalseNotRun + r.CutInFlight + r.LateWork
+		r.FalseNotRun + r.InterruptedRequests + r.WorkAfterLeaving
 }
--- a/internal/policysim/run_test.go
+++ b/internal/policysim/run_test.go
@@ -8,7 +8,7 @@
 	"github.com/weldline/weldline/internal/virtualtime"
 )
 
-// shortScenario is one day of a shipped scenario with little traffic.
+// shortScenario returns one day of an embedded scenario with reduced traffic.
 func shortScenario(t *testing.T, name string) *Scenario {
 	t.Helper()
 	scenario, err := Load(name)
@@ -22,12 +22,12 @@
 	return scenario
 }
 
-// morning is the part of a day that tests run: it has the bursts in it.
-const morning = 7 * time.Hour
+// testDuration covers the bursts of the scenarios.
+const testDuration = 7 * time.Hour
 
-// TestPoliciesKeepThePromises runs policies with the faults switched on: each
-// request ends, and nothing that must hold is broken.
-func TestPoliciesKeepThePromises(t *testing.T) {
+// TestPoliciesKeepInvariants guards against requests without an outcome and violated guarantees under
+// faults.
+func TestPoliciesKeepInvariants(t *testing.T) {
 	for _, name := range []string{"seatdesk", "ramlochun"} {
 		scenario := shortScenario(t, name)
 		for _, policyName := range []string{OwnPolicy, "fixed-10m", "round-robin", "clairvoyant"} {
@@ -35,7 +35,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			result := runFor(scenario, 1, policy, morning)
+			result := runUntil(scenario, 1, policy, testDuration)
 			if result.Broken() != 0 || result.Requests.Answered == 0 {
 				t.Errorf("%s %s: %+v", name, policyName, result)
 			}
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestOverloadKeepsGoodput offers twice what the replicas can do: as many are
-// answered as at capacity, and the rest is told truthfully that it did not run.
+// TestOverloadKeepsGoodput guards against a loss of goodput, and against unknown outcomes, at twice
+// the capacity.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	scenario, err := Load("overload")
 	if err != nil {
@@ -59,50 +59,50 @@
 		t.Fatal(err)
 	}
 	const span = 30 * time.Minute
-	full := runFor(scenario, 1, policy, span).Requests
-	twice := runFor(scenario.WithTraffic(2), 1, policy, span).Requests
-	if float64(twice.Answered) < 0.95*float64(full.Answered) {
-		t.Errorf("answered %+v at capacity, %+v at twice", full, twice)
+	atCapacity := runUntil(scenario, 1, policy, span).Requests
+	overloaded := runUntil(scenario.WithTraffic(2), 1, policy, span).Requests
+	if float64(overloaded.Answered) < 0.95*float64(atCapacity.Answered) {
+		t.Errorf("outcomes at capacity: %+v, at twice the capacity: %+v", atCapacity, overloaded)
 	}
-	if float64(twice.Unknown) > 0.02*float64(twice.Total) {
-		t.Errorf("%d of %d end as unknown", twice.Unknown, twice.Total)
+	if float64(overloaded.Unknown) > 0.02*float64(overloaded.Total) {
+		t.Errorf("%d of %d requests ended with an unknown outcome", overloaded.Unknown, overloaded.Total)
 	}
 }
 
-// TestSameSeedSameResult also shows that another seed has another result.
-func TestSameSeedSameResult(t *testing.T) {
+// TestResultsAreDeterministic also requires that the seed affects the result.
+func TestResultsAreDeterministic(t *testing.T) {
 	scenario := shortScenario(t, "seatdesk")
 	policy, err := PolicyByName(OwnPolicy)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second, other := runFor(scenario, 1, policy, morning), runFor(scenario, 1, policy, morning), runFor(scenario, 2, policy, morning)
+	first, second, other := runUntil(scenario, 1, policy, testDuration), runUntil(scenario, 1, policy, testDuration), runUntil(scenario, 2, policy, testDuration)
 	first.Seconds, second.Seconds, other.Seconds = 0, 0, 0
 	if first != second {
-		t.Errorf("%+v, then %+v", first, second)
+		t.Errorf("results differ for the same seed: %+v and %+v", first, second)
 	}
 	other.Seed = first.Seed
 	if first == other {
-		t.Error("another seed had the same result")
+		t.Error("two seeds gave the same result")
 	}
 }
 
-// TestBadScenariosNameTheField lists what may be wrong with a scenario.
-func TestBadScenariosNameTheField(t *testing.T) {
-	good := "name: x\ndays: 1\nrouters: 1\nmachines: {count: 1, accelerators: 1, acceleratorGiB: 80, memoryGBps: 1, diskGBps: 1}\n" +
+// TestScenarioValidation guards against errors that do not name the invalid field.
+func TestScenarioValidation(t *testing.T) {
+	valid := "name: x\ndays: 1\nrouters: 1\nmachines: {count: 1, accelerators: 1, acceleratorGiB: 80, memoryGBps: 1, diskGBps: 1}\n" +
 		"store: {loadsPerSecond: 1, concurrentLoads: 1, gBps: 1}\n"
 	service := "services: [{name: s, models: 1, weightGiB: [1], accelerators: 1, maxConcurrent: 1, answerTokens: 1, deadline: 1s, coldStartWeight: 1}]\n"
 	for content, field := range map[string]string{
-		good + service:                   "",
-		good:                             "services",
-		good + "services: [{name: s}]\n": "services[0].weightGiB",
-		"nam: x\n":                       "scenario",
-		"name: x\ndays: 0\n":             "days",
-		good + service + "faults: {dieWhileLoading: 2}\n": "faults.dieWhileLoading",
+		valid + service:                   "",
+		valid:                             "services",
+		valid + "services: [{name: s}]\n": "services[0].weightGiB",
+		"nam: x\n":                        "scenario",
+		"name: x\ndays: 0\n":              "days",
+		valid + service + "faults: {dieWhileLoading: 2}\n": "faults.dieWhileLoading",
 	} {
 		_, err := Parse([]byte(content))
 		if fault.FieldOf(err) != field || (err != nil) != (field != "") {
-			t.Errorf("%q: %v", content, err)
+			t.Errorf("%q: got error %v", content, err)
 		}
 	}
 	if _, err := PolicyByName("lazy"); fault.FieldOf(err) != "policy" {
@@ -110,27 +110,27 @@
 	}
 }
 
-// TestStoreSharesItsBandwidth loads more at once than the store serves at full
-// speed, and slows it down.
-func TestStoreSharesItsBandwidth(t *testing.T) {
+// TestStoreSharesBandwidth runs more loads than the store serves at full speed, and then slows the
+// store down.
+func TestStoreSharesBandwidth(t *testing.T) {
 	var clock virtualtime.Scheduler
 	store := newWeightStore(&clock, StoreScenario{LoadsPerSecond: 1000, ConcurrentLoads: 2, GBps: 1})
 	var finished []time.Duration
 	for range 4 {
 		store.load(1e9, func() bool { return true }, func() { finished = append(finished, clock.Now().Round(10*time.Millisecond)) })
 	}
-	store.load(1e9, func() bool { return false }, func() { t.Error("a load that was not wanted any more came") })
+	store.load(1e9, func() bool { return false }, func() { t.Error("an unwanted load completed") })
 	clock.RunUntil(time.Minute)
 	for _, at := range finished {
 		if at != 2*time.Second {
-			t.Errorf("four at once over two: %v", finished)
+			t.Errorf("four loads sharing the bandwidth of two finished at %v", finished)
 		}
 	}
-	store.setSlowness(4)
-	began := clock.Now()
-	store.load(1e9, func() bool { return true }, func() { finished = append(finished, clock.Now()-began) })
+	store.setSlowdown(4)
+	started := clock.Now()
+	store.load(1e9, func() bool { return true }, func() { finished = append(finished, clock.Now()-started) })
 	clock.RunUntil(2 * time.Minute)
 	if len(finished) != 5 || finished[4].Round(10*time.Millisecond) != 4*time.Second {
-		t.Errorf("slowed down to a quarter: %v", finished)
+		t.Errorf("load at a quarter of the speed finished at %v", finished)
 	}
 }
--- a/internal/policysim/scenario.go
+++ b/internal/policysim/scenario.go
@@ -14,25 +14,22 @@
 )
 
 //go:embed scenarios/*.yaml
-var shipped embed.FS
+var scenarioFiles embed.FS
 
 // Scenario describes a deployment and its traffic.
 type Scenario struct {
-	// Name of the scenario.
 	Name string `yaml:"name"`
-	// Days that are simulated; the first WarmupDays are not measured, so
-	// that policies which learn have something to learn from.
-	Days       int `yaml:"days"`
-	WarmupDays int `yaml:"warmupDays"`
-	// Routers that share the traffic.
-	Routers  int               `yaml:"routers"`
-	Machines MachinesScenario  `yaml:"machines"`
-	Store    StoreScenario     `yaml:"store"`
-	Services []ServiceScenario `yaml:"services"`
-	Faults   FaultsScenario    `yaml:"faults"`
+	// The first WarmupDays of Days are not measured, so that learning policies can adapt.
+	Days       int               `yaml:"days"`
+	WarmupDays int               `yaml:"warmupDays"`
+	Routers    int               `yaml:"routers"`
+	Machines   MachinesScenario  `yaml:"machines"`
+	Store      StoreScenario     `yaml:"store"`
+	Services   []ServiceScenario `yaml:"services"`
+	Faults     FaultsScenario    `yaml:"faults"`
 }
 
-// MachinesScenario describes the machines. Sizes are in GiB, speeds in GB/s.
+// MachinesScenario describes the machines; sizes are in GiB, speeds in GB/s.
 type MachinesScenario struct {
 	Count          int     `yaml:"count"`
 	Accelerators   int     `yaml:"accelerators"`
@@ -41,7 +38,7 @@
 	DiskGBps       float64 `yaml:"diskGBps"`
 	MemoryCacheGiB float64 `yaml:"memoryCacheGiB"`
 	DiskCacheGiB   float64 `yaml:"diskCacheGiB"`
-	// TokenInterval and PrefillPerToken are the times of one token.
+	// TokenInterval and PrefillPerToken are the durations per token of decoding and prefill.
 	TokenInterval   time.Duration `yaml:"tokenInterval"`
 	PrefillPerToken time.Duration `yaml:"prefillPerToken"`
 }
@@ -50,11 +47,11 @@
 type StoreScenario struct {
 	LoadsPerSecond  float64 `yaml:"loadsPerSecond"`
 	ConcurrentLoads int     `yaml:"concurrentLoads"`
-	// GBps of one load at full speed.
+	// GBps is the full speed of one load.
 	GBps float64 `yaml:"gBps"`
 }
 
-// ServiceScenario describes a service and who asks for it.
+// ServiceScenario describes a service and its traffic.
 type ServiceScenario struct {
 	Name            string        `yaml:"name"`
 	Models          int           `yaml:"models"`
@@ -67,38 +64,38 @@
 	ColdStartWeight float64       `yaml:"coldStartWeight"`
 	PromptTokens    int           `yaml:"promptTokens"`
 	AnswerTokens    int           `yaml:"answerTokens"`
-	// SessionsPerDay are visits that use one model a few times.
+	// A session sends a few requests to one model.
 	SessionsPerDay     float64       `yaml:"sessionsPerDay"`
 	RequestsPerSession float64       `yaml:"requestsPerSession"`
 	PauseInSession     time.Duration `yaml:"pauseInSession"`
 	// Zipf is the exponent of the models' popularity.
 	Zipf float64 `yaml:"zipf"`
-	// Peaks are the hours of demand; Base is the share that comes evenly.
+	// Traffic follows the peaks, except for the share Base, which is uniform.
 	Peaks  []Peak  `yaml:"peaks"`
 	Base   float64 `yaml:"base"`
 	Bursts []Burst `yaml:"bursts"`
 	Batch  *Batch  `yaml:"batch"`
 }
 
-// Peak is a time of day with more demand.
+// Peak is a normal distribution of traffic over the time of day.
 type Peak struct {
-	// At is the middle, from midnight; Width the standard deviation.
+	// At is the mean, from midnight; Width is the standard deviation.
 	At    time.Duration `yaml:"at"`
 	Width time.Duration `yaml:"width"`
 	Share float64       `yaml:"share"`
 }
 
-// Burst is a crowd that comes at once, every day, at all routers.
+// Burst is a daily spike of requests.
 type Burst struct {
 	At       time.Duration `yaml:"at"`
 	Over     time.Duration `yaml:"over"`
 	Requests int           `yaml:"requests"`
 	Models   int           `yaml:"models"`
-	// Jitter shifts the crowd from day to day.
+	// Jitter is the maximum daily shift of the start.
 	Jitter time.Duration `yaml:"jitter"`
 }
 
-// Batch is a job of every night: one request after the other.
+// Batch is a nightly job that sends requests at a fixed interval.
 type Batch struct {
 	At       time.Duration `yaml:"at"`
 	Requests int           `yaml:"requests"`
@@ -106,28 +103,28 @@
 	Models   int           `yaml:"models"`
 }
 
-// FaultsScenario is what goes wrong, a day.
+// FaultsScenario sets the mean number of faults per day.
 type FaultsScenario struct {
 	EngineRestarts   float64 `yaml:"engineRestarts"`
 	MachinesLeaving  float64 `yaml:"machinesLeaving"`
 	LeaderChanges    float64 `yaml:"leaderChanges"`
 	SlowStoreMinutes float64 `yaml:"slowStoreMinutes"`
-	// DieWhileLoading is the share of loads whose engine dies.
+	// DieWhileLoading is the probability that an engine crashes during a load.
 	DieWhileLoading float64 `yaml:"dieWhileLoading"`
 }
 
-// Load returns a shipped scenario by name, or reads a file.
+// Load returns an embedded scenario by name, or reads a file.
 func Load(nameOrPath string) (*Scenario, error) {
-	content, err := shipped.ReadFile("scenarios/" + nameOrPath + ".yaml")
+	content, err := scenarioFiles.ReadFile("scenarios/" + nameOrPath + ".yaml")
 	if err != nil {
 		if content, err = os.ReadFile(nameOrPath); err != nil {
-			return nil, fault.InvalidField("scenario", "%s is neither a shipped scenario nor a readable file", nameOrPath)
+			return nil, fault.InvalidField("scenario", "%s is neither an embedded scenario nor a readable file", nameOrPath)
 		}
 	}
 	return Parse(content)
 }
 
-// Parse reads and checks a scenario.
+// Parse decodes and validates a scenario.
 func Parse(content []byte) (*Scenario, error) {
 	scenario := &Scenario{}
 	if err := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict()).Decode(scenario); err != nil {
--- a/internal/policysim/simulation.go
+++ b/internal/policysim/simulation.go
@@ -20,23 +20,24 @@
 )
 
 const (
-	// commitDelay and feedDelay are what a write and its spreading take.
-	commitDelay = 5 * time.Millisecond
-	feedDelay   = 5 * time.Millisecond
-	// orderDelay is from a decision in the view to the engine.
+	// commitDelay is the duration of a commit; propagationDelay the time until nodes have received it.
+	commitDelay      = 5 * time.Millisecond
+	propagationDelay = 5 * time.Millisecond
+	// orderDelay is the time from a decision in the view to the order at the engine.
 	orderDelay = 3 * time.Millisecond
-	// wakeDelay is from a report that matters to a pass.
-	wakeDelay = 5 * time.Millisecond
-	// passInterval is how often the leader looks without a reason.
-	passInterval   = 5 * time.Second
-	networkDelay   = time.Millisecond
-	machineTimeout = 10 * time.Second
-	zone           = "zone-a"
-	electionPause  = 2 * time.Second
+	// reconcileDelay is the time from an event that requires a decision to the next pass of the
+	// controller.
+	reconcileDelay = 5 * time.Millisecond
+	// reconcileInterval is the interval of passes without an event.
+	reconcileInterval = 5 * time.Second
+	networkDelay      = time.Millisecond
+	machineTimeout    = 10 * time.Second
+	zone              = "zone-a"
+	electionDuration  = 2 * time.Second
 )
 
-// epoch is the midnight at which every simulation begins.
-var epoch = time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
+// simulationStart is the midnight at which every simulation begins.
+var simulationStart = time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
 
 // simulation is one run of a scenario under a policy.
 type simulation struct {
@@ -45,60 +46,59 @@
 	policy   Policy
 	arrivals []arrival
 	random   *rand.Rand
-	meter    *meter
+	metrics  *metrics
 
-	state    *state.Machine
-	view     *nodeview.View
-	reports  *controller.ReportTable
-	decider  *controller.Controller
-	term     uint64
-	pausedBy time.Duration
-	waking   bool
-	// passed is when the leader last looked.
-	passed   time.Duration
-	routers  []*router
-	machines []*machine
-	byName   map[string]*machine
-	store    *weightStore
-	services map[string]*ServiceScenario
-	weights  map[string]int64
-	// ready counts the replicas of each version that may get requests.
-	ready map[string]int
+	state            *state.Machine
+	view             *nodeview.View
+	reports          *controller.ReportTable
+	controller       *controller.Controller
+	term             uint64
+	electionUntil    time.Duration
+	reconcilePending bool
+	reconciledAt     time.Duration
+	routers          []*router
+	machines         []*machine
+	machinesByName   map[string]*machine
+	store            *weightStore
+	services         map[string]*ServiceScenario
+	weights          map[string]int64
+	// readyReplicas counts the replicas of each version that accept requests.
+	readyReplicas map[string]int
 }
 
 func newSimulation(scenario *Scenario, seed uint64, policy Policy, arrivals []arrival) *simulation {
 	s := &simulation{
 		scenario: scenario, policy: policy, arrivals: arrivals, random: rand.New(rand.NewPCG(seed, 7)),
 		state: state.New(), view: nodeview.New(), reports: controller.NewReportTable(),
-		byName: map[string]*machine{}, services: map[string]*ServiceScenario{}, weights: map[string]int64{}, ready: map[string]int{},
+		machinesByName: map[string]*machine{}, services: map[string]*ServiceScenario{}, weights: map[string]int64{}, readyReplicas: map[string]int{},
 	}
-	s.meter = newMeter(s)
+	s.metrics = newMetrics(s)
 	s.store = newWeightStore(&s.Scheduler, scenario.Store)
 	for number := range scenario.Machines.Count {
 		created := s.newMachine(number)
 		s.machines = append(s.machines, created)
-		s.byName[created.name] = created
+		s.machinesByName[created.name] = created
 	}
 	for number := range scenario.Routers {
 		s.routers = append(s.routers, s.newRouter(number))
 	}
-	s.declare()
-	s.lead()
-	s.tick()
+	s.declareResources()
+	s.startTerm()
+	s.reconcilePeriodically()
 	s.scheduleFaults()
 	return s
 }
 
-// now is the time of day as the simulation has it.
+// wall returns the simulated wall-clock time.
 func (s *simulation) wall() time.Time {
-	return epoch.Add(s.Now())
+	return simulationStart.Add(s.Now())
 }
 
-// lead begins a new term: whatever the leader before had learned is lost.
-func (s *simulation) lead() {
+// startTerm replaces the controller, which loses the observations of its predecessor.
+func (s *simulation) startTerm() {
 	s.term++
 	s.reports = controller.NewReportTable()
-	s.decider = controller.New(s.Now(), controller.Config{
+	s.controller = controller.New(s.Now(), controller.Config{
 		Node: "control", Term: s.term, MachineTimeout: machineTimeout,
 		Planner: placement.Config{
 			Speeds: placement.DefaultTierSpeeds, StoreLoadsPerSecond: s.scenario.Store.LoadsPerSecond,
@@ -107,8 +107,8 @@
 	}, s.reports)
 }
 
-// declare writes the resources of the scenario.
-func (s *simulation) declare() {
+// declareResources writes the resources of the scenario.
+func (s *simulation) declareResources() {
 	var writes []*wirepb.ObjectWrite
 	put := func(kind v1.Kind, name string, spec any) {
 		encoded, _ := json.Marshal(spec) // Plain structs always encode.
@@ -118,7 +118,7 @@
 		service := &s.scenario.Services[position]
 		var models []string
 		for number := range service.Models {
-			name := modelOf(*service, number)
+			name := modelName(*service, number)
 			models = append(models, name)
 			weight := int64(service.WeightGiB[number%len(service.WeightGiB)] * gibibyte)
 			s.services[name+".v1"] = service
@@ -141,10 +141,10 @@
 		})
 	}
 	s.write(writes)
-	s.spread()
+	s.propagate()
 }
 
-// write applies a command as the log would.
+// write applies a command directly, in place of the log.
 func (s *simulation) write(writes []*wirepb.ObjectWrite) bool {
 	command := &wirepb.Command{
 		ProposedUnixMs: s.wall().UnixMilli(),
@@ -157,8 +157,8 @@
 	return s.state.Apply(data).GetCode() == wirepb.ResultCode_RESULT_CODE_OK
 }
 
-// commit applies writes after the delay of a commit and spreads them; where
-// they are refused together, each is tried alone.
+// commit applies writes, each on its own if they are refused together, and propagates them after the
+// delay of a commit.
 func (s *simulation) commit(writes []*wirepb.ObjectWrite) {
 	if len(writes) == 0 {
 		return
@@ -168,96 +168,96 @@
 			s.write([]*wirepb.ObjectWrite{write})
 		}
 	}
-	s.After(commitDelay+feedDelay, s.spread)
+	s.After(commitDelay+propagationDelay, s.propagate)
 }
 
-// spread brings the view up to date, and routers and agents with it.
-func (s *simulation) spread() {
+// propagate updates the view and notifies routers and agents.
+func (s *simulation) propagate() {
 	changes, fresh := feed.Fresh(s.view.Revision(), feed.ChangesOf(s.state, s.view.Revision()))
 	if !fresh {
 		return
 	}
 	s.view.Apply(changes)
 	targets := s.view.ReplicaTargets()
-	s.ready = map[string]int{}
+	s.readyReplicas = map[string]int{}
 	for _, target := range targets {
-		s.ready[target.Version]++
+		s.readyReplicas[target.Version]++
 	}
-	s.meter.versionsReady()
+	s.metrics.recordReadyVersions()
 	for _, router := range s.routers {
-		router.deliver(router.core.SetTargets(s.wall(), targets))
+		router.applyOutcome(router.core.SetTargets(s.wall(), targets))
 	}
 	for _, machine := range s.machines {
-		if revision := s.view.DecidedFor(machine.name); revision != machine.decided {
-			machine.decided = revision
-			s.After(orderDelay, machine.followOrders)
+		if revision := s.view.DecidedFor(machine.name); revision != machine.decisionRevision {
+			machine.decisionRevision = revision
+			s.After(orderDelay, machine.applyOrders)
 		}
 	}
 }
 
-// wake makes the leader look soon.
-func (s *simulation) wake() {
-	if s.waking {
+// requestReconcile schedules a pass of the controller after reconcileDelay.
+func (s *simulation) requestReconcile() {
+	if s.reconcilePending {
 		return
 	}
-	s.waking = true
-	s.After(wakeDelay, s.pass)
+	s.reconcilePending = true
+	s.After(reconcileDelay, s.reconcile)
 }
 
-func (s *simulation) tick() {
-	s.After(passInterval, func() {
-		s.pass()
-		s.tick()
+func (s *simulation) reconcilePeriodically() {
+	s.After(reconcileInterval, func() {
+		s.reconcile()
+		s.reconcilePeriodically()
 	})
 }
 
-// pass is one look of the leader: reports come in, decisions go out.
-func (s *simulation) pass() {
-	s.waking = false
-	if s.Now() < s.pausedBy {
+// reconcile is one pass of the controller: it takes reports, writes decisions and sends a digest.
+func (s *simulation) reconcile() {
+	s.reconcilePending = false
+	if s.Now() < s.electionUntil {
 		return
 	}
-	s.passed = s.Now()
+	s.reconciledAt = s.Now()
 	for _, router := range s.routers {
 		s.reports.Take(s.Now(), router.report())
 	}
-	s.decider.Observe(s.state)
-	s.commit(s.decider.MachineWrites(s.Now(), nil))
-	s.decider.Observe(s.state)
-	decision := s.decider.DecideReplicas(s.Now(), s.wall())
+	s.controller.Observe(s.state)
+	s.commit(s.controller.MachineWrites(s.Now(), nil))
+	s.controller.Observe(s.state)
+	decision := s.controller.DecideReplicas(s.Now(), s.wall())
 	s.commit(decision.Writes)
-	if digest := s.decider.Digest(s.Now(), s.state.Revision()); digest != nil {
-		s.After(feedDelay, func() { s.takeDigest(digest) })
+	if digest := s.controller.Digest(s.Now(), s.state.Revision()); digest != nil {
+		s.After(propagationDelay, func() { s.applyDigest(digest) })
 	}
 }
 
-func (s *simulation) takeDigest(digest *wirepb.ClusterDigest) {
+func (s *simulation) applyDigest(digest *wirepb.ClusterDigest) {
 	for _, router := range s.routers {
-		router.deliver(router.core.SetLoads(s.wall(), nodeview.LoadsOf(digest), int(digest.GetRouters())))
-		router.deliver(router.core.SetEstimates(s.wall(), nodeview.EstimatesOf(digest, s.wall())))
+		router.applyOutcome(router.core.SetLoads(s.wall(), nodeview.LoadsOf(digest), int(digest.GetRouters())))
+		router.applyOutcome(router.core.SetEstimates(s.wall(), nodeview.EstimatesOf(digest, s.wall())))
 	}
 }
 
-// scheduleFaults draws what goes wrong over the days.
+// scheduleFaults draws the faults of all days.
 func (s *simulation) scheduleFaults() {
 	faults := s.scenario.Faults
 	span := time.Duration(s.scenario.Days) * day
-	strike := func(perDay float64, action func()) {
+	inject := func(perDay float64, action func()) {
 		for range int(perDay*float64(s.scenario.Days) + s.random.Float64()) {
 			s.After(time.Duration(s.random.Int64N(int64(span))), action)
 		}
 	}
-	strike(faults.EngineRestarts, func() { s.machines[s.random.IntN(len(s.machines))].restart() })
-	strike(faults.MachinesLeaving, func() { s.machines[s.random.IntN(len(s.machines))].leave() })
-	strike(faults.LeaderChanges, func() {
-		s.pausedBy = s.Now() + electionPause
-		s.lead()
+	inject(faults.EngineRestarts, func() { s.machines[s.random.IntN(len(s.machines))].restart() })
+	inject(faults.MachinesLeaving, func() { s.machines[s.random.IntN(len(s.machines))].leave() })
+	inject(faults.LeaderChanges, func() {
+		s.electionUntil = s.Now() + electionDuration
+		s.startTerm()
 	})
 	if faults.SlowStoreMinutes > 0 {
-		strike(1, func() {
+		inject(1, func() {
 			const slowness = 4
-			s.store.setSlowness(slowness)
-			s.After(time.Duration(faults.SlowStoreMinutes*float64(time.Minute)), func() { s.store.setSlowness(1) })
+			s.store.setSlowdown(slowness)
+			s.After(time.Duration(faults.SlowStoreMinutes*float64(time.Minute)), func() { s.store.setSlowdown(1) })
 		})
 	}
 }
--- a/internal/policysim/slots.go
+++ b/internal/policysim/slots.go
@@ -2,37 +2,36 @@
 
 import "github.com/weldline/weldline/internal/enginemodel"
 
-// slots are the requests of one replica: so many run at once, the others wait
-// at the engine in order of arrival. Routers don't know of each other's
-// requests in time, so more may come than fit.
+// slots tracks the requests of one replica. Routers learn of each other's requests with a delay, so
+// more may arrive than fit; these are queued at the engine.
 type slots struct {
 	running int
 	waiting []*request
 }
 
-// admit starts a request, or lets it wait at the engine until its deadline.
-func (m *machine) admit(entry *request) {
-	held := m.slots[entry.held]
-	if held == nil {
-		held = &slots{}
-		m.slots[entry.held] = held
+// enqueue starts a request, or queues it until its deadline.
+func (m *machine) enqueue(entry *request) {
+	queue := m.slots[entry.replica]
+	if queue == nil {
+		queue = &slots{}
+		m.slots[entry.replica] = queue
 	}
-	if held.running < entry.held.Order.MaxConcurrent {
-		held.running++
+	if queue.running < entry.replica.Order.MaxConcurrent {
+		queue.running++
 		entry.start()
 		return
 	}
-	held.waiting = append(held.waiting, entry)
+	queue.waiting = append(queue.waiting, entry)
 	s := m.simulation
-	s.After(entry.asked.Deadline.Sub(s.wall()), func() {
-		if !entry.ended && m.life == entry.life && held.leave(entry) {
+	s.After(entry.dispatchRequest.Deadline.Sub(s.wall()), func() {
+		if !entry.ended && m.instance == entry.instance && queue.remove(entry) {
 			entry.expire()
 		}
 	})
 }
 
-// leave takes a request out of those that wait, if it does.
-func (s *slots) leave(entry *request) bool {
+// remove removes a queued request; false if it is not queued.
+func (s *slots) remove(entry *request) bool {
 	for position, other := range s.waiting {
 		if other == entry {
 			s.waiting = append(s.waiting[:position], s.waiting[position+1:]...)
@@ -42,21 +41,21 @@
 	return false
 }
 
-// free gives the slot of a request that has ended to the next.
-func (m *machine) free(entry *request) {
-	held := m.slots[entry.held]
-	held.running--
-	if len(held.waiting) > 0 {
-		next := held.waiting[0]
-		held.waiting = held.waiting[1:]
-		held.running++
+// releaseSlot passes the slot of a finished request to the next one.
+func (m *machine) releaseSlot(entry *request) {
+	queue := m.slots[entry.replica]
+	queue.running--
+	if len(queue.waiting) > 0 {
+		next := queue.waiting[0]
+		queue.waiting = queue.waiting[1:]
+		queue.running++
 		next.start()
 	}
-	if held.running == 0 {
-		delete(m.slots, entry.held)
+	if queue.running == 0 {
+		delete(m.slots, entry.replica)
 	}
 }
 
-func (m *machine) dropSlots() {
+func (m *machine) resetSlots() {
 	m.slots = map[*enginemodel.Replica]*slots{}
 }
--- a/internal/policysim/store.go
+++ b/internal/policysim/store.go
@@ -6,23 +6,23 @@
 	"github.com/weldline/weldline/internal/virtualtime"
 )
 
-// weightStore admits loads at a rate and shares its bandwidth among them.
+// weightStore limits the rate of loads and shares its bandwidth among them.
 type weightStore struct {
-	clock      *virtualtime.Scheduler
-	perSecond  float64
-	concurrent int
-	// speed of one load alone, in bytes a second; slowness divides it.
+	clock           *virtualtime.Scheduler
+	loadsPerSecond  float64
+	concurrentLoads int
+	// speed is that of a single load in bytes per second, before division by slowdown.
 	speed    float64
-	slowness float64
+	slowdown float64
 
 	nextAdmission time.Duration
 	active        []*transfer
 	updated       time.Duration
-	// generation makes completions that were scheduled before a change void.
+	// generation invalidates completions that were scheduled before a change.
 	generation int
 }
 
-// transfer is a load on its way.
+// transfer is a load in progress.
 type transfer struct {
 	remaining float64
 	done      func()
@@ -30,41 +30,41 @@
 
 func newWeightStore(clock *virtualtime.Scheduler, scenario StoreScenario) *weightStore {
 	return &weightStore{
-		clock: clock, perSecond: scenario.LoadsPerSecond, concurrent: scenario.ConcurrentLoads,
-		speed: scenario.GBps * gigabyte, slowness: 1,
+		clock: clock, loadsPerSecond: scenario.LoadsPerSecond, concurrentLoads: scenario.ConcurrentLoads,
+		speed: scenario.GBps * gigabyte, slowdown: 1,
 	}
 }
 
-// load begins a transfer once it is admitted; cancelled ones are dropped.
+// load starts a transfer once it is admitted, unless it is no longer wanted.
 func (s *weightStore) load(bytes int64, wanted func() bool, done func()) {
 	at := max(s.clock.Now(), s.nextAdmission)
-	s.nextAdmission = at + time.Duration(float64(time.Second)/s.perSecond)
+	s.nextAdmission = at + time.Duration(float64(time.Second)/s.loadsPerSecond)
 	s.clock.After(at-s.clock.Now(), func() {
 		if wanted() {
-			s.advance()
+			s.updateProgress()
 			s.active = append(s.active, &transfer{remaining: float64(bytes), done: done})
-			s.schedule()
+			s.scheduleCompletion()
 		}
 	})
 }
 
-func (s *weightStore) setSlowness(slowness float64) {
-	s.advance()
-	s.slowness = slowness
-	s.schedule()
+func (s *weightStore) setSlowdown(slowness float64) {
+	s.updateProgress()
+	s.slowdown = slowness
+	s.scheduleCompletion()
 }
 
-// rate is the speed of each transfer now.
+// rate is the current speed of each transfer.
 func (s *weightStore) rate() float64 {
 	share := 1.0
-	if len(s.active) > s.concurrent {
-		share = float64(s.concurrent) / float64(len(s.active))
+	if len(s.active) > s.concurrentLoads {
+		share = float64(s.concurrentLoads) / float64(len(s.active))
 	}
-	return s.speed * share / s.slowness
+	return s.speed * share / s.slowdown
 }
 
-// advance moves every transfer to the present.
-func (s *weightStore) advance() {
+// updateProgress updates the remaining bytes of every transfer.
+func (s *weightStore) updateProgress() {
 	moved := s.rate() * (s.clock.Now() - s.updated).Seconds()
 	s.updated = s.clock.Now()
 	for _, entry := range s.active {
@@ -72,8 +72,8 @@
 	}
 }
 
-// schedule wakes up when the next transfer will be complete.
-func (s *weightStore) schedule() {
+// scheduleCompletion schedules the completion of the next transfer.
+func (s *weightStore) scheduleCompletion() {
 	s.generation++
 	generation := s.generation
 	least := -1.0
@@ -89,13 +89,13 @@
 	delay := time.Duration(max(least, 0)/s.rate()*float64(time.Second)) + rounding
 	s.clock.After(delay, func() {
 		if s.generation == generation {
-			s.complete()
+			s.completeTransfers()
 		}
 	})
 }
 
-func (s *weightStore) complete() {
-	s.advance()
+func (s *weightStore) completeTransfers() {
+	s.updateProgress()
 	var finished, running []*transfer
 	for _, entry := range s.active {
 		if entry.remaining <= 0 {
@@ -105,7 +105,7 @@
 		}
 	}
 	s.active = running
-	s.schedule()
+	s.scheduleCompletion()
 	for _, entry := range finished {
 		entry.done()
 	}
