--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// answerSlack is how long past its deadline a refusal may take.
-	answerSlack = 2 * time.Second
-	resendDelay = 50 * time.Millisecond
+	// responseGrace is the time after its deadline within which a request must be refused.
+	responseGrace = 2 * time.Second
+	resendDelay   = 50 * time.Millisecond
 )
 
-// ask is one caller's request for inference.
-type ask struct {
-	due    time.Time
+// inferenceCall is a scheduled inference request of one client.
+type inferenceCall struct {
+	dueAt  time.Time
 	model  string
 	prompt string
 	tokens int
@@ -40,81 +40,80 @@
 	Stream    bool   `json:"stream"`
 }
 
-type completionAnswer struct {
+type completionResponse struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 	Error *problem.Document `json:"error"`
 }
 
-// answer is what came of one sending of a request.
-type answer struct {
-	outcome Outcome
-	// lost is set where the connection broke without an answer.
-	lost       bool
-	firstToken time.Duration
-	coldWait   time.Duration
-	cold       bool
-	// refusal is the problem's title and detail.
+// callResult is the result of one attempt to send a request.
+type callResult struct {
+	outcome        Outcome
+	connectionLost bool
+	firstToken     time.Duration
+	coldStartWait  time.Duration
+	coldStart      bool
+	// refusal is the title and detail of the problem document.
 	refusal string
 }
 
-// send sends an ask until it is answered, refused or out of time. A caller
-// whose connection breaks turns to the next router.
-func (g *generator) send(ctx context.Context, entry ask) {
-	limit := entry.due.Add(g.plan.Deadline + answerSlack)
+// send sends a call until it is answered or refused, or its deadline passes. After a broken connection
+// it switches to the next router.
+func (g *generator) send(ctx context.Context, call inferenceCall) {
+	limit := call.dueAt.Add(g.plan.Deadline + responseGrace)
 	ctx, cancel := context.WithDeadline(ctx, limit)
 	defer cancel()
-	result := answer{outcome: OutcomeDropped}
+	result := callResult{outcome: OutcomeDropped}
 	for attempt := 0; ctx.Err() == nil; attempt++ {
-		result = g.sendOnce(ctx, entry, entry.router+attempt)
-		if !result.lost {
+		result = g.sendOnce(ctx, call, call.router+attempt)
+		if !result.connectionLost {
 			break
 		}
 		result.outcome = OutcomeDropped
-		g.recorder.resent()
+		g.recorder.recordResend()
 		time.Sleep(resendDelay)
 	}
-	g.recorder.inference(result)
+	g.recorder.recordInference(result)
 }
 
-func (g *generator) sendOnce(ctx context.Context, entry ask, router int) answer {
-	body, err := json.Marshal(completionRequest{Model: entry.model, Prompt: entry.prompt, MaxTokens: entry.tokens, Stream: entry.stream})
+func (g *generator) sendOnce(ctx context.Context, call inferenceCall, router int) callResult {
+	body, err := json.Marshal(completionRequest{Model: call.model, Prompt: call.prompt, MaxTokens: call.tokens, Stream: call.stream})
 	if err != nil {
-		return answer{outcome: OutcomeInvalid}
+		return callResult{outcome: OutcomeInvalid}
 	}
 	url := g.plan.Routers[router%len(g.plan.Routers)] + "/v1/completions"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return answer{outcome: OutcomeInvalid}
+		return callResult{outcome: OutcomeInvalid}
 	}
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set(gateway.HeaderDeadline, time.Until(entry.due.Add(g.plan.Deadline)).String())
+	request.Header.Set(gateway.HeaderDeadline, time.Until(call.dueAt.Add(g.plan.Deadline)).String())
 	response, err := g.client.Do(request)
 	if err != nil {
-		return answer{lost: true}
+		return callResult{connectionLost: true}
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return refusalOf(response)
+		return decodeRefusal(response)
 	}
-	result := answer{}
-	if waited := response.Header.Get(gateway.HeaderReplicaWait); waited != "" {
-		millis, _ := strconv.Atoi(waited)
-		result.cold, result.coldWait = true, time.Duration(millis)*time.Millisecond
+	result := callResult{}
+	if wait := response.Header.Get(gateway.HeaderReplicaWait); wait != "" {
+		millis, _ := strconv.Atoi(wait)
+		result.coldStart, result.coldStartWait = true, time.Duration(millis)*time.Millisecond
 	}
-	if entry.stream {
-		return g.readStream(entry, response.Body, result)
+	if call.stream {
+		return g.readStream(call, response.Body, result)
 	}
-	return readPlain(entry, response.Body, result)
+	return readComplete(call, response.Body, result)
 }
 
-func refusalOf(response *http.Response) answer {
+func decodeRefusal(response *http.Response) callResult {
 	var document problem.Document
 	if err := json.NewDecoder(response.Body).Decode(&document); err != nil {
-		return answer{lost: true}
+		return callResult{connectionLost: true}
 	}
-	result := answer{refusal: document.Title + ": " + document.Detail}
+	result := callResult{refusal: document.Title + ": " + document.Detail}
 	switch {
 	case response.StatusCode < http.StatusInternalServerError && response.StatusCode != http.StatusTooManyRequests &&
 		document.Outcome != problem.OutcomeUnknown:
@@ -129,23 +128,23 @@
 	return result
 }
 
-// expected is the engines' whole answer to the ask.
-func (a ask) expected() string {
-	encoded, err := json.Marshal(a.prompt)
+// expectedText is the engines' whole response to the call.
+func (c inferenceCall) expectedText() string {
+	encoded, err := json.Marshal(c.prompt)
 	if err != nil {
 		return ""
 	}
-	return emulator.Answer(string(encoded), a.tokens)
+	return emulator.Answer(string(encoded), c.tokens)
 }
 
-func readPlain(entry ask, body io.Reader, result answer) answer {
+func readComplete(call inferenceCall, body io.Reader, result callResult) callResult {
 	content, err := io.ReadAll(body)
 	if err != nil {
-		return answer{lost: true}
+		return callResult{connectionLost: true}
 	}
-	result.firstToken = time.Since(entry.due)
-	var decoded completionAnswer
-	if json.Unmarshal(content, &decoded) != nil || len(decoded.Choices) != 1 || decoded.Choices[0].Text != entry.expected() {
+	result.firstToken = time.Since(call.dueAt)
+	var decoded completionResponse
+	if json.Unmarshal(content, &decoded) != nil || len(decoded.Choices) != 1 || decoded.Choices[0].Text != call.expectedText() {
 		result.outcome = OutcomeWrong
 		return result
 	}
@@ -153,16 +152,15 @@
 	return result
 }
 
-// readStream reads events to the end mark. A connection that breaks before it
-// is lost, not complete.
-func (g *generator) readStream(entry ask, body io.Reader, result answer) answer {
+// readStream reads events up to the end marker. A connection that breaks earlier counts as lost.
+func (g *generator) readStream(call inferenceCall, body io.Reader, result callResult) callResult {
 	var text strings.Builder
 	reader := bufio.NewReader(body)
 	last := time.Time{}
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			return answer{lost: true}
+			return callResult{connectionLost: true}
 		}
 		data, isData := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !isData {
@@ -171,7 +169,7 @@
 		if data == "[DONE]" {
 			break
 		}
-		var event completionAnswer
+		var event completionResponse
 		if json.Unmarshal([]byte(data), &event) != nil {
 			result.outcome = OutcomeWrong
 			return result
@@ -182,9 +180,9 @@
 		}
 		now := time.Now()
 		if last.IsZero() {
-			result.firstToken = now.Sub(entry.due)
+			result.firstToken = now.Sub(call.dueAt)
 		} else {
-			g.recorder.gap(now.Sub(last))
+			g.recorder.recordTokenGap(now.Sub(last))
 		}
 		last = now
 		if len(event.Choices) == 1 {
@@ -192,25 +190,25 @@
 		}
 	}
 	result.outcome = OutcomeAnswered
-	if text.String() != entry.expected() {
+	if text.String() != call.expectedText() {
 		result.outcome = OutcomeWrong
 	}
 	return result
 }
 
-func (r *recorder) resent() {
+func (r *recorder) recordResend() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.summary.Resent++
 }
 
-func (r *recorder) gap(value time.Duration) {
+func (r *recorder) recordTokenGap(value time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	record(r.tokenGap, value)
+	recordDuration(r.tokenGap, value)
 }
 
-func (r *recorder) inference(result answer) {
+func (r *recorder) recordInference(result callResult) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.summary.Total++
@@ -221,9 +219,9 @@
 	if result.outcome != OutcomeAnswered {
 		return
 	}
-	record(r.firstToken, result.firstToken)
-	if result.cold {
-		record(r.coldStart, result.coldWait)
+	recordDuration(r.firstToken, result.firstToken)
+	if result.coldStart {
+		recordDuration(r.coldStart, result.coldStartWait)
 	}
 }
 
--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -1,9 +1,6 @@
-// Package loadgen drives real routers with an open-loop load and judges every
-// answer.
+// Package loadgen sends an open-loop load to routers and verifies every response.
 //
-// Requests are sent when they are due, whether or not earlier ones have been
-// answered, and latencies count from when a request was due: so a slow system
-// can't hide its slowness by slowing the load (coordinated omission). Every
-// prompt is unique, and the emulated engines' answers follow from the prompt,
-// so an answer that is cut short or belongs to someone else is found out.
+// Requests are sent on schedule regardless of earlier responses, and latencies count from the
+// scheduled time, which avoids coordinated omission. Every prompt is unique and the emulated engines
+// derive their responses from it, so truncated and misrouted responses are detected.
 package loadgen
--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -16,7 +16,7 @@
 
 const maxConnsPerRouter = 2048
 
-// generator runs one plan.
+// generator executes one plan.
 type generator struct {
 	plan     Plan
 	client   *http.Client
@@ -25,7 +25,7 @@
 	requests sync.WaitGroup
 }
 
-// Run carries out a plan and returns its summary, not judged yet.
+// Run executes a plan. The result of the summary is not set yet.
 func Run(ctx context.Context, plan Plan, progress func(text string)) (*Summary, *Recorder, error) {
 	if err := plan.Validate(); err != nil {
 		return nil, nil, err
@@ -40,20 +40,20 @@
 	}
 	started := time.Now()
 	progress("burst of " + strconv.Itoa(plan.Burst) + " requests over " + strconv.Itoa(len(created.models)) + " models")
-	created.burst(ctx, started)
-	created.steady(ctx, started, progress)
+	created.sendBurst(ctx, started)
+	created.sendSteady(ctx, started, progress)
 	created.requests.Wait()
-	return created.recorder.finish(time.Since(started)), &Recorder{created.recorder}, nil
+	return created.recorder.summarize(time.Since(started)), &Recorder{created.recorder}, nil
 }
 
-// Recorder gives access to what needs the back ends' audit to be judged.
+// Recorder adds the results of the emulator's audit to the summary.
 type Recorder struct {
 	recorder *recorder
 }
 
-// JudgeAudit adds the violations that the emulator's audit shows.
+// JudgeAudit adds the violations found by the emulator's audit.
 func (r *Recorder) JudgeAudit(audit emulator.Audit) {
-	r.recorder.judgeHolds(audit.Executions)
+	r.recorder.checkHolds(audit.Executions)
 	r.recorder.mutex.Lock()
 	defer r.recorder.mutex.Unlock()
 	r.recorder.summary.Violations["memory_overcommits"] = audit.MemoryOvercommits
@@ -88,39 +88,39 @@
 	return names, nil
 }
 
-func (g *generator) random(stream uint64) *rand.Rand {
+func (g *generator) randomStream(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(g.plan.Seed, stream))
 }
 
-func (g *generator) launch(ctx context.Context, entry ask) {
-	g.requests.Go(func() { g.send(ctx, entry) })
+func (g *generator) start(ctx context.Context, call inferenceCall) {
+	g.requests.Go(func() { g.send(ctx, call) })
 }
 
-func (g *generator) ask(random *rand.Rand, due time.Time, model string, number int) ask {
-	return ask{
-		due: due, model: model, tokens: g.plan.Tokens, router: number,
+func (g *generator) newCall(random *rand.Rand, due time.Time, model string, number int) inferenceCall {
+	return inferenceCall{
+		dueAt: due, model: model, tokens: g.plan.Tokens, router: number,
 		prompt: "request " + strconv.Itoa(number) + " " + strconv.FormatUint(random.Uint64(), 36) + strings.Repeat(" archive", random.IntN(64)),
 		stream: random.Float64() < g.plan.StreamShare,
 	}
 }
 
-// burst asks for many models at once, through all routers.
-func (g *generator) burst(ctx context.Context, due time.Time) {
-	random := g.random(1)
+// sendBurst sends requests for many models at once, through all routers.
+func (g *generator) sendBurst(ctx context.Context, due time.Time) {
+	random := g.randomStream(1)
 	for number := range g.plan.Burst {
-		g.launch(ctx, g.ask(random, due, g.models[number%len(g.models)], number))
+		g.start(ctx, g.newCall(random, due, g.models[number%len(g.models)], number))
 	}
 }
 
-// steady sends requests in a Poisson process until the duration is over.
-func (g *generator) steady(ctx context.Context, started time.Time, progress func(string)) {
+// sendSteady sends requests as Poisson processes for the duration of the plan.
+func (g *generator) sendSteady(ctx context.Context, started time.Time, progress func(string)) {
 	var processes sync.WaitGroup
 	defer processes.Wait()
 	if g.plan.Service != "" && g.plan.HoldRate > 0 {
-		processes.Go(func() { g.steadyHolds(ctx, started) })
+		processes.Go(func() { g.sendHolds(ctx, started) })
 	}
 	if g.plan.Rate > 0 {
-		processes.Go(func() { g.steadyInference(ctx, started) })
+		processes.Go(func() { g.sendInferences(ctx, started) })
 	}
 	ticker := time.NewTicker(5 * time.Second)
 	defer ticker.Stop()
@@ -143,8 +143,8 @@
 	return strconv.Itoa(r.summary.Total) + " requests ended, " + strconv.Itoa(r.summary.Requests[OutcomeAnswered]) + " answered"
 }
 
-// arrivals calls visit at each arrival of a Poisson process.
-func (g *generator) arrivals(ctx context.Context, started time.Time, rate float64, random *rand.Rand, visit func(due time.Time, number int)) {
+// poissonArrivals calls visit at each arrival of a Poisson process.
+func (g *generator) poissonArrivals(ctx context.Context, started time.Time, rate float64, random *rand.Rand, visit func(due time.Time, number int)) {
 	due := started
 	for number := 0; ; number++ {
 		due = due.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
@@ -160,19 +160,19 @@
 	}
 }
 
-func (g *generator) steadyInference(ctx context.Context, started time.Time) {
-	random := g.random(2)
+func (g *generator) sendInferences(ctx context.Context, started time.Time) {
+	random := g.randomStream(2)
 	zipf := rand.NewZipf(random, g.plan.Skew, 1, uint64(len(g.models)-1))
 	order := random.Perm(len(g.models))
-	g.arrivals(ctx, started, g.plan.Rate, random, func(due time.Time, number int) {
-		g.launch(ctx, g.ask(random, due, g.models[order[zipf.Uint64()]], number))
+	g.poissonArrivals(ctx, started, g.plan.Rate, random, func(due time.Time, number int) {
+		g.start(ctx, g.newCall(random, due, g.models[order[zipf.Uint64()]], number))
 	})
 }
 
-func (g *generator) steadyHolds(ctx context.Context, started time.Time) {
-	random := g.random(3)
+func (g *generator) sendHolds(ctx context.Context, started time.Time) {
+	random := g.randomStream(3)
 	run := strconv.FormatInt(started.UnixNano(), 36)
-	g.arrivals(ctx, started, g.plan.HoldRate, random, func(due time.Time, number int) {
+	g.poissonArrivals(ctx, started, g.plan.HoldRate, random, func(due time.Time, number int) {
 		key := "hold-" + run + "-" + strconv.Itoa(number)
 		g.requests.Go(func() { g.hold(ctx, due, number, key) })
 	})
--- a/internal/loadgen/holds.go
+++ b/internal/loadgen/holds.go
@@ -14,46 +14,46 @@
 
 const (
 	holdPath = "/holds"
-	// impatience is how long a caller waits before it sends a hold again
-	// through another router, every impatientEvery-th time.
-	impatience     = 15 * time.Millisecond
-	impatientEvery = 4
-	maxHoldSends   = 6
+	// For one in earlyResendEvery holds, the client abandons the first attempt after earlyResendDelay and
+	// resends it through another router.
+	earlyResendDelay = 15 * time.Millisecond
+	earlyResendEvery = 4
+	maxHoldAttempts  = 6
 )
 
-// hold sends one unrepeatable request, again and again under the same key
-// until the answer is clear, as a booking client would.
+// hold sends one non-idempotent request repeatedly under the same key until its outcome is known, as a
+// booking client does.
 func (g *generator) hold(ctx context.Context, due time.Time, number int, key string) {
-	ctx, cancel := context.WithDeadline(ctx, due.Add(g.plan.Deadline+answerSlack))
+	ctx, cancel := context.WithDeadline(ctx, due.Add(g.plan.Deadline+responseGrace))
 	defer cancel()
-	if number%impatientEvery == 0 {
-		g.impatientSend(ctx, number, key)
+	if number%earlyResendEvery == 0 {
+		g.sendAndAbandon(ctx, number, key)
 	}
 	outcome := OutcomeDropped
-	for attempt := range maxHoldSends {
+	for attempt := range maxHoldAttempts {
 		if ctx.Err() != nil {
 			break
 		}
 		answered, lost := g.sendHold(ctx, number+attempt+1, key)
 		if lost {
-			// A broken connection takes nothing back that was said before.
-			g.recorder.resent()
+			// A broken connection does not invalidate the outcome of an earlier attempt.
+			g.recorder.recordResend()
 		} else if outcome = answered; outcome != OutcomeUnknown && outcome != OutcomeNotRun {
 			break
 		}
 		time.Sleep(resendDelay)
 	}
-	g.recorder.hold(key, outcome)
+	g.recorder.recordHold(key, outcome)
 }
 
-// impatientSend gives up on its answer long before it comes.
-func (g *generator) impatientSend(ctx context.Context, number int, key string) {
-	short, cancel := context.WithTimeout(ctx, impatience)
+// sendAndAbandon sends a hold and abandons the response after earlyResendDelay.
+func (g *generator) sendAndAbandon(ctx context.Context, number int, key string) {
+	short, cancel := context.WithTimeout(ctx, earlyResendDelay)
 	defer cancel()
 	_, _ = g.sendHold(short, number, key)
 }
 
-type holdAnswer struct {
+type holdResponse struct {
 	Key  string `json:"key"`
 	Body string `json:"body"`
 }
@@ -68,7 +68,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Idempotency-Key", key)
 	request.Header.Set(gateway.HeaderDeadline, g.plan.Deadline.String())
-	// The client itself must not repeat: it has to show what one sending does.
+	// Prevents the HTTP client from retrying on its own.
 	request.GetBody = nil
 	response, err := g.client.Do(request)
 	if err != nil {
@@ -76,33 +76,33 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		refused := refusalOf(response)
-		return refused.outcome, refused.lost
+		refused := decodeRefusal(response)
+		return refused.outcome, refused.connectionLost
 	}
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return OutcomeDropped, true
 	}
-	var decoded holdAnswer
+	var decoded holdResponse
 	if json.Unmarshal(content, &decoded) != nil || decoded.Key != key || decoded.Body != body {
 		return OutcomeWrong, false
 	}
 	return OutcomeAnswered, false
 }
 
-func (r *recorder) hold(key string, outcome Outcome) {
+func (r *recorder) recordHold(key string, outcome Outcome) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.summary.Total++
 	r.summary.Holds++
 	r.summary.Requests[outcome]++
 	if outcome == OutcomeNotRun {
-		r.notRun[key] = true
+		r.notRunKeys[key] = true
 	}
 }
 
-// judgeHolds compares what callers were told with what the back ends ran.
-func (r *recorder) judgeHolds(executions map[string]int) {
+// checkHolds compares the outcomes reported to clients with the executions at the backends.
+func (r *recorder) checkHolds(executions map[string]int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	duplicates, falseNotRun := 0, 0
@@ -111,7 +111,7 @@
 		if count > 1 {
 			duplicates++
 		}
-		if count > 0 && r.notRun[key] {
+		if count > 0 && r.notRunKeys[key] {
 			falseNotRun++
 		}
 	}
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -8,30 +8,29 @@
 
 // Plan describes a load.
 type Plan struct {
-	// Routers are the base URLs that requests are spread over.
+	// Routers are the base URLs over which requests are spread.
 	Routers []string
-	// Duration of the steady part.
+	// Duration of the steady load.
 	Duration time.Duration
-	// Burst is how many requests to cold models come at once at the start,
-	// through all routers.
+	// Burst is the number of requests to cold models at the start, through all routers.
 	Burst int
-	// Rate of inference requests a second in the steady part.
+	// Rate is the number of inference requests per second of the steady load.
 	Rate float64
-	// StreamShare of inference requests are streams.
+	// StreamShare is the fraction of inference requests that stream their response.
 	StreamShare float64
 	// Skew is the exponent of the Zipf distribution over models; above 1.
 	Skew float64
-	// Tokens asked for.
+	// Tokens requested per response.
 	Tokens int
-	// Service and HoldRate of unrepeatable requests; an empty service: none.
+	// HoldRate is the number of non-idempotent requests per second to Service; none if Service is
+	// empty.
 	Service  string
 	HoldRate float64
-	// Deadline of every request.
+	// Deadline of each request.
 	Deadline time.Duration
 	Seed     uint64
 }
 
-// Validate checks the plan.
 func (p *Plan) Validate() error {
 	switch {
 	case len(p.Routers) == 0:
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is how a request ended for its client.
 type Outcome string
 
 // The outcomes of requests.
@@ -18,15 +18,15 @@
 	OutcomeAnswered Outcome = "answered"
 	OutcomeNotRun   Outcome = "refused_not_run"
 	OutcomeUnknown  Outcome = "unknown"
-	// OutcomeDropped: no answer and no refusal in time.
+	// OutcomeDropped: neither a response nor a refusal in time.
 	OutcomeDropped Outcome = "dropped"
-	// OutcomeWrong: an answer that is not the whole answer to the request.
+	// OutcomeWrong: a response that is not the complete response to the request.
 	OutcomeWrong Outcome = "wrong"
-	// OutcomeInvalid: the request itself was refused as bad.
+	// OutcomeInvalid: the request was rejected as invalid.
 	OutcomeInvalid Outcome = "invalid"
 )
 
-// Percentiles of a duration in seconds.
+// Percentiles are in seconds.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -36,7 +36,6 @@
 	Max   float64 `json:"max"`
 }
 
-// Summary is the result of a load.
 type Summary struct {
 	Result            string          `json:"result"`
 	Requests          map[Outcome]int `json:"requests"`
@@ -48,7 +47,7 @@
 	TokenGapSeconds   Percentiles     `json:"token_gap_seconds"`
 	Violations        map[string]int  `json:"violations"`
 	Seconds           float64         `json:"seconds"`
-	// Refusals counts refused requests by problem and detail.
+	// Refusals counts refused requests by title and detail of the problem.
 	Refusals map[string]int `json:"refusals,omitempty"`
 }
 
@@ -57,16 +56,15 @@
 	histogramPrecision = 3
 )
 
-// recorder gathers results from many goroutines.
+// recorder collects results from concurrent clients.
 type recorder struct {
 	mutex      sync.Mutex
 	summary    Summary
 	coldStart  *hdrhistogram.Histogram
 	firstToken *hdrhistogram.Histogram
 	tokenGap   *hdrhistogram.Histogram
-	// notRun holds the keys of unrepeatable requests whose last answer was
-	// "not run".
-	notRun map[string]bool
+	// notRunKeys holds the keys of non-idempotent requests whose last outcome was "not run".
+	notRunKeys map[string]bool
 }
 
 func newRecorder() *recorder {
@@ -75,11 +73,11 @@
 	}
 	return &recorder{
 		summary:   Summary{Requests: map[Outcome]int{}, Violations: map[string]int{}, Refusals: map[string]int{}},
-		coldStart: create(), firstToken: create(), tokenGap: create(), notRun: map[string]bool{},
+		coldStart: create(), firstToken: create(), tokenGap: create(), notRunKeys: map[string]bool{},
 	}
 }
 
-func record(histogram *hdrhistogram.Histogram, value time.Duration) {
+func recordDuration(histogram *hdrhistogram.Histogram, value time.Duration) {
 	_ = histogram.RecordValue(min(max(int64(value), int64(time.Microsecond)), histogramMax))
 }
 
@@ -93,7 +91,7 @@
 	}
 }
 
-func (r *recorder) finish(took time.Duration) *Summary {
+func (r *recorder) summarize(took time.Duration) *Summary {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.summary.ColdStartSeconds = percentilesOf(r.coldStart)
@@ -105,7 +103,7 @@
 	return &r.summary
 }
 
-// Judge sets the result from the violations.
+// Judge sets Result: it fails if there are violations or if no request was answered.
 func (s *Summary) Judge() {
 	s.Result = "ok"
 	for _, count := range s.Violations {
@@ -118,7 +116,7 @@
 	}
 }
 
-// WriteTable writes the summary for a person.
+// WriteTable writes the summary as text.
 func (s *Summary) WriteTable(writer io.Writer) {
 	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "REQUESTS\tCOUNT")
