--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -146,7 +146,7 @@
 
 func (w *watcher) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		decided := w.agent.view.DecidedFor(w.machine)
+		decided := w.agent.view.DecisionRevision(w.machine)
 		pause := w.cycle(ctx)
 		w.wait(ctx, pause, decided)
 	}
@@ -160,7 +160,7 @@
 	defer timer.Stop()
 	for {
 		changed := w.agent.view.Changed()
-		if w.agent.view.DecidedFor(w.machine) != decided {
+		if w.agent.view.DecisionRevision(w.machine) != decided {
 			return
 		}
 		select {
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -224,7 +224,7 @@
 // acceptReport stores a router's report and returns whether the leader should reconcile at once.
 func (c *controlNode) acceptReport(report *wirepb.NodeReport) (urgent bool) {
 	c.mergeLimits(report.GetLimits())
-	return c.reports.Take(c.clock(), report)
+	return c.reports.Add(c.clock(), report)
 }
 
 // reconcile runs the controllers. The next run starts only after the writes of this one.
--- a/internal/policysim/simulation.go
+++ b/internal/policysim/simulation.go
@@ -188,7 +188,7 @@
 		router.applyOutcome(router.core.SetTargets(s.wall(), targets))
 	}
 	for _, machine := range s.machines {
-		if revision := s.view.DecidedFor(machine.name); revision != machine.decisionRevision {
+		if revision := s.view.DecisionRevision(machine.name); revision != machine.decisionRevision {
 			machine.decisionRevision = revision
 			s.After(orderDelay, machine.applyOrders)
 		}
@@ -219,7 +219,7 @@
 	}
 	s.reconciledAt = s.Now()
 	for _, router := range s.routers {
-		s.reports.Take(s.Now(), router.report())
+		s.reports.Add(s.Now(), router.report())
 	}
 	s.controller.Observe(s.state)
 	s.commit(s.controller.MachineWrites(s.Now(), nil))
