--- a/internal/faultsim/requests.go
+++ b/internal/faultsim/requests.go
@@ -217,7 +217,7 @@
 }
 
 // placeHold executes a hold, or reports that it did not run.
-func (l *ledger) placeHold(key, owner string, reply func(claims.SendEnd)) {
+func (l *ledger) placeHold(key, owner string, reply func(claims.SendOutcome)) {
 	if l.sim.random.IntN(10) == 0 {
 		reply(claims.SendNotRun)
 		return
@@ -360,9 +360,9 @@
 		return
 	}
 	ledger := r.sim.ledger
-	call(&r.process, &ledger.process, left, func(reply func(claims.SendEnd)) {
+	call(&r.process, &ledger.process, left, func(reply func(claims.SendOutcome)) {
 		ledger.placeHold(h.key, h.owner, reply)
-	}, func(end claims.SendEnd, answered bool) {
+	}, func(end claims.SendOutcome, answered bool) {
 		if !answered {
 			end = claims.SendUnknown
 		}
@@ -375,7 +375,7 @@
 		h.reportOutcome(outcomeNotRun)
 		ledger := h.router.sim.ledger
 		h.router.sim.send(&h.router.process, &ledger.process, func() {
-			ledger.placeHold(h.key, h.owner, func(claims.SendEnd) {})
+			ledger.placeHold(h.key, h.owner, func(claims.SendOutcome) {})
 		})
 		return
 	}
