--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -272,7 +272,7 @@
 	if strings.HasPrefix(textOf(last.Fields, "detail"), v1.ReasonZoneDrained) {
 		return text + drainedBy(lines, last.Time)
 	}
-	if strings.HasPrefix(textOf(last.Fields, "detail"), string(dispatch.RefusedResting)) {
+	if strings.HasPrefix(textOf(last.Fields, "detail"), string(dispatch.RefusedBackoff)) {
 		return text + s.restedBy(lines, last)
 	}
 	if !strings.Contains(textOf(last.Fields, "detail"), "no replica") {
--- a/internal/faultsim/backoff.go
+++ b/internal/faultsim/backoff.go
@@ -43,7 +43,7 @@
 // handleRejection applies the backoff requested by an engine and resubmits the request.
 func (r *routerNode) handleRejection(entry *inference, grant dispatch.Grant, from *machine) {
 	if r.sim.mutation != MutationIgnoreBackoff {
-		r.applyOutcome(r.core.Rest(r.wall(), grant.Target.Machine, backoffDuration))
+		r.applyOutcome(r.core.BackOff(r.wall(), grant.Target.Machine, backoffDuration))
 	}
 	r.sim.checks.recordBackoff(r, from)
 	r.resubmit(entry, grant, dispatch.ResultRejected)
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -42,10 +42,10 @@
 	bootstrap *wirepb.Membership
 	// lost marks a node whose machine and disk are permanently gone.
 	lost          bool
-	stallDetector drains.StallWatch
+	stallDetector drains.StallDetector
 	// limits are the engines' rate limits known to the node; permits are issued only while it leads.
 	limits  *ratelimit.Limits
-	permits *permits.Permits
+	permits *permits.Buckets
 	// muted drops messages to other control nodes.
 	muted bool
 }
@@ -79,8 +79,8 @@
 	c.limits, c.permits = ratelimit.New(), nil
 	c.reconciling = false
 	if c.sim.hasDrains {
-		c.stallDetector = drains.StallWatch{}
-		c.every(drains.StallLook, func() { c.stallDetector.Run(c.clock()) })
+		c.stallDetector = drains.StallDetector{}
+		c.every(drains.StallCheckInterval, func() { c.stallDetector.Tick(c.clock()) })
 	}
 	c.every(controlTick, func() {
 		c.member.Raft.Tick(c.clock())
--- a/internal/faultsim/crashes.go
+++ b/internal/faultsim/crashes.go
@@ -146,7 +146,7 @@
 
 // instanceName identifies the current engine process of the machine.
 func (m *machine) instanceName() string {
-	return quarantine.LifeOf(m.name, m.incarnation)
+	return quarantine.InstanceName(m.name, m.incarnation)
 }
 
 // breakRequests breaks the connections of all running requests and returns the requests.
@@ -181,29 +181,29 @@
 
 // handleBroken handles a request whose response was cut off.
 func (r *routerNode) handleBroken(machineName, instance string, content *requestContent) {
-	run := quarantine.Run{Machine: machineName, Life: instance, Identity: content.identity}
-	switch r.crashes.Broken(r.wall(), run) {
-	case quarantine.NextExamine:
+	run := quarantine.BrokenRequest{Machine: machineName, Instance: instance, Identity: content.identity}
+	switch r.crashes.AddBroken(r.wall(), run) {
+	case quarantine.ActionProbe:
 		r.probe(run, r.sim.Now()+probeWindow)
-	case quarantine.NextRecord:
-		r.recordCrash([]quarantine.Run{run})
+	case quarantine.ActionRecord:
+		r.recordCrash([]quarantine.BrokenRequest{run})
 	default:
 	}
 }
 
 // probe examines a machine repeatedly until it is clear whether its engine crashed.
-func (r *routerNode) probe(run quarantine.Run, until time.Duration) {
+func (r *routerNode) probe(run quarantine.BrokenRequest, until time.Duration) {
 	conclude := func(verdict quarantine.Verdict) {
-		if runs := r.crashes.Judged(r.wall(), run.Life, verdict); len(runs) > 0 {
+		if runs := r.crashes.ApplyVerdict(r.wall(), run.Instance, verdict); len(runs) > 0 {
 			r.recordCrash(runs)
 		}
 	}
-	r.collectEvidence(run, func(evidence quarantine.Sign) {
+	r.collectEvidence(run, func(evidence quarantine.Evidence) {
 		if r.sim.mutation == MutationResetCountsAsCrash && evidence.Accepts {
 			evidence.Accepts, evidence.Refuses = false, true
 		}
-		switch verdict := evidence.Judge(); {
-		case verdict != quarantine.VerdictNone:
+		switch verdict := evidence.Verdict(); {
+		case verdict != quarantine.VerdictPending:
 			conclude(verdict)
 		case r.sim.Now() >= until:
 			conclude(quarantine.VerdictUnknown)
@@ -214,9 +214,9 @@
 }
 
 // collectEvidence combines the machine's phase in the view with the result of a connection attempt.
-func (r *routerNode) collectEvidence(run quarantine.Run, done func(quarantine.Sign)) {
+func (r *routerNode) collectEvidence(run quarantine.BrokenRequest, done func(quarantine.Evidence)) {
 	target := r.sim.machineNamed(run.Machine)
-	evidence := quarantine.Sign{}
+	evidence := quarantine.Evidence{}
 	if known, isKnown := r.view.Machine(run.Machine); isKnown {
 		evidence.Leaving = known.Status.Phase == v1.MachineLeaving || known.Status.Phase == v1.MachineGone
 	}
@@ -233,19 +233,19 @@
 		return
 	}
 	s.After(2*baseDelay, func() {
-		evidence.Accepts = target.up && target.instanceName() == run.Life
+		evidence.Accepts = target.up && target.instanceName() == run.Instance
 		evidence.Refuses = !target.up
-		evidence.Replaced = target.up && target.instanceName() != run.Life
+		evidence.Replaced = target.up && target.instanceName() != run.Instance
 		r.run(r.epoch, settle)
 	})
 }
 
 // recordCrash proposes crash records until the view contains them.
-func (r *routerNode) recordCrash(runs []quarantine.Run) {
+func (r *routerNode) recordCrash(runs []quarantine.BrokenRequest) {
 	if r.sim.mutation == MutationUnsharedCrashes {
 		return
 	}
-	r.commit(quarantine.RecordCommand(runs[0].Life, runs), func() { r.crashes.Recorded(runs) })
+	r.commit(quarantine.RecordCommand(runs[0].Instance, runs), func() { r.crashes.MarkRecorded(runs) })
 }
 
 // commit proposes a command until it is answered, and calls next once the view contains it.
@@ -272,8 +272,8 @@
 
 // handleCompleted clears the suspicion of a request that an engine has completed.
 func (r *routerNode) handleCompleted(content *requestContent) {
-	if r.crashes.Completed(content.identity, r.view.Suspect(content.identity) != nil) {
-		r.commit(quarantine.ClearCommand(content.identity), func() { r.crashes.Cleared(content.identity) })
+	if r.crashes.Complete(content.identity, r.view.Suspect(content.identity) != nil) {
+		r.commit(quarantine.ClearCommand(content.identity), func() { r.crashes.MarkCleared(content.identity) })
 	}
 }
 
--- a/internal/faultsim/drains.go
+++ b/internal/faultsim/drains.go
@@ -89,17 +89,17 @@
 		done(false)
 		return
 	}
-	c.after(drains.SettleTime, func() { c.tryDrain(order, begun, done) })
+	c.after(drains.SettleDelay, func() { c.tryDrain(order, begun, done) })
 }
 
 func (c *controlNode) tryDrain(order zoneOrder, begun time.Duration, done func(accepted bool)) {
 	c.linearizableRead(func() {
-		if c.clock()-begun > drains.LookTime && !c.acceptsLateDrains() {
+		if c.clock()-begun > drains.ReadWindow && !c.acceptsLateDrains() {
 			done(false)
 			return
 		}
 		revision := c.member.State.Get(v1.KindZoneDrain, order.zone).GetRevision()
-		write, err := drains.Write(order.zone, order.drained, revision, c.wall())
+		write, err := drains.NewWrite(order.zone, order.drained, revision, c.wall())
 		if err != nil {
 			done(false)
 			return
--- a/internal/faultsim/limits.go
+++ b/internal/faultsim/limits.go
@@ -32,11 +32,11 @@
 	if m.limit.IsSet {
 		return nil
 	}
-	m.limit, m.limitKnown, m.limitArrivals = ratelimit.Of(statedRate), 0, nil
+	m.limit, m.limitKnown, m.limitArrivals = ratelimit.NewLimit(statedRate), 0, nil
 	incarnation := m.incarnation
 	s.After(span+limitExtension, func() {
 		if m.incarnation == incarnation {
-			m.limit = ratelimit.None
+			m.limit = ratelimit.Unlimited
 		}
 	})
 	return noHeal
@@ -44,8 +44,8 @@
 
 // observeLimit records the limit advertised in the response to a request sent at the given time.
 func (r *routerNode) observeLimit(m *machine, stated ratelimit.Limit, sent time.Duration) {
-	r.limits.Observe(m.name, ratelimit.Statement{Limit: stated, Sent: sent, Heard: r.clock()})
-	r.core.SetLimited(r.limits.Set())
+	r.limits.Observe(m.name, ratelimit.Statement{Limit: stated, Sent: sent, Received: r.clock()})
+	r.core.SetLimited(r.limits.Active())
 	if stated.IsSet && m.limitKnown == 0 {
 		m.limitKnown = r.sim.Now() + limitPropagation
 	}
@@ -56,7 +56,7 @@
 	for _, observed := range nodeview.LimitObservations(digest.GetLimits()) {
 		r.limits.Merge(r.clock(), observed)
 	}
-	r.core.SetLimited(r.limits.Set())
+	r.core.SetLimited(r.limits.Active())
 }
 
 // sendWithPermit sends a granted request. If its engine is limited, it first requests a permit from
@@ -81,7 +81,7 @@
 		switch {
 		case !answered || answer.GetUnavailable():
 			r.permitsUnavailableUntil = r.clock() + permits.Lifetime
-			r.core.HoldPaced(r.wall().Add(permits.Lifetime))
+			r.core.HoldPermitMachines(r.wall().Add(permits.Lifetime))
 			r.requeue(entry, grant, permits.Lifetime)
 		case !answer.GetGranted():
 			r.requeue(entry, grant, max(dispatchTick, time.Duration(answer.GetRetryAfterMs())*time.Millisecond))
@@ -140,11 +140,11 @@
 		return &wirepb.PermitReply{Unavailable: true}
 	}
 	c.mergeLimits([]*wirepb.MachineLimit{request.GetLimit()})
-	limit := c.limits.Of(request.GetMachine())
+	limit := c.limits.Get(request.GetMachine())
 	if !limit.IsSet {
 		return &wirepb.PermitReply{Granted: true}
 	}
-	decision := c.permits.Take(c.clock(), request.GetMachine(), limit.Pace())
+	decision := c.permits.Take(c.clock(), request.GetMachine(), limit.BucketConfig())
 	if !c.holdsLease() || !c.member.Raft.Status().LeadsIn(c.controller.Term()) {
 		return &wirepb.PermitReply{Unavailable: true}
 	}
--- a/internal/faultsim/machine.go
+++ b/internal/faultsim/machine.go
@@ -65,7 +65,7 @@
 func (m *machine) startEngine() {
 	m.markUp()
 	m.incarnation++
-	m.limit = ratelimit.None
+	m.limit = ratelimit.Unlimited
 	m.unreportedLoads = map[string]string{}
 	m.engine.Restart(m.incarnation)
 }
--- a/internal/faultsim/requests.go
+++ b/internal/faultsim/requests.go
@@ -84,8 +84,8 @@
 // isQuarantined reports whether a request must currently not be sent to any engine.
 func (r *routerNode) isQuarantined(content *requestContent) bool {
 	suspect := r.view.Suspect(content.identity)
-	_, quarantined := r.crashes.Crashed(content.identity, suspect)
-	refused := quarantined || r.crashes.Doubted(content.identity, suspect)
+	_, quarantined := r.crashes.Crashes(content.identity, suspect)
+	refused := quarantined || r.crashes.IsPending(content.identity, suspect)
 	if refused && !content.isPoison {
 		r.sim.checks.healthyRefused++
 	}
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -30,7 +30,7 @@
 	requests       uint64
 	view           *nodeview.View
 	demandReporter *nodeview.DemandReporter
-	core           *dispatch.Core
+	core           *dispatch.Scheduler
 	waiting        map[uint64]*inference
 	watches        map[string]*machineWatch
 	upstream       int
@@ -44,7 +44,7 @@
 	// maxRevision is the highest revision that this process has applied.
 	maxRevision uint64
 	draining    bool
-	crashes     *quarantine.Watch
+	crashes     *quarantine.Tracker
 	limits      *ratelimit.Limits
 	// permitsUnavailableUntil suspends permit requests after one failed.
 	permitsUnavailableUntil time.Duration
@@ -78,7 +78,7 @@
 	r.wasCurrent = false
 	r.maxRevision = 0
 	r.draining = false
-	r.crashes = quarantine.NewWatch()
+	r.crashes = quarantine.NewTracker()
 	r.limits, r.permitsUnavailableUntil = ratelimit.New(), 0
 	r.every(pollInterval, r.poll)
 	r.every(agentInterval, r.watchMachines)
