--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -18,56 +18,54 @@
 
 const (
 	maxEventBytes = 1 << 20
-	// stallTimeout is how long a stream may bring nothing.
-	stallTimeout = 30 * time.Second
-	maxResumes   = 3
-	resumeDelay  = 50 * time.Millisecond
+	stallTimeout  = 30 * time.Second
+	maxResumes    = 3
+	resumeDelay   = 50 * time.Millisecond
 )
 
-var streamEnd = []byte("data: [DONE]")
+var streamEndMarker = []byte("data: [DONE]")
 
-// streamRelay passes a server-sent event stream on, whole events at a time.
-// It counts what it has passed on, so that a broken stream resumes with the
-// next event and the caller sees none twice.
+// streamRelay relays a stream of server-sent events. It sends only complete
+// events and counts them, so that a broken stream can be resumed at the next one.
 type streamRelay struct {
-	gateway   *Gateway
-	writer    http.ResponseWriter
-	created   *job
-	grant     *dispatch.Grant
-	attemptID string
-	waiting   context.Context
+	gateway     *Gateway
+	writer      http.ResponseWriter
+	job         *job
+	grant       *dispatch.Grant
+	attemptID   string
+	deadlineCtx context.Context
 
-	passed   int
+	relayed  int
 	finished bool
-	// callerGone is set when writing to the caller failed.
-	callerGone bool
+	// clientGone is set when a write to the client failed.
+	clientGone bool
 }
 
-// run passes the stream on until its end. The stop function takes away the
-// deadline, which ends with the first event.
-func (s *streamRelay) run(ctx context.Context, stop func() bool, response *http.Response) attemptEnd {
+// run relays the stream to its end. It calls stop at the first event to remove the
+// deadline.
+func (s *streamRelay) run(ctx context.Context, stop func() bool, response *http.Response) attemptOutcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.copyEvents(response, cancel, stop)
-	if !s.finished && !s.callerGone && ctx.Err() == nil {
-		s.gateway.noteBroken(s.created, s.grant)
+	if !s.finished && !s.clientGone && ctx.Err() == nil {
+		s.gateway.reportBroken(s.job, s.grant)
 	}
-	for resumes := 0; !s.finished && !s.callerGone; resumes++ {
-		if s.passed == 0 {
-			return failedBy(s.waiting)
+	for resumes := 0; !s.finished && !s.clientGone; resumes++ {
+		if s.relayed == 0 {
+			return failureOutcome(s.deadlineCtx)
 		}
 		if resumes == maxResumes || ctx.Err() != nil {
-			s.writeBroken()
-			return endBroken
+			s.writeStreamError()
+			return outcomeBroken
 		}
 		if !s.resume(ctx, cancel) {
 			time.Sleep(resumeDelay)
 		}
 	}
-	return endAnswered
+	return outcomeAnswered
 }
 
-// copyEvents passes events on until the stream ends or breaks.
+// copyEvents relays events until the stream ends or breaks.
 func (s *streamRelay) copyEvents(response *http.Response, cancel context.CancelFunc, stop func() bool) {
 	reader := bufio.NewReader(response.Body)
 	stall := time.AfterFunc(stallTimeout, cancel)
@@ -78,28 +76,27 @@
 			return
 		}
 		stall.Reset(stallTimeout)
-		if s.passed == 0 {
+		if s.relayed == 0 {
 			stop()
-			s.begin(response)
+			s.writeHeader(response)
 		}
 		if _, err := s.writer.Write(event); err != nil {
-			s.callerGone = true
+			s.clientGone = true
 			return
 		}
 		_ = http.NewResponseController(s.writer).Flush()
-		s.passed++
-		s.finished = bytes.Contains(event, streamEnd)
+		s.relayed++
+		s.finished = bytes.Contains(event, streamEndMarker)
 	}
 }
 
-func (s *streamRelay) begin(response *http.Response) {
-	s.gateway.options.Metrics.firstByte.Observe(time.Since(s.created.arrived).Seconds())
-	copyAnswerHeaders(s.writer.Header(), response.Header)
+func (s *streamRelay) writeHeader(response *http.Response) {
+	s.gateway.options.Metrics.firstByte.Observe(time.Since(s.job.arrived).Seconds())
+	copyResponseHeaders(s.writer.Header(), response.Header)
 	s.writer.WriteHeader(response.StatusCode)
 }
 
-// readEvent reads up to and including the blank line that ends an event. An
-// event cut short is an error and is not passed on.
+// readEvent reads one event, including the blank line that ends it.
 func readEvent(reader *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -109,7 +106,7 @@
 			return nil, fault.Engine.Wrap(err, "reading a stream")
 		}
 		if len(event) > maxEventBytes {
-			return nil, fault.Engine.New("event of more than %d bytes", maxEventBytes)
+			return nil, fault.Engine.New("event is longer than %d bytes", maxEventBytes)
 		}
 		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return event, nil
@@ -117,10 +114,10 @@
 	}
 }
 
-// resume asks the engine for the rest of the stream. It returns false if the
-// engine can't be asked or does not know the request.
+// resume requests the rest of the stream from the engine. It returns false if the
+// engine is unreachable or does not know the request.
 func (s *streamRelay) resume(ctx context.Context, cancel context.CancelFunc) bool {
-	path := "/v1/requests/" + url.PathEscape(s.attemptID) + "/stream?from=" + strconv.Itoa(s.passed)
+	path := "/v1/requests/" + url.PathEscape(s.attemptID) + "/stream?from=" + strconv.Itoa(s.relayed)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, s.grant.Target.Endpoint+path, nil)
 	if err != nil {
 		return false
@@ -139,12 +136,12 @@
 	return true
 }
 
-// writeBroken ends the caller's stream with a typed error and without the
-// end mark, so that no client takes it for complete.
-func (s *streamRelay) writeBroken() {
-	document := problem.New(problem.TypeStreamBroken, http.StatusBadGateway, "the stream broke after "+strconv.Itoa(s.passed)+" events")
+// writeStreamError ends the client's stream with a typed error and without the end
+// marker.
+func (s *streamRelay) writeStreamError() {
+	document := problem.New(problem.TypeStreamBroken, http.StatusBadGateway, "the stream broke after "+strconv.Itoa(s.relayed)+" events")
 	document.Outcome = problem.OutcomeUnknown
-	document.RequestID = s.created.id
+	document.RequestID = s.job.id
 	s.gateway.options.Metrics.problems.WithLabelValues(document.Kind(), string(document.Outcome)).Inc()
 	encoded, err := json.Marshal(struct {
 		Error *problem.Document `json:"error"`
