--- a/internal/emulator/grey.go
+++ b/internal/emulator/grey.go
@@ -8,11 +8,11 @@
 )
 
 // withGreyFailures wraps the handler of a worker if it is among the first ones, which are grey.
-func (w *World) withGreyFailures(handler http.Handler, position, workers int) http.Handler {
-	if position >= w.config.Grey.workerCount(workers) {
+func (e *Environment) withGreyFailures(handler http.Handler, position, workers int) http.Handler {
+	if position >= e.config.Grey.workerCount(workers) {
 		return handler
 	}
-	return &greyHandler{next: handler, errors: w.config.Grey.Errors, faults: w.faults}
+	return &greyHandler{next: handler, errors: e.config.Grey.Errors, faults: e.faults}
 }
 
 // greyHandler fails a fraction of the client requests. Reports and orders are unaffected.
--- a/internal/emulator/grey_test.go
+++ b/internal/emulator/grey_test.go
@@ -34,13 +34,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	world, err := emulator.Start(config)
+	environment, err := emulator.Start(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer world.Close()
+	defer environment.Close()
 	failing := 0
-	for _, endpoint := range world.Addresses().Backends["ledger"] {
+	for _, endpoint := range environment.Addresses().Backends["ledger"] {
 		if statusOf(t, http.MethodPost, endpoint+"/hold") == http.StatusInternalServerError {
 			failing++
 		}
@@ -49,7 +49,7 @@
 		t.Errorf("%d of 4 backends fail, want 2", failing)
 	}
 	failing = 0
-	for name, endpoint := range world.Addresses().Engines {
+	for name, endpoint := range environment.Addresses().Engines {
 		if statusOf(t, http.MethodPost, endpoint+"/v1/completions") == http.StatusInternalServerError {
 			failing++
 		}
--- a/internal/emulator/inference.go
+++ b/internal/emulator/inference.go
@@ -56,8 +56,8 @@
 	return strconv.FormatUint(xxhash.Sum64String(prompt)%1_000_000, 36) + "-" + strconv.Itoa(position) + " "
 }
 
-// Answer returns the whole response to a prompt.
-func Answer(prompt string, tokens int) string {
+// Completion returns the whole response to a prompt.
+func Completion(prompt string, tokens int) string {
 	var text strings.Builder
 	for position := range tokens {
 		text.WriteString(Token(prompt, position))
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return ""
 	}
-	return emulator.Answer(string(encoded), c.tokens)
+	return emulator.Completion(string(encoded), c.tokens)
 }
 
 func readComplete(call inferenceCall, body io.Reader, result callResult) callResult {
