--- a/cmd/weldbench/simulate.go
+++ b/cmd/weldbench/simulate.go
@@ -43,7 +43,7 @@
 		}
 		fmt.Println(string(encoded))
 	}
-	if broken := result.Broken(); broken > 0 {
+	if broken := result.Violations(); broken > 0 {
 		return fault.Refused.New("%d promises were broken", broken)
 	}
 	return nil
--- a/internal/policysim/compare.go
+++ b/internal/policysim/compare.go
@@ -33,7 +33,7 @@
 
 type Job struct {
 	Policy string
-	Scale  float64
+	WeightScale  float64
 	Seed   uint64
 }
 
@@ -52,7 +52,7 @@
 	var mutex sync.Mutex
 	virtualtime.RunAll(len(jobs), func(position int) {
 		job := jobs[position]
-		results[position] = Run(scenario.withWeightScale(job.Scale), job.Seed, policies[position])
+		results[position] = Run(scenario.withWeightScale(job.WeightScale), job.Seed, policies[position])
 		mutex.Lock()
 		defer mutex.Unlock()
 		progress(results[position])
@@ -88,9 +88,9 @@
 	sums := map[key]*Comparison{}
 	var pairs []key
 	for position, job := range jobs {
-		pair := key{job.Policy, job.Scale}
+		pair := key{job.Policy, job.WeightScale}
 		if sums[pair] == nil {
-			sums[pair] = &Comparison{Scenario: scenario, Policy: job.Policy, WeightScale: job.Scale}
+			sums[pair] = &Comparison{Scenario: scenario, Policy: job.Policy, WeightScale: job.WeightScale}
 			pairs = append(pairs, pair)
 		}
 		sums[pair].add(results[position])
@@ -116,7 +116,7 @@
 	c.IdleHours += result.IdleHours
 	c.Loads += float64(result.Loads)
 	c.Refused += float64(result.Requests.RefusedNotRun)
-	c.Violations += result.Broken()
+	c.Violations += result.Violations()
 	c.MaxSeconds = max(c.MaxSeconds, result.Seconds)
 }
 
--- a/internal/policysim/plot.go
+++ b/internal/policysim/plot.go
@@ -18,25 +18,25 @@
 	pointRadius = 3
 )
 
-// Quantity is a value to plot against idle hours.
-type Quantity struct {
+// Metric is a value to plot against idle hours.
+type Metric struct {
 	Title string
 	Of    func(Comparison) float64
 }
 
-// Drawings lists the plots by file name.
-var Drawings = map[string]Quantity{
+// Plots lists the plots by file name.
+var Plots = map[string]Metric{
 	"cold-share":   {"requests that found no replica, %", func(c Comparison) float64 { return 100 * c.ColdShare }},
 	"replica-wait": {"p99 wait for a replica, s", func(c Comparison) float64 { return c.WaitP99 }},
 }
 
-// Draw writes a plot of a quantity against idle accelerator hours, with a point or curve per policy.
+// WritePlot writes a plot of a metric against idle accelerator hours, with a point or curve per policy.
 // The file extension selects the format.
-func Draw(path string, quantity Quantity, compared []Comparison) error {
+func WritePlot(path string, metric Metric, compared []Comparison) error {
 	chart := plot.New()
 	chart.Title.Text = compared[0].Scenario
 	chart.X.Label.Text = "idle accelerator hours"
-	chart.Y.Label.Text = quantity.Title
+	chart.Y.Label.Text = metric.Title
 	chart.Legend.Top = true
 	chart.Add(plotter.NewGrid())
 	seen := map[string]bool{}
@@ -45,7 +45,7 @@
 			continue
 		}
 		seen[entry.Policy] = true
-		if err := addCurve(chart, entry.Policy, len(seen)-1, curveOf(compared, entry.Policy, quantity.Of)); err != nil {
+		if err := addCurve(chart, entry.Policy, len(seen)-1, curveOf(compared, entry.Policy, metric.Of)); err != nil {
 			return err
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 	line, marks, err := plotter.NewLinePoints(values)
 	if err != nil {
-		return fault.Internal.Wrap(err, "drawing a curve")
+		return fault.Internal.Wrap(err, "plotting a curve")
 	}
 	lineColor := plotutil.Color(number)
 	line.Color, marks.Color = lineColor, lineColor
--- a/internal/policysim/policy.go
+++ b/internal/policysim/policy.go
@@ -18,18 +18,18 @@
 	keepAlive func(arrivals []arrival) keepalive.Policy
 }
 
-// OwnPolicy is the default keep-alive policy.
-const OwnPolicy = "adaptive"
+// DefaultPolicy is the default keep-alive policy.
+const DefaultPolicy = "adaptive"
 
 // PolicyNames lists the default policy and the baselines.
 var PolicyNames = []string{
-	OwnPolicy, "ski-rental", "fixed-10m", "none", "always-loaded", "round-robin", "clairvoyant",
+	DefaultPolicy, "ski-rental", "fixed-10m", "none", "always-loaded", "round-robin", "clairvoyant",
 }
 
 func PolicyByName(name string) (Policy, error) {
 	switch name {
 	case "round-robin":
-		return Policy{Name: name, RoundRobin: true, keepAlive: keepAliveByName(OwnPolicy)}, nil
+		return Policy{Name: name, RoundRobin: true, keepAlive: keepAliveByName(DefaultPolicy)}, nil
 	case "clairvoyant":
 		return Policy{Name: name, keepAlive: newClairvoyant}, nil
 	}
--- a/internal/policysim/run.go
+++ b/internal/policysim/run.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Broken counts violations of weldline's guarantees.
-func (r Result) Broken() int {
+// Violations counts violations of weldline's guarantees.
+func (r Result) Violations() int {
 	return r.Requests.Dropped + r.ReplicasOverDecided + r.MemoryOvercommits + r.DuplicateRuns +
 		r.FalseNotRun + r.InterruptedRequests + r.WorkAfterLeaving
 }
--- a/internal/policysim/run_test.go
+++ b/internal/policysim/run_test.go
@@ -30,13 +30,13 @@
 func TestPoliciesKeepInvariants(t *testing.T) {
 	for _, name := range []string{"seatdesk", "ramlochun"} {
 		scenario := shortScenario(t, name)
-		for _, policyName := range []string{OwnPolicy, "fixed-10m", "round-robin", "clairvoyant"} {
+		for _, policyName := range []string{DefaultPolicy, "fixed-10m", "round-robin", "clairvoyant"} {
 			policy, err := PolicyByName(policyName)
 			if err != nil {
 				t.Fatal(err)
 			}
 			result := runUntil(scenario, 1, policy, testDuration)
-			if result.Broken() != 0 || result.Requests.Answered == 0 {
+			if result.Violations() != 0 || result.Requests.Answered == 0 {
 				t.Errorf("%s %s: %+v", name, policyName, result)
 			}
 			ended := result.Requests.Answered + result.Requests.RefusedNotRun + result.Requests.Unknown
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := PolicyByName(OwnPolicy)
+	policy, err := PolicyByName(DefaultPolicy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 // TestResultsAreDeterministic also requires that the seed affects the result.
 func TestResultsAreDeterministic(t *testing.T) {
 	scenario := shortScenario(t, "seatdesk")
-	policy, err := PolicyByName(OwnPolicy)
+	policy, err := PolicyByName(DefaultPolicy)
 	if err != nil {
 		t.Fatal(err)
 	}
