--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -51,8 +51,8 @@
 	recorder *recorder
 }
 
-// JudgeAudit adds the violations found by the emulator's audit.
-func (r *Recorder) JudgeAudit(audit emulator.Audit) {
+// AddAuditViolations adds the violations found by the emulator's audit.
+func (r *Recorder) AddAuditViolations(audit emulator.Audit) {
 	r.recorder.checkHolds(audit.Executions)
 	r.recorder.mutex.Lock()
 	defer r.recorder.mutex.Unlock()
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -103,8 +103,8 @@
 	return &r.summary
 }
 
-// Judge sets Result: it fails if there are violations or if no request was answered.
-func (s *Summary) Judge() {
+// SetResult sets Result: it fails if there are violations or if no request was answered.
+func (s *Summary) SetResult() {
 	s.Result = "ok"
 	for _, count := range s.Violations {
 		if count > 0 {
