--- a/internal/policysim/compare.go
+++ b/internal/policysim/compare.go
@@ -32,9 +32,9 @@
 }
 
 type Job struct {
-	Policy string
-	WeightScale  float64
-	Seed   uint64
+	Policy      string
+	WeightScale float64
+	Seed        uint64
 }
 
 // Compare runs jobs on all processors and averages them over the seeds. The comparisons are in the
