--- a/internal/emulator/inference.go
+++ b/internal/emulator/inference.go
@@ -227,7 +227,7 @@
 		e.auditor.update(func(audit *Audit) { audit.WorkAfterLeaving++ })
 	}
 	e.mutex.Lock()
-	life, cancel := context.WithCancel(e.processContext)
+	generation, cancel := context.WithCancel(e.processContext)
 	created := newStream(cancel)
 	created.chat = len(body.Messages) > 0
 	e.streams[id] = created
@@ -236,7 +236,7 @@
 	go func() {
 		defer cancel()
 		defer e.releaseSlot(target, bytes)
-		e.generate(life, target, created, body, prompt, prefill)
+		e.generate(generation, target, created, body, prompt, prefill)
 		time.AfterFunc(streamRetention, func() { e.removeStream(id, created) })
 	}()
 	return created
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -220,11 +220,11 @@
 }
 
 func (r *routerNode) fetchReport(watch *machineWatch, next func(engine.Report)) {
-	asked := r.sim.Now()
+	requestedAt := r.sim.Now()
 	call(&r.process, &watch.machine.process, engineTimeout, func(reply func(engine.Report)) {
 		reply(watch.machine.engine.Report())
 	}, func(report engine.Report, answered bool) {
-		watch.observed = asked
+		watch.observed = requestedAt
 		if !answered {
 			watch.busy = false
 			watch.report = &wirepb.MachineReport{Machine: watch.machine.name}
--- a/internal/policysim/machine.go
+++ b/internal/policysim/machine.go
@@ -120,17 +120,17 @@
 func (m *machine) load(loading *enginemodel.Replica) {
 	s := m.simulation
 	s.metrics.recordLoad()
-	life := m.instance
+	instance := m.instance
 	if s.random.Float64() < s.scenario.Faults.DieWhileLoading {
 		s.After(loadCrashDelay, func() {
-			if m.instance == life {
+			if m.instance == instance {
 				m.restart()
 			}
 		})
 	}
 	checkpoint, bytes := loading.Order.Checkpoint, loading.Order.WeightBytes
 	finish := func() {
-		if m.instance != life || !m.engine.FinishLoad(loading, "") {
+		if m.instance != instance || !m.engine.FinishLoad(loading, "") {
 			return
 		}
 		m.caches.Add(checkpoint, bytes)
@@ -141,7 +141,7 @@
 		s.After(time.Duration(float64(bytes)/speed*float64(time.Second)), finish)
 		return
 	}
-	wanted := func() bool { return m.instance == life && loading.Phase == engine.PhaseLoading }
+	wanted := func() bool { return m.instance == instance && loading.Phase == engine.PhaseLoading }
 	s.store.load(bytes, wanted, finish)
 }
 
