--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -218,7 +218,7 @@
 	} else if urgent {
 		c.reconcile()
 	}
-	return pollReply{changes: feed.ChangesOf(c.member.State, revision), digest: c.digest}
+	return pollReply{changes: feed.ChangesSince(c.member.State, revision), digest: c.digest}
 }
 
 // acceptReport stores a router's report and returns whether the leader should reconcile at once.
@@ -300,7 +300,7 @@
 }
 
 func (c *controlNode) applyDigest(digest *wirepb.ClusterDigest) {
-	if feed.Newer(digest, c.digest) {
+	if feed.IsNewerDigest(digest, c.digest) {
 		c.digest = digest
 		c.mergeLimits(digest.GetLimits())
 	}
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -144,7 +144,7 @@
 }
 
 func (r *routerNode) applyReply(answer pollReply) {
-	changes, fresh := feed.Fresh(r.view.Revision(), answer.changes)
+	changes, fresh := feed.NewerChanges(r.view.Revision(), answer.changes)
 	if r.sim.mutation == MutationRevert && answer.changes.Revision < r.view.Revision() {
 		r.view = nodeview.New()
 		changes, fresh = answer.changes, true
@@ -158,9 +158,9 @@
 	if answer.digest == nil {
 		return
 	}
-	r.liveness.Take(r.wall(), answer.digest, r.livenessRevision(answer.digest))
+	r.liveness.DigestReceived(r.wall(), answer.digest, r.livenessRevision(answer.digest))
 	before := r.view.Digest()
-	r.view.TakeDigest(answer.digest)
+	r.view.ApplyDigest(answer.digest)
 	if r.view.Digest() == before {
 		return
 	}
--- a/internal/policysim/simulation.go
+++ b/internal/policysim/simulation.go
@@ -173,7 +173,7 @@
 
 // propagate updates the view and notifies routers and agents.
 func (s *simulation) propagate() {
-	changes, fresh := feed.Fresh(s.view.Revision(), feed.ChangesOf(s.state, s.view.Revision()))
+	changes, fresh := feed.NewerChanges(s.view.Revision(), feed.ChangesSince(s.state, s.view.Revision()))
 	if !fresh {
 		return
 	}
