--- a/cmd/weldline/main.go
+++ b/cmd/weldline/main.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	if !configuration.Has(settings.RoleControl) {
+	if !configuration.HasRole(settings.RoleControl) {
 		return fault.InvalidField("roles", "only a control node has a data folder")
 	}
 	return datadir.Init(configuration.DataDir, datadir.Identity{
--- a/internal/faultsim/checks.go
+++ b/internal/faultsim/checks.go
@@ -363,7 +363,7 @@
 	}
 	c.checkFinalRouters()
 	c.checkFinalReplicas()
-	if _, open := c.reference.OpenClaims(); open > 0 {
+	if _, open := c.reference.ClaimCounts(); open > 0 {
 		c.violate(CheckConvergence, "%d claims still open", open)
 	}
 }
