--- a/internal/faultsim/campaign.go
+++ b/internal/faultsim/campaign.go
@@ -12,24 +12,24 @@
 	"github.com/weldline/weldline/internal/virtualtime"
 )
 
-// Summary is what a campaign over many schedules showed.
+// Summary aggregates the outcomes of many schedules.
 type Summary struct {
 	Result    string         `json:"result"`
 	Schedules int            `json:"schedules"`
 	Events    int            `json:"events"`
 	Committed int            `json:"committed"`
 	Faults    map[string]int `json:"faults"`
-	// Requests counts by what callers were told.
+	// Requests counts requests by the outcome reported to the client.
 	Requests map[string]int `json:"requests"`
-	// Violations counts the schedules that broke each check.
+	// Violations counts the schedules that violated each check.
 	Violations map[string]int `json:"violations"`
-	// Undecided counts histories too long to check for linearizability.
+	// Undecided counts the histories whose linearizability check timed out.
 	Undecided int `json:"undecided"`
-	// Replays holds the first schedule of each broken check, shortened.
+	// Replays holds the first schedule that violated each check, minimized.
 	Replays []Violation `json:"replays"`
-	// EngineCrashes counts the requests that end engines by how many ended under them.
+	// EngineCrashes counts poison requests by the number of engines that they crashed.
 	EngineCrashes map[int]int `json:"engines_ended"`
-	// HealthyRefused counts the sends of other requests that were refused like those.
+	// HealthyRefused counts ordinary requests that were refused as quarantined.
 	HealthyRefused int     `json:"innocents_refused"`
 	Seconds        float64 `json:"seconds"`
 }
@@ -65,9 +65,9 @@
 	}
 }
 
-// Campaign runs schedules on all processors and sums up what they showed;
-// progress is called with how many have ended, from several goroutines. The
-// summary, but for its seconds, depends on the schedules alone.
+// Campaign runs schedules on all processors and aggregates their outcomes. It calls progress
+// concurrently with the number of finished schedules. Apart from Seconds, the summary depends on the
+// schedules alone.
 func Campaign(schedules []Schedule, progress func(done int)) *Summary {
 	started := time.Now()
 	outcomes := make([]Outcome, len(schedules))
@@ -92,7 +92,7 @@
 	return summary
 }
 
-// ParseSchedule reads a schedule from YAML and checks it.
+// ParseSchedule decodes and validates a schedule in YAML.
 func ParseSchedule(data []byte) (Schedule, error) {
 	var schedule Schedule
 	if err := yaml.UnmarshalWithOptions(data, &schedule, yaml.Strict()); err != nil {
@@ -102,14 +102,14 @@
 		return Schedule{}, fault.InvalidField("mutation", "unknown mutation %s", schedule.Mutation)
 	}
 	for position, entry := range schedule.Faults {
-		if field, problem := entry.check(); problem != "" {
-			return Schedule{}, fault.InvalidField(fieldOf(position, field), "%s", problem)
+		if field, problem := entry.validate(); problem != "" {
+			return Schedule{}, fault.InvalidField(faultField(position, field), "%s", problem)
 		}
 	}
 	return schedule, nil
 }
 
-func (f Fault) check() (field, problem string) {
+func (f Fault) validate() (field, problem string) {
 	switch {
 	case !slices.Contains(Kinds, f.Kind) && !slices.Contains(AdditionalKinds, f.Kind):
 		return "kind", "unknown kind of fault " + string(f.Kind)
@@ -123,6 +123,6 @@
 	return "", ""
 }
 
-func fieldOf(position int, field string) string {
+func faultField(position int, field string) string {
 	return "faults[" + strconv.Itoa(position) + "]." + field
 }
