--- a/api/v1/routing.go
+++ b/api/v1/routing.go
@@ -215,8 +215,8 @@
 // References implements Spec.
 func (s *DeclarationSpec) References() []Reference { return nil }
 
-// CheckRoutes refuses routes that share host and prefix.
-func CheckRoutes(routes map[string]*RouteSpec) error {
+// ValidateRoutes refuses routes that share host and prefix.
+func ValidateRoutes(routes map[string]*RouteSpec) error {
 	names := make([]string, 0, len(routes))
 	for name := range routes {
 		names = append(names, name)
--- a/api/v1/suspect.go
+++ b/api/v1/suspect.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MaxCrashesRecorded bounds the machines that a Suspect names.
-const MaxCrashesRecorded = 16
+// MaxRecordedCrashes bounds the machines that a Suspect names.
+const MaxRecordedCrashes = 16
 
 // SuspectSpec is what is known of a request that was at machines when their processes ended.
 // It is named by the request's identity. Deleting it lets the request run again.
@@ -23,7 +23,7 @@
 func (s *SuspectSpec) setDefaults() {}
 
 func (s *SuspectSpec) validate() error {
-	return requireRange("spec.machines", int64(len(s.Machines)), 0, MaxCrashesRecorded)
+	return requireRange("spec.machines", int64(len(s.Machines)), 0, MaxRecordedCrashes)
 }
 
 // References implements Spec. The machines are gone mostly.
--- a/api/v1/tenant.go
+++ b/api/v1/tenant.go
@@ -128,8 +128,8 @@
 	Position      int
 }
 
-// CheckTenants refuses tenants that share a key.
-func CheckTenants(tenants map[string]*TenantSpec) *SharedKey {
+// FindSharedKey refuses tenants that share a key.
+func FindSharedKey(tenants map[string]*TenantSpec) *SharedKey {
 	names := make([]string, 0, len(tenants))
 	for name := range tenants {
 		names = append(names, name)
--- a/api/v1/validate.go
+++ b/api/v1/validate.go
@@ -47,9 +47,9 @@
 	Optional bool
 }
 
-// IsReferred reports whether specs may refer to resources of a kind. Machines and replicas, of which
+// IsReferenceable reports whether specs may refer to resources of a kind. Machines and replicas, of which
 // there are many more than of all else, are not among them.
-func (k Kind) IsReferred() bool {
+func (k Kind) IsReferenceable() bool {
 	switch k {
 	case KindModel, KindModelVersion, KindService, KindPool:
 		return true
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -46,7 +46,7 @@
 	// report is the newest answer; observed is when it came.
 	report   *wirepb.MachineReport
 	observed time.Time
-	refused  Refusals
+	refused  RefusedLoads
 }
 
 // New returns an agent; nudge asks for a report to the control plane soon.
@@ -112,7 +112,7 @@
 		}
 		watcherContext, cancel := context.WithCancel(ctx)
 		started := &watcher{
-			agent: a, machine: name, cancel: cancel, refused: Refusals{},
+			agent: a, machine: name, cancel: cancel, refused: RefusedLoads{},
 			client: &engineClient{client: a.client, endpoint: machine.Spec.Endpoint},
 		}
 		a.watchers[name] = started
@@ -201,7 +201,7 @@
 func (w *watcher) give(ctx context.Context, orders []engine.Order) int {
 	accepted := 0
 	for _, order := range orders {
-		if w.refused.Covers(order) {
+		if w.refused.Contains(order) {
 			continue
 		}
 		result, err := w.client.order(ctx, order)
@@ -215,7 +215,7 @@
 		}
 		w.agent.logger.Warn("order_refused", "machine", w.machine, "replica", order.Replica,
 			"kind", string(order.Kind), "reason", result.Reason)
-		w.refused.Note(order, time.Now())
+		w.refused.Record(order, time.Now())
 	}
 	return accepted
 }
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -11,26 +11,26 @@
 // refusedOrderAge is for how long a refused load is reported as failed.
 const refusedOrderAge = 10 * time.Second
 
-// Refusals holds, by replica, the loads that the engine refused and will
+// RefusedLoads holds, by replica, the loads that the engine refused and will
 // never carry out, until the leader has taken notice.
-type Refusals map[string]time.Time
+type RefusedLoads map[string]time.Time
 
-// Note remembers a refused order if it was a load.
-func (r Refusals) Note(order engine.Order, now time.Time) {
+// Record remembers a refused order if it was a load.
+func (r RefusedLoads) Record(order engine.Order, now time.Time) {
 	if order.Kind == engine.OrderLoad {
 		r[order.Replica] = now
 	}
 }
 
-// Covers reports whether an order is a load that was refused before.
-func (r Refusals) Covers(order engine.Order) bool {
+// Contains reports whether an order is a load that was refused before.
+func (r RefusedLoads) Contains(order engine.Order) bool {
 	_, known := r[order.Replica]
 	return known && order.Kind == engine.OrderLoad
 }
 
 // MachineReport turns an engine's report into the leader's form. Refused
 // loads are added as failed replicas: the engine doesn't list them.
-func MachineReport(machine string, report *engine.Report, refused Refusals, asked time.Time) *wirepb.MachineReport {
+func MachineReport(machine string, report *engine.Report, refused RefusedLoads, asked time.Time) *wirepb.MachineReport {
 	message := &wirepb.MachineReport{
 		Machine: machine, Incarnation: report.Incarnation, Reachable: true,
 		Running: uint32(report.Running), Queued: uint32(report.Queued), Fence: report.Fence,
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -28,8 +28,8 @@
 	return sinceBoot()
 }
 
-// Slept returns for how long the machine has slept in all since Watch was started.
-func Slept() time.Duration {
+// TotalSuspended returns for how long the machine has slept in all since Watch was started.
+func TotalSuspended() time.Duration {
 	return time.Duration(slept.Load())
 }
 
--- a/internal/drainlog/drainlog.go
+++ b/internal/drainlog/drainlog.go
@@ -36,8 +36,8 @@
 	}, []string{"zone"})
 }
 
-// InForce notes that the node acts by these orders from now on.
-func (l *Log) InForce(now time.Time, drains map[string]nodeview.ZoneDrain) {
+// Update notes that the node acts by these orders from now on.
+func (l *Log) Update(now time.Time, drains map[string]nodeview.ZoneDrain) {
 	for zone, drain := range drains {
 		before := l.held[zone]
 		l.held[zone] = drain
--- a/internal/emulator/inference.go
+++ b/internal/emulator/inference.go
@@ -83,7 +83,7 @@
 		return nil, false
 	}
 	if target.hasCapacity(bytes) {
-		e.model.Begin(name)
+		e.model.BeginRequest(name)
 		target.cacheUsed += bytes
 		e.mutex.Unlock()
 		return target, true
@@ -134,12 +134,12 @@
 }
 
 func (e *Engine) releaseSlotLocked(target *replica, bytes int64) {
-	e.model.End(target.Replica)
+	e.model.EndRequest(target.Replica)
 	target.cacheUsed -= bytes
 	for len(target.waiting) > 0 && target.Phase == engine.PhaseReady && target.hasCapacity(target.waiting[0].bytes) {
 		next := target.waiting[0]
 		target.waiting = target.waiting[1:]
-		e.model.Begin(target.Order.Replica)
+		e.model.BeginRequest(target.Order.Replica)
 		target.cacheUsed += next.bytes
 		close(next.granted)
 	}
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -44,8 +44,8 @@
 	c.disk.add(checkpoint, bytes)
 }
 
-// DropMemory empties the memory tier, as the end of the engine does.
-func (c *CheckpointCache) DropMemory() {
+// ClearMemory empties the memory tier, as the end of the engine does.
+func (c *CheckpointCache) ClearMemory() {
 	c.memory = lruBytes{limit: c.tiers.MemoryCacheBytes}
 }
 
@@ -60,8 +60,8 @@
 	return TierRemote
 }
 
-// Speed returns the bytes per second of a tier of the machine itself, or 0.
-func (c *CheckpointCache) Speed(tier string) float64 {
+// BytesPerSecond returns the bytes per second of a tier of the machine itself, or 0.
+func (c *CheckpointCache) BytesPerSecond(tier string) float64 {
 	switch tier {
 	case TierMemory:
 		return c.tiers.MemoryBytesPerSecond
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -49,8 +49,8 @@
 	return created
 }
 
-// BreakFence makes the engine ignore fences; for mutation tests.
-func (e *Engine) BreakFence() {
+// DisableFencing makes the engine ignore fences; for mutation tests.
+func (e *Engine) DisableFencing() {
 	e.ignoreFence = true
 }
 
@@ -117,7 +117,7 @@
 }
 
 func (e *Engine) hasRoom(order engine.Order) bool {
-	used := e.Used()
+	used := e.UsedBytes()
 	for _, accelerator := range order.Accelerators {
 		if accelerator < 0 || accelerator >= e.Accelerators {
 			return false
@@ -129,8 +129,8 @@
 	return true
 }
 
-// Used returns the bytes in use on each accelerator.
-func (e *Engine) Used() []int64 {
+// UsedBytes returns the bytes in use on each accelerator.
+func (e *Engine) UsedBytes() []int64 {
 	used := make([]int64, e.Accelerators)
 	for _, held := range e.replicas {
 		if held.Phase == engine.PhaseFailed {
@@ -179,8 +179,8 @@
 	return true
 }
 
-// Begin admits a request to a replica, or returns nil: it does not run then.
-func (e *Engine) Begin(name string) *Replica {
+// BeginRequest admits a request to a replica, or returns nil: it does not run then.
+func (e *Engine) BeginRequest(name string) *Replica {
 	held := e.replicas[name]
 	if held == nil || held.Phase != engine.PhaseReady {
 		return nil
@@ -189,8 +189,8 @@
 	return held
 }
 
-// End ends a request that Begin admitted.
-func (e *Engine) End(held *Replica) {
+// EndRequest ends a request that Begin admitted.
+func (e *Engine) EndRequest(held *Replica) {
 	held.Running--
 	if e.replicas[held.Order.Replica] == held {
 		e.free(held)
--- a/internal/faultsim/checks.go
+++ b/internal/faultsim/checks.go
@@ -206,7 +206,7 @@
 			c.violate(CheckUnassigned, "%s holds %s, which is not assigned to it", m.name, replica.Order.Replica)
 		}
 	}
-	for accelerator, used := range m.engine.Used() {
+	for accelerator, used := range m.engine.UsedBytes() {
 		if used > acceleratorBytes {
 			c.violate(CheckMemory, "%s uses %d bytes of memory on accelerator %d", m.name, used, accelerator)
 		}
--- a/internal/faultsim/machine.go
+++ b/internal/faultsim/machine.go
@@ -56,7 +56,7 @@
 	created := &machine{process: s.newProcess(numbered("machine", position), zone)}
 	created.engine = enginemodel.New(created.name, acceleratorsPerMachine, acceleratorBytes, 0)
 	if s.mutation == MutationNoFence {
-		created.engine.BreakFence()
+		created.engine.DisableFencing()
 	}
 	created.startEngine()
 	return created
@@ -136,7 +136,7 @@
 		reply(m.response(runRejected))
 		return
 	}
-	serving := m.engine.Begin(replica)
+	serving := m.engine.BeginRequest(replica)
 	if serving == nil {
 		reply(m.response(runRefused))
 		return
@@ -151,7 +151,7 @@
 		return
 	}
 	m.after(took, func() {
-		m.engine.End(serving)
+		m.engine.EndRequest(serving)
 		if !m.sim.hasPoison || m.finishRequest(run) {
 			m.sim.checks.crashRecordOf(entry.content.identity).completed = true
 			reply(m.response(runCompleted))
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -54,7 +54,7 @@
 type machineWatch struct {
 	machine  *machine
 	busy     bool
-	refused  agent.Refusals
+	refused  agent.RefusedLoads
 	report   *wirepb.MachineReport
 	observed time.Duration
 }
@@ -198,7 +198,7 @@
 		case !assigned:
 			delete(r.watches, machine.name)
 		case watch == nil:
-			r.watches[machine.name] = &machineWatch{machine: machine, refused: agent.Refusals{}}
+			r.watches[machine.name] = &machineWatch{machine: machine, refused: agent.RefusedLoads{}}
 		case !watch.busy:
 			r.reconcileMachine(watch)
 		}
@@ -247,7 +247,7 @@
 		return
 	}
 	order := orders[0]
-	if watch.refused.Covers(order) {
+	if watch.refused.Contains(order) {
 		r.sendOrders(watch, orders[1:], next)
 		return
 	}
@@ -261,7 +261,7 @@
 				return
 			}
 			if !result.Accepted {
-				watch.refused.Note(order, r.wall())
+				watch.refused.Record(order, r.wall())
 			}
 			r.sendOrders(watch, orders[1:], next)
 		})
--- a/internal/faultsim/run.go
+++ b/internal/faultsim/run.go
@@ -135,7 +135,7 @@
 }
 
 func (s *simulation) outcome(schedule Schedule) Outcome {
-	outcome := Outcome{Events: s.Ran(), Faults: s.faults, Committed: len(s.checks.entryHashes), Undecided: s.checks.undecided}
+	outcome := Outcome{Events: s.EventsRun(), Faults: s.faults, Committed: len(s.checks.entryHashes), Undecided: s.checks.undecided}
 	outcome.HealthyRefused = s.checks.healthyRefused
 	for _, poison := range s.checks.poisonRequests {
 		outcome.CrashCounts = append(outcome.CrashCounts, len(s.checks.crashRecordOf(poison.identity).instances))
--- a/internal/policysim/machine.go
+++ b/internal/policysim/machine.go
@@ -30,7 +30,7 @@
 	up           bool
 	leaving      bool
 	leavingSince time.Duration
-	refused      agent.Refusals
+	refused      agent.RefusedLoads
 	// decisionRevision is the revision of the newest decision that the agent has seen.
 	decisionRevision uint64
 	// instance counts engine processes, to discard events scheduled for an earlier one.
@@ -47,7 +47,7 @@
 
 func (s *simulation) newMachine(number int) *machine {
 	created := &machine{
-		simulation: s, name: numbered("machine", number), up: true, refused: agent.Refusals{},
+		simulation: s, name: numbered("machine", number), up: true, refused: agent.RefusedLoads{},
 		caches: enginemodel.NewCheckpointCache(s.scenario.tiers()),
 	}
 	bytes := int64(s.scenario.Machines.AcceleratorGiB * gibibyte)
@@ -98,12 +98,12 @@
 	report := m.engine.Report()
 	replicas, revision := s.view.ReplicasOn(m.name)
 	for _, order := range agent.Orders(replicas, revision, &report) {
-		if m.refused.Covers(order) {
+		if m.refused.Contains(order) {
 			continue
 		}
 		result, effect := m.engine.Apply(order)
 		if !result.Accepted {
-			m.refused.Note(order, s.wall())
+			m.refused.Record(order, s.wall())
 		}
 		if result.Reason == engine.ReasonNoMemory {
 			s.metrics.memoryOvercommits++
@@ -137,7 +137,7 @@
 		m.updateIdleTime()
 		s.requestReconcile()
 	}
-	if speed := m.caches.Speed(m.caches.Tier(checkpoint)); speed > 0 {
+	if speed := m.caches.BytesPerSecond(m.caches.Tier(checkpoint)); speed > 0 {
 		s.After(time.Duration(float64(bytes)/speed*float64(time.Second)), finish)
 		return
 	}
@@ -158,7 +158,7 @@
 	m.up = false
 	m.instance++
 	m.engine.Restart(m.incarnation)
-	m.caches.DropMemory()
+	m.caches.ClearMemory()
 	m.resetSlots()
 	m.updateIdleTime()
 	m.simulation.retryRequestsOf(m)
--- a/internal/policysim/router.go
+++ b/internal/policysim/router.go
@@ -97,7 +97,7 @@
 		if !machine.up || machine.leaving {
 			continue
 		}
-		speed = max(speed, machine.caches.Speed(machine.caches.Tier(version)))
+		speed = max(speed, machine.caches.BytesPerSecond(machine.caches.Tier(version)))
 	}
 	return time.Duration(float64(s.weights[version]) / speed * float64(time.Second))
 }
@@ -137,7 +137,7 @@
 	s := e.router.simulation
 	e.machine = s.machinesByName[e.grant.Target.Machine]
 	if e.machine.up {
-		e.replica = e.machine.engine.Begin(e.grant.Target.Replica)
+		e.replica = e.machine.engine.BeginRequest(e.grant.Target.Replica)
 	}
 	if !e.machine.up || e.replica == nil {
 		e.resubmit(dispatch.ResultNotRun)
@@ -164,7 +164,7 @@
 		return // The engine has been restarted.
 	}
 	e.completions++
-	e.machine.engine.End(e.replica)
+	e.machine.engine.EndRequest(e.replica)
 	e.machine.releaseSlot(e)
 	e.machine.updateIdleTime()
 	e.router.release(e.grant, dispatch.ResultOK)
@@ -179,7 +179,7 @@
 // expire ends a request whose deadline passes while it is queued at its engine. Its outcome is
 // unknown, because it was sent.
 func (e *request) expire() {
-	e.machine.engine.End(e.replica)
+	e.machine.engine.EndRequest(e.replica)
 	e.machine.updateIdleTime()
 	e.router.release(e.grant, dispatch.ResultOK)
 	e.end(outcomeUnknown)
--- a/internal/policysim/run.go
+++ b/internal/policysim/run.go
@@ -97,7 +97,7 @@
 		IdleHours: m.idleTime.Hours(), Loads: m.loads,
 		ReplicasOverDecided: m.replicasOverDecided, MemoryOvercommits: m.memoryOvercommits,
 		DuplicateRuns: m.duplicateRuns, FalseNotRun: m.falseNotRun,
-		InterruptedRequests: m.interruptedRequests, WorkAfterLeaving: m.workAfterLeaving, Events: s.Ran(),
+		InterruptedRequests: m.interruptedRequests, WorkAfterLeaving: m.workAfterLeaving, Events: s.EventsRun(),
 	}
 }
 
--- a/internal/state/declare.go
+++ b/internal/state/declare.go
@@ -75,7 +75,7 @@
 			routes[object.GetName()] = route
 		}
 	}
-	return v1.CheckRoutes(routes)
+	return v1.ValidateRoutes(routes)
 }
 
 // declarationWrites puts the declared objects and deletes those that the document no longer
--- a/internal/state/overlay.go
+++ b/internal/state/overlay.go
@@ -141,7 +141,7 @@
 	for _, key := range o.order {
 		staged := o.staged[key]
 		if staged.object == nil {
-			deletesReferable = deletesReferable || key.Kind.IsReferred()
+			deletesReferable = deletesReferable || key.Kind.IsReferenceable()
 			continue
 		}
 		if failure := o.checkOutgoingReferences(key, staged.spec); failure != nil {
@@ -200,7 +200,7 @@
 			delete(tenants, key.Name)
 		}
 	}
-	shared := v1.CheckTenants(tenants)
+	shared := v1.FindSharedKey(tenants)
 	if shared == nil {
 		return nil
 	}
--- a/internal/tcpopt/tcpopt.go
+++ b/internal/tcpopt/tcpopt.go
@@ -34,9 +34,9 @@
 	return failure
 }
 
-// Refused reports whether a connection was refused, as the system of a machine does whose
+// IsConnectionRefused reports whether a connection was refused, as the system of a machine does whose
 // process has ended. One that is cut off lets the time run out.
-func Refused(err error) bool {
+func IsConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
--- a/internal/virtualtime/scheduler.go
+++ b/internal/virtualtime/scheduler.go
@@ -53,8 +53,8 @@
 // Now is the time since the simulation began.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// Ran is how many events have run.
-func (s *Scheduler) Ran() int { return s.ran }
+// EventsRun is how many events have run.
+func (s *Scheduler) EventsRun() int { return s.ran }
 
 // After runs an action after a delay. Actions due at the same time run in the
 // order in which they were scheduled.
--- a/internal/virtualtime/scheduler_test.go
+++ b/internal/virtualtime/scheduler_test.go
@@ -24,7 +24,7 @@
 	scheduler.After(time.Hour, note("too late"))
 	scheduler.RunUntil(3 * time.Second)
 	wanted := []string{"a at 1s", "b at 1s", "at once at 1s", "c at 2s", "d at 2s"}
-	if !slices.Equal(ran, wanted) || scheduler.Now() != 3*time.Second || scheduler.Ran() != 5 {
-		t.Errorf("%q at %s, %d ran", ran, scheduler.Now(), scheduler.Ran())
+	if !slices.Equal(ran, wanted) || scheduler.Now() != 3*time.Second || scheduler.EventsRun() != 5 {
+		t.Errorf("%q at %s, %d ran", ran, scheduler.Now(), scheduler.EventsRun())
 	}
 }
