--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,43 +16,45 @@
 const (
 	assignInterval = 500 * time.Millisecond
 	requestTimeout = 2 * time.Second
-	// transitionPoll is the pause between reports while a load or unload is
-	// under way: it adds to every cold start.
+	// transitionPoll is the poll interval while a load or unload is in
+	// progress. It adds to the latency of every cold start.
 	transitionPoll = 20 * time.Millisecond
 	maxIdleConns   = 4
 )
 
-// Agent watches over the machines assigned to one node.
+// Agent manages the machines assigned to one node.
 type Agent struct {
-	node     string
-	zone     string
-	view     *nodeview.View
-	logger   *slog.Logger
-	client   *http.Client
-	interval time.Duration
-	nudge    func()
+	node          string
+	zone          string
+	view          *nodeview.View
+	logger        *slog.Logger
+	client        *http.Client
+	interval      time.Duration
+	requestReport func()
 
 	mutex    sync.Mutex
 	watchers map[string]*watcher
 }
 
-// watcher is the goroutine of one machine.
+// watcher polls one machine and sends it orders, on its own goroutine.
 type watcher struct {
 	agent   *Agent
 	machine string
 	cancel  context.CancelFunc
 	client  *engineClient
 
-	// report is the newest answer; observed is when it came.
+	// report and observed are guarded by the agent's mutex. observed is when
+	// the report was requested.
 	report   *wirepb.MachineReport
 	observed time.Time
 	refused  Refusals
 }
 
-// New returns an agent; nudge asks for a report to the control plane soon.
-func New(node, zone string, view *nodeview.View, logger *slog.Logger, interval time.Duration, nudge func()) *Agent {
+// New returns an agent. It calls requestReport when a change should reach the
+// control plane before the next periodic report.
+func New(node, zone string, view *nodeview.View, logger *slog.Logger, interval time.Duration, requestReport func()) *Agent {
 	return &Agent{
-		node: node, zone: zone, view: view, logger: logger, interval: interval, nudge: nudge,
+		node: node, zone: zone, view: view, logger: logger, interval: interval, requestReport: requestReport,
 		client: &http.Client{
 			Timeout:   requestTimeout,
 			Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute},
@@ -61,7 +63,7 @@
 	}
 }
 
-// Run keeps one watcher for each assigned machine until ctx ends.
+// Run keeps one watcher running per assigned machine until ctx is done.
 func (a *Agent) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -75,13 +77,13 @@
 			return
 		case <-ticker.C:
 		case <-changed:
-			a.pause(ctx)
+			a.debounce(ctx)
 		}
 	}
 }
 
-// pause bounds how often a stream of changes makes the agent look.
-func (a *Agent) pause(ctx context.Context) {
+// debounce limits how often a burst of view changes triggers a reassignment.
+func (a *Agent) debounce(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(transitionPoll):
@@ -93,16 +95,16 @@
 	assigned := map[string]nodeview.Machine{}
 	a.view.EachMachine(func(name string, machine nodeview.Machine) {
 		zone := machine.Spec.Zone
-		if assignment.mayWatch(a.zone, zone) && assignment.AgentOf(name, zone) == a.node {
+		if assignment.mayManage(a.zone, zone) && assignment.AgentOf(name, zone) == a.node {
 			assigned[name] = machine
 		}
 	})
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for name, held := range a.watchers {
-		machine, still := assigned[name]
-		if !still || machine.Spec.Endpoint != held.client.endpoint {
-			held.cancel()
+	for name, existing := range a.watchers {
+		machine, isAssigned := assigned[name]
+		if !isAssigned || machine.Spec.Endpoint != existing.client.endpoint {
+			existing.cancel()
 			delete(a.watchers, name)
 		}
 	}
@@ -111,31 +113,32 @@
 			continue
 		}
 		watcherContext, cancel := context.WithCancel(ctx)
-		started := &watcher{
+		created := &watcher{
 			agent: a, machine: name, cancel: cancel, refused: Refusals{},
 			client: &engineClient{client: a.client, endpoint: machine.Spec.Endpoint},
 		}
-		a.watchers[name] = started
-		workers.Go(func() { started.run(watcherContext) })
+		a.watchers[name] = created
+		workers.Go(func() { created.run(watcherContext) })
 	}
 }
 
-// Reports returns the newest report on each assigned machine.
+// Reports returns the latest report of each assigned machine.
 func (a *Agent) Reports(now time.Time) []*wirepb.MachineReport {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	reports := make([]*wirepb.MachineReport, 0, len(a.watchers))
-	for _, held := range a.watchers {
-		if held.report == nil {
+	for _, existing := range a.watchers {
+		if existing.report == nil {
 			continue
 		}
-		held.report.AgeMs = uint32(now.Sub(held.observed).Milliseconds())
-		reports = append(reports, CopyReport(held.report))
+		existing.report.AgeMs = uint32(now.Sub(existing.observed).Milliseconds())
+		reports = append(reports, CopyReport(existing.report))
 	}
 	return reports
 }
 
-// CopyReport copies a report, whose parts must not be changed.
+// CopyReport returns a shallow copy of a report. Its slices are shared and must
+// not be modified.
 func CopyReport(report *wirepb.MachineReport) *wirepb.MachineReport {
 	return &wirepb.MachineReport{
 		Machine: report.GetMachine(), Incarnation: report.GetIncarnation(), Reachable: report.GetReachable(),
@@ -146,21 +149,21 @@
 
 func (w *watcher) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		decided := w.agent.view.DecidedFor(w.machine)
-		pause := w.cycle(ctx)
-		w.wait(ctx, pause, decided)
+		revision := w.agent.view.DecidedFor(w.machine)
+		delay := w.reconcile(ctx)
+		w.wait(ctx, delay, revision)
 	}
 }
 
-// wait returns after a pause, or once something was decided for the machine.
-// Changes that concern other machines don't end it: at the target size there
-// are several a second, and each would cost a report from every engine.
-func (w *watcher) wait(ctx context.Context, pause time.Duration, decided uint64) {
-	timer := time.NewTimer(pause)
+// wait returns after a delay, or earlier when a decision for this machine
+// changes. Changes for other machines are ignored, since reacting to each would
+// poll every engine in the cluster.
+func (w *watcher) wait(ctx context.Context, delay time.Duration, revision uint64) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
 		changed := w.agent.view.Changed()
-		if w.agent.view.DecidedFor(w.machine) != decided {
+		if w.agent.view.DecidedFor(w.machine) != revision {
 			return
 		}
 		select {
@@ -173,32 +176,33 @@
 	}
 }
 
-// cycle asks for a report, gives the orders that are due, and returns how
-// long to wait before the next.
-func (w *watcher) cycle(ctx context.Context) time.Duration {
-	asked := time.Now()
+// reconcile polls the engine, sends the orders that are due, and returns the
+// delay until the next call.
+func (w *watcher) reconcile(ctx context.Context) time.Duration {
+	requestedAt := time.Now()
 	report, err := w.client.report(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
-			w.unreachable(asked)
+			w.publishUnreachable(requestedAt)
 		}
 		return w.agent.interval
 	}
 	replicas, revision := w.agent.view.ReplicasOn(w.machine)
 	orders := Orders(replicas, revision, report)
-	if w.give(ctx, orders) > 0 {
-		asked = time.Now()
-		if again, err := w.client.report(ctx); err == nil {
-			report = again
+	if w.sendOrders(ctx, orders) > 0 {
+		requestedAt = time.Now()
+		if updated, err := w.client.report(ctx); err == nil {
+			report = updated
 		}
 	}
-	w.publish(report, asked)
-	return w.pauseFor(report)
+	w.publish(report, requestedAt)
+	return w.nextDelay(report)
 }
 
-// give sends orders one by one. One that got no answer ends the round: those
-// behind it have higher fences and would shut it out.
-func (w *watcher) give(ctx context.Context, orders []engine.Order) int {
+// sendOrders sends orders one at a time and returns how many were accepted. It
+// stops at the first one without an answer: later orders have higher fences, and
+// accepting them would make the engine refuse a retry of this one.
+func (w *watcher) sendOrders(ctx context.Context, orders []engine.Order) int {
 	accepted := 0
 	for _, order := range orders {
 		if w.refused.Covers(order) {
@@ -220,37 +224,37 @@
 	return accepted
 }
 
-// pauseFor asks again soon while something is under way, and at the end of a
-// load that the engine can foresee.
-func (w *watcher) pauseFor(report *engine.Report) time.Duration {
-	pause := w.agent.interval
+// nextDelay returns the report interval, shortened while the engine loads or
+// unloads a replica. A load is polled again when its estimated time has passed.
+func (w *watcher) nextDelay(report *engine.Report) time.Duration {
+	delay := w.agent.interval
 	for _, replica := range report.Replicas {
 		switch replica.Phase {
 		case engine.PhaseUnloading:
-			pause = min(pause, transitionPoll)
+			delay = min(delay, transitionPoll)
 		case engine.PhaseLoading:
 			remaining := time.Duration(replica.RemainingMillis) * time.Millisecond
-			pause = min(pause, max(remaining, transitionPoll))
+			delay = min(delay, max(remaining, transitionPoll))
 		}
 	}
-	return pause
+	return delay
 }
 
-func (w *watcher) unreachable(asked time.Time) {
+func (w *watcher) publishUnreachable(requestedAt time.Time) {
 	w.agent.mutex.Lock()
 	defer w.agent.mutex.Unlock()
 	w.report = &wirepb.MachineReport{Machine: w.machine}
-	w.observed = asked
+	w.observed = requestedAt
 }
 
-func (w *watcher) publish(report *engine.Report, asked time.Time) {
-	message := MachineReport(w.machine, report, w.refused, asked)
+func (w *watcher) publish(report *engine.Report, requestedAt time.Time) {
+	message := MachineReport(w.machine, report, w.refused, requestedAt)
 	w.agent.mutex.Lock()
-	urgent := differs(w.report, message)
+	isUrgent := needsImmediateReport(w.report, message)
 	w.report = message
-	w.observed = asked
+	w.observed = requestedAt
 	w.agent.mutex.Unlock()
-	if urgent {
-		w.agent.nudge()
+	if isUrgent {
+		w.agent.requestReport()
 	}
 }
--- a/internal/agent/assign.go
+++ b/internal/agent/assign.go
@@ -6,18 +6,17 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// Assignment answers which node watches over a machine: of the live nodes in
-// the machine's zone, or of all where the zone has none, the one with the
-// highest hash of both names. A node that comes or goes moves only its own
-// share of the machines.
+// Assignment maps machines to nodes by rendezvous hashing over the live nodes of
+// the machine's zone, or over all live nodes if the zone has none. Adding or
+// removing a node reassigns only that node's share of the machines.
 type Assignment struct {
 	byZone map[string][]string
 	all    []string
 }
 
-// NewAssignment groups the live nodes by zone, so that only those of the
-// machine's zone are looked at: hashing every node for every machine took a
-// node 4 % of a core at the target size.
+// NewAssignment returns an assignment over the given nodes, without those that
+// are draining. Nodes are grouped by zone, so that a lookup hashes only the nodes
+// of one zone.
 func NewAssignment(nodes []*wirepb.NodeEntry) Assignment {
 	assignment := Assignment{byZone: map[string][]string{}}
 	for _, node := range nodes {
@@ -30,7 +29,7 @@
 	return assignment
 }
 
-// AgentOf returns the node that watches over a machine; empty without nodes.
+// AgentOf returns the node that manages a machine, or "" if there are no nodes.
 func (a Assignment) AgentOf(machine, zone string) string {
 	candidates := a.byZone[zone]
 	if len(candidates) == 0 {
@@ -46,8 +45,8 @@
 	return best
 }
 
-// mayWatch reports whether a node of one zone may have to watch over machines
-// of another: only where that has no nodes of its own.
-func (a Assignment) mayWatch(nodeZone, machineZone string) bool {
+// mayManage reports whether a node in nodeZone can be assigned machines in
+// machineZone: in its own zone, or in a zone without nodes.
+func (a Assignment) mayManage(nodeZone, machineZone string) bool {
 	return nodeZone == machineZone || len(a.byZone[machineZone]) == 0
 }
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -11,9 +11,9 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-const maxAnswerBytes = 4 << 20
+const maxResponseBytes = 4 << 20
 
-// engineClient speaks the engine protocol with one engine.
+// engineClient is a client of the engine protocol for one engine.
 type engineClient struct {
 	client   *http.Client
 	endpoint string
@@ -35,7 +35,7 @@
 	return result, nil
 }
 
-func (c *engineClient) call(ctx context.Context, method, path string, body, answer any) error {
+func (c *engineClient) call(ctx context.Context, method, path string, body, target any) error {
 	var reader io.Reader
 	if body != nil {
 		encoded, err := json.Marshal(body)
@@ -46,18 +46,18 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.endpoint+path, reader)
 	if err != nil {
-		return fault.Invalid.Wrap(err, "engine endpoint")
+		return fault.Invalid.Wrap(err, "building an engine request")
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return fault.Unavailable.Wrap(err, "asking an engine")
+		return fault.Unavailable.Wrap(err, "calling the engine")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return fault.Engine.New("the engine answered %d to %s", response.StatusCode, path)
+		return fault.Engine.New("engine returned status %d for %s", response.StatusCode, path)
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(answer); err != nil {
-		return fault.Engine.Wrap(err, "decoding an engine's answer")
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(target); err != nil {
+		return fault.Engine.Wrap(err, "decoding an engine response")
 	}
 	return nil
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -8,16 +8,15 @@
 	"github.com/weldline/weldline/internal/nodeview"
 )
 
-// Orders returns what an engine must be told, in the order of their fences:
-// an engine refuses a fence below one that it has accepted, so an earlier
-// decision has to reach it first.
+// Orders returns the orders that bring an engine to the decided state, sorted by
+// fence: an engine refuses a fence below the highest that it has accepted.
 //
-// Replicas that the engine holds and nobody decided are unloaded under the
-// view's revision: whoever decided them has been overruled since.
+// Replicas on the engine without a decision are unloaded under the view's
+// revision, which is newer than the decision that loaded them.
 func Orders(replicas []nodeview.Replica, revision uint64, report *engine.Report) []engine.Order {
-	held := make(map[string]string, len(report.Replicas))
+	phases := make(map[string]string, len(report.Replicas))
 	for _, replica := range report.Replicas {
-		held[replica.Replica] = replica.Phase
+		phases[replica.Replica] = replica.Phase
 	}
 	decided := make(map[string]bool, len(replicas))
 	var orders []engine.Order
@@ -25,13 +24,13 @@
 		name := replica.Object.GetName()
 		decided[name] = true
 		if replica.Spec.Incarnation != report.Incarnation {
-			continue // For an earlier process; the leader will remove it.
+			continue // Decided for an earlier engine process; the leader removes it.
 		}
-		if order, due := orderFor(replica, held[name], report.Fence); due {
+		if order, due := orderFor(replica, phases[name], report.Fence); due {
 			orders = append(orders, order)
 		}
 	}
-	for name, phase := range held {
+	for name, phase := range phases {
 		if !decided[name] && phase != engine.PhaseUnloading {
 			orders = append(orders, engine.Order{
 				Kind: engine.OrderUnload, Replica: name, Fence: revision, Incarnation: report.Incarnation,
@@ -49,8 +48,8 @@
 
 func orderFor(replica nodeview.Replica, phase string, fence uint64) (engine.Order, bool) {
 	if replica.Spec.Phase == v1.ReplicaUnloading {
-		// Sent until the engine has accepted the fence, even where it holds
-		// no such replica: only then can a late load not bring it back.
+		// Sent until the engine has accepted the fence, even if the replica is
+		// not loaded: otherwise a delayed load order could load it again.
 		due := phase != engine.PhaseUnloading && (phase != "" || fence < replica.Object.GetRevision())
 		return engine.Order{
 			Kind: engine.OrderUnload, Replica: replica.Object.GetName(),
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -15,8 +15,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// TestOrders lists what is decided (name, phase, created at, changed at,
-// incarnation) and what the engine holds (name, phase).
+// TestOrders reads the decided replicas ("decided" NAME PHASE CREATE_REVISION
+// REVISION INCARNATION) and those on the engine ("holds" NAME PHASE).
 func TestOrders(t *testing.T) {
 	datadriven.RunTest(t, "testdata/orders", func(t *testing.T, d *datadriven.TestData) string {
 		report := &engine.Report{Machine: "m"}
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestRefusedLoadsAreReportedAsFailed until the engine lists them or they are
-// old.
+// TestRefusedLoadsAreReportedAsFailed checks that a refused load is reported as
+// failed and not sent again, until it expires.
 func TestRefusedLoadsAreReportedAsFailed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	refused := Refusals{}
@@ -69,7 +69,7 @@
 		t.Errorf("%v", report)
 	}
 	if !refused.Covers(engine.Order{Kind: engine.OrderLoad, Replica: "a"}) || refused.Covers(engine.Order{Kind: engine.OrderUnload, Replica: "a"}) {
-		t.Error("only the refused load is not sent again")
+		t.Error("Covers must match the refused load and no other order")
 	}
 	if later := MachineReport("m", &engine.Report{}, refused, now.Add(time.Minute)); len(later.GetReplicas()) != 0 {
 		t.Errorf("%v", later)
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -8,43 +8,43 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// refusedOrderAge is for how long a refused load is reported as failed.
-const refusedOrderAge = 10 * time.Second
+const refusedLoadTTL = 10 * time.Second
 
-// Refusals holds, by replica, the loads that the engine refused and will
-// never carry out, until the leader has taken notice.
+// Refusals maps replicas to the time at which the engine refused their load.
+// Entries are reported to the leader as failed replicas until they expire.
 type Refusals map[string]time.Time
 
-// Note remembers a refused order if it was a load.
+// Note records a refused order if it is a load.
 func (r Refusals) Note(order engine.Order, now time.Time) {
 	if order.Kind == engine.OrderLoad {
 		r[order.Replica] = now
 	}
 }
 
-// Covers reports whether an order is a load that was refused before.
+// Covers reports whether an order is a load of a replica recorded as refused.
 func (r Refusals) Covers(order engine.Order) bool {
 	_, known := r[order.Replica]
 	return known && order.Kind == engine.OrderLoad
 }
 
-// MachineReport turns an engine's report into the leader's form. Refused
-// loads are added as failed replicas: the engine doesn't list them.
-func MachineReport(machine string, report *engine.Report, refused Refusals, asked time.Time) *wirepb.MachineReport {
+// MachineReport converts an engine's report to the message for the leader.
+// Refused loads, which the engine doesn't list, are added as failed replicas.
+// Expired and listed entries are removed from refused.
+func MachineReport(machine string, report *engine.Report, refused Refusals, requestedAt time.Time) *wirepb.MachineReport {
 	message := &wirepb.MachineReport{
 		Machine: machine, Incarnation: report.Incarnation, Reachable: true,
 		Running: uint32(report.Running), Queued: uint32(report.Queued), Fence: report.Fence,
 	}
-	held := map[string]bool{}
+	listed := map[string]bool{}
 	for _, replica := range report.Replicas {
-		held[replica.Replica] = true
+		listed[replica.Replica] = true
 		message.Replicas = append(message.Replicas, &wirepb.EngineReplica{
 			Id: replica.Replica, Version: replica.Version, Phase: replica.Phase,
 			RemainingMs: uint32(replica.RemainingMillis), Running: uint32(replica.Running), Adapters: replica.Adapters,
 		})
 	}
 	for name, since := range refused {
-		if held[name] || asked.Sub(since) > refusedOrderAge {
+		if listed[name] || requestedAt.Sub(since) > refusedLoadTTL {
 			delete(refused, name)
 			continue
 		}
@@ -58,8 +58,8 @@
 	return message
 }
 
-// differs reports whether the leader should hear at once: something came, went
-// or changed its phase, or the engine accepted a newer fence.
-func differs(held, next *wirepb.MachineReport) bool {
-	return held.GetFence() != next.GetFence() || machines.ReplicasDiffer(held, next)
+// needsImmediateReport reports whether a change can't wait for the next periodic
+// report: the set of replicas, a replica's phase or the fence changed.
+func needsImmediateReport(previous, next *wirepb.MachineReport) bool {
+	return previous.GetFence() != next.GetFence() || machines.ReplicasDiffer(previous, next)
 }
