--- a/internal/resourceapi/api.go
+++ b/internal/resourceapi/api.go
@@ -1,16 +1,16 @@
-// Package resourceapi serves the operators' resource API.
+// Package resourceapi serves the resource API for operators.
 //
-//	GET    /apis/weldline/v1/{kind}          list at one resourceVersion
+//	GET    /apis/weldline/v1/{kind}          list, consistent at one resourceVersion
 //	GET    /apis/weldline/v1/{kind}/{name}   read
-//	PUT    /apis/weldline/v1/{kind}/{name}   create or replace, conditionally
-//	DELETE /apis/weldline/v1/{kind}/{name}   delete, conditionally
-//	POST   /apis/weldline/v1/apply           many writes, all or none
-//	PUT    /apis/weldline/v1/zonedrain/{zone}  drain a zone, or end that
-//	GET    /apis/weldline/v1/watch?after=N   changes as JSON lines
+//	PUT    /apis/weldline/v1/{kind}/{name}   create or replace; conditional if a version is given
+//	DELETE /apis/weldline/v1/{kind}/{name}   delete; conditional if a version is given
+//	POST   /apis/weldline/v1/apply           several writes in one atomic step
+//	PUT    /apis/weldline/v1/zonedrain/{zone}  drain or undrain a zone
+//	GET    /apis/weldline/v1/watch?after=N   stream of changes as JSON lines
 //	GET    /apis/weldline/v1/status          the cluster as the leader sees it
 //
-// A write with an Idempotency-Key may be sent again after a lost answer; it
-// returns its first result. Reads are confirmed by the leader's lease.
+// A write with an Idempotency-Key can be retried; a retry returns the result of
+// the first attempt. Reads are linearizable under the leader's lease.
 package resourceapi
 
 import (
@@ -42,20 +42,19 @@
 	basePath         = "/apis/weldline/v1"
 )
 
-// Store is the control node behind the API.
+// Store is the control node that the API serves.
 type Store interface {
 	feed.Backend
-	// Barrier waits until this node has applied all that was committed.
+	// Barrier waits until this node has applied all entries committed so far.
 	Barrier(ctx context.Context) error
-	// Read calls the function with the state, which it must not keep.
+	// Read calls the function with the state, which is valid only during the call.
 	Read(func(machine *state.Machine))
-	// DrainZone orders that the machines of a zone get no requests, or that they get them again.
+	// DrainZone drains or undrains a zone. Machines of a drained zone get no requests.
 	DrainZone(ctx context.Context, zone string, drained bool) error
-	// Status returns the leader's view of the cluster.
 	Status(ctx context.Context, request *wirepb.StatusRequest) (*wirepb.StatusReply, error)
 }
 
-// API is the HTTP handler.
+// API is the HTTP handler of the resource API.
 type API struct {
 	store      Store
 	logger     *slog.Logger
@@ -64,17 +63,17 @@
 	router     *mux.Router
 }
 
-// New returns the API over a store. Empty tokens allow everyone.
+// New returns the API of a store. An empty writeToken disables authorization.
 func New(store Store, logger *slog.Logger, readToken, writeToken string) *API {
 	api := &API{store: store, logger: logger, readToken: readToken, writeToken: writeToken, router: mux.NewRouter()}
 	routes := api.router.PathPrefix(basePath).Subrouter()
-	routes.HandleFunc("/apply", api.guard(true, api.apply)).Methods(http.MethodPost)
-	routes.HandleFunc("/watch", api.guard(false, api.watch)).Methods(http.MethodGet)
-	routes.HandleFunc("/status", api.guard(false, api.status)).Methods(http.MethodGet)
-	routes.HandleFunc("/{kind}", api.guard(false, api.list)).Methods(http.MethodGet)
-	routes.HandleFunc("/{kind}/{name}", api.guard(false, api.get)).Methods(http.MethodGet)
-	routes.HandleFunc("/{kind}/{name}", api.guard(true, api.put)).Methods(http.MethodPut)
-	routes.HandleFunc("/{kind}/{name}", api.guard(true, api.remove)).Methods(http.MethodDelete)
+	routes.HandleFunc("/apply", api.wrap(true, api.apply)).Methods(http.MethodPost)
+	routes.HandleFunc("/watch", api.wrap(false, api.watch)).Methods(http.MethodGet)
+	routes.HandleFunc("/status", api.wrap(false, api.status)).Methods(http.MethodGet)
+	routes.HandleFunc("/{kind}", api.wrap(false, api.list)).Methods(http.MethodGet)
+	routes.HandleFunc("/{kind}/{name}", api.wrap(false, api.get)).Methods(http.MethodGet)
+	routes.HandleFunc("/{kind}/{name}", api.wrap(true, api.put)).Methods(http.MethodPut)
+	routes.HandleFunc("/{kind}/{name}", api.wrap(true, api.remove)).Methods(http.MethodDelete)
 	api.router.NotFoundHandler = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		problem.New(problem.TypeNotFound, http.StatusNotFound, "no such path").Write(writer)
 	})
@@ -86,27 +85,28 @@
 	a.router.ServeHTTP(writer, request)
 }
 
-// handler answers a request or returns the failure to report.
+// handler responds to a request, or returns an error for the problem document.
 type handler func(writer http.ResponseWriter, request *http.Request) error
 
-// guard checks the token, bounds the body and reports failures.
-func (a *API) guard(writes bool, handle handler) http.HandlerFunc {
+// wrap checks the bearer token, limits the size of the body and writes a returned
+// error as a problem document.
+func (a *API) wrap(isWrite bool, handle handler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		err := a.authorize(request, writes)
+		err := a.authorize(request, isWrite)
 		if err == nil {
 			request.Body = http.MaxBytesReader(writer, request.Body, maxBodyBytes)
 			err = handle(writer, request)
 		}
 		if err != nil {
-			a.report(writer, err)
+			a.writeError(writer, err)
 		}
 	}
 }
 
-func (a *API) report(writer http.ResponseWriter, err error) {
+func (a *API) writeError(writer http.ResponseWriter, err error) {
 	document := problem.FromError(err)
-	if conflict, isConflict := conflictOf(err); isConflict {
-		document.ResourceVersion = strconv.FormatUint(conflict, 10)
+	if revision, isConflict := conflictRevisionOf(err); isConflict {
+		document.ResourceVersion = strconv.FormatUint(revision, 10)
 	}
 	if document.Status >= http.StatusInternalServerError {
 		a.logger.Warn("api_request_failed", "status", document.Status, "detail", document.Detail)
@@ -114,73 +114,73 @@
 	document.Write(writer)
 }
 
-func (a *API) authorize(request *http.Request, writes bool) error {
+func (a *API) authorize(request *http.Request, isWrite bool) error {
 	if a.writeToken == "" {
 		return nil
 	}
 	token, _ := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
-	if sameToken(token, a.writeToken) || !writes && a.readToken != "" && sameToken(token, a.readToken) {
+	if tokensEqual(token, a.writeToken) || !isWrite && a.readToken != "" && tokensEqual(token, a.readToken) {
 		return nil
 	}
 	return fault.Unauthorized.New("a valid bearer token is required")
 }
 
-func sameToken(left, right string) bool {
+func tokensEqual(left, right string) bool {
 	return subtle.ConstantTimeCompare([]byte(left), []byte(right)) == 1
 }
 
-func kindOf(request *http.Request) (v1.Kind, error) {
-	named := mux.Vars(request)["kind"]
+func kindFromPath(request *http.Request) (v1.Kind, error) {
+	segment := mux.Vars(request)["kind"]
 	for _, kind := range v1.Kinds {
-		if strings.EqualFold(named, string(kind)) || strings.EqualFold(named, string(kind)+"s") {
+		if strings.EqualFold(segment, string(kind)) || strings.EqualFold(segment, string(kind)+"s") {
 			return kind, nil
 		}
 	}
-	return "", fault.NotFound.New("there is no kind %q", named)
+	return "", fault.NotFound.New("unknown kind %q", segment)
 }
 
-func (a *API) barrier(request *http.Request) error {
+func (a *API) waitApplied(request *http.Request) error {
 	ctx, cancel := context.WithTimeout(request.Context(), readTimeout)
 	defer cancel()
 	return a.store.Barrier(ctx)
 }
 
 func (a *API) list(writer http.ResponseWriter, request *http.Request) error {
-	kind, err := kindOf(request)
+	kind, err := kindFromPath(request)
 	if err != nil {
 		return err
 	}
-	if err := a.barrier(request); err != nil {
+	if err := a.waitApplied(request); err != nil {
 		return err
 	}
 	list := v1.List{Kind: kind + "List", Items: []v1.Resource{}}
 	a.store.Read(func(machine *state.Machine) {
 		list.ResourceVersion = strconv.FormatUint(machine.Revision(), 10)
 		for _, object := range machine.List(kind) {
-			list.Items = append(list.Items, resourceOf(object))
+			list.Items = append(list.Items, toResource(object))
 		}
 	})
-	return respond(writer, list)
+	return writeJSON(writer, list)
 }
 
 func (a *API) get(writer http.ResponseWriter, request *http.Request) error {
-	kind, err := kindOf(request)
+	kind, err := kindFromPath(request)
 	if err != nil {
 		return err
 	}
-	if err := a.barrier(request); err != nil {
+	if err := a.waitApplied(request); err != nil {
 		return err
 	}
 	name := mux.Vars(request)["name"]
-	var found *wirepb.Object
-	a.store.Read(func(machine *state.Machine) { found = machine.Get(kind, name) })
-	if found == nil {
+	var object *wirepb.Object
+	a.store.Read(func(machine *state.Machine) { object = machine.Get(kind, name) })
+	if object == nil {
 		return fault.NotFound.New("%s %s does not exist", kind, name)
 	}
-	return respond(writer, resourceOf(found))
+	return writeJSON(writer, toResource(object))
 }
 
-func resourceOf(object *wirepb.Object) v1.Resource {
+func toResource(object *wirepb.Object) v1.Resource {
 	return v1.Resource{
 		APIVersion: v1.APIVersion,
 		Kind:       v1.Kind(object.GetKind()),
@@ -195,10 +195,10 @@
 	}
 }
 
-func respond(writer http.ResponseWriter, body any) error {
+func writeJSON(writer http.ResponseWriter, body any) error {
 	writer.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(writer).Encode(body); err != nil {
-		return fault.Unavailable.Wrap(err, "writing the answer")
+		return fault.Unavailable.Wrap(err, "writing the response")
 	}
 	return nil
 }
@@ -210,7 +210,7 @@
 		return fault.InvalidField("body", "%s", err.Error())
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return fault.InvalidField("body", "there is something behind the JSON document")
+		return fault.InvalidField("body", "unexpected data after the JSON document")
 	}
 	return nil
 }
@@ -222,5 +222,5 @@
 	if err != nil {
 		return err
 	}
-	return respond(writer, statusOf(status))
+	return writeJSON(writer, toStatus(status))
 }
--- a/internal/resourceapi/api_test.go
+++ b/internal/resourceapi/api_test.go
@@ -22,13 +22,13 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// noDisk is a storage for a control node that never restarts.
-type noDisk struct{}
+// discardStorage discards all writes, for a control node that is never restarted.
+type discardStorage struct{}
 
-func (noDisk) Append(*wirepb.WalRecord) error                         { return nil }
-func (noDisk) SaveSnapshot(*wirepb.Snapshot, *wirepb.WalRecord) error { return nil }
+func (discardStorage) Append(*wirepb.WalRecord) error                         { return nil }
+func (discardStorage) SaveSnapshot(*wirepb.Snapshot, *wirepb.WalRecord) error { return nil }
 
-// serve runs a control node alone and returns the API before it.
+// serve runs a single control node and a server with its API.
 func serve(t *testing.T) *httptest.Server {
 	t.Helper()
 	configuration := &settings.Settings{
@@ -44,7 +44,7 @@
 	}
 	logger := slog.New(slog.DiscardHandler)
 	node, err := control.New(control.Options{
-		Settings: configuration, Logger: logger, Storage: noDisk{}, ID: 1,
+		Settings: configuration, Logger: logger, Storage: discardStorage{}, ID: 1,
 		Metrics: control.NewMetrics(prometheus.NewRegistry()), Self: wire.Identity{Hello: &wirepb.Hello{Cluster: "test", Node: "control-1", ControlId: 1}},
 	})
 	if err != nil {
@@ -64,15 +64,15 @@
 	return server
 }
 
-// TestAPI sends the requests of the table: method, path and headers on the
-// command's line, the body below it.
+// TestAPI sends the requests in testdata/api. The command is the method, its
+// arguments are the path and headers, and the input is the body.
 func TestAPI(t *testing.T) {
 	server := serve(t)
 	client, err := operator.NewClient([]string{server.URL}, "write", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The client asks again until there is a leader.
+	// The client retries until a leader is elected.
 	if _, err := client.List(context.Background(), string(v1.KindModel)); err != nil {
 		t.Fatal(err)
 	}
@@ -91,45 +91,45 @@
 		}
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, request)
-		return describe(t, recorder)
+		return summarize(t, recorder)
 	})
 }
 
-// describe leaves out what differs from run to run.
-func describe(t *testing.T, recorder *httptest.ResponseRecorder) string {
-	var answer struct {
+// summarize formats the parts of a response that are the same in every run.
+func summarize(t *testing.T, recorder *httptest.ResponseRecorder) string {
+	var body struct {
 		Type, Field, ResourceVersion string
 		Leader                       string
 		Metadata                     v1.Metadata
 		Items                        []v1.Resource
 		Changed                      []resourceapi.ResourceName
 	}
-	if err := json.Unmarshal(recorder.Body.Bytes(), &answer); err != nil {
+	if err := json.Unmarshal(recorder.Body.Bytes(), &body); err != nil {
 		t.Fatalf("%q: %v", recorder.Body.String(), err)
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "%d", recorder.Code)
-	if answer.Type != "" {
-		fmt.Fprintf(&out, " %s", answer.Type[strings.LastIndex(answer.Type, "/")+1:])
+	if body.Type != "" {
+		fmt.Fprintf(&out, " %s", body.Type[strings.LastIndex(body.Type, "/")+1:])
 	}
-	for name, value := range map[string]string{"field": answer.Field} {
+	for name, value := range map[string]string{"field": body.Field} {
 		if value != "" {
 			fmt.Fprintf(&out, " %s=%s", name, value)
 		}
 	}
-	if answer.ResourceVersion != "" {
-		fmt.Fprintf(&out, " version=%s", answer.ResourceVersion)
+	if body.ResourceVersion != "" {
+		fmt.Fprintf(&out, " version=%s", body.ResourceVersion)
 	}
-	if answer.Metadata.Name != "" {
-		fmt.Fprintf(&out, " %s@%s generation=%d", answer.Metadata.Name, answer.Metadata.ResourceVersion, answer.Metadata.Generation)
+	if body.Metadata.Name != "" {
+		fmt.Fprintf(&out, " %s@%s generation=%d", body.Metadata.Name, body.Metadata.ResourceVersion, body.Metadata.Generation)
 	}
-	if answer.Leader != "" {
-		fmt.Fprintf(&out, " leader=%s", answer.Leader)
+	if body.Leader != "" {
+		fmt.Fprintf(&out, " leader=%s", body.Leader)
 	}
-	for _, item := range answer.Items {
+	for _, item := range body.Items {
 		fmt.Fprintf(&out, " %s@%s", item.Metadata.Name, item.Metadata.ResourceVersion)
 	}
-	for _, changed := range answer.Changed {
+	for _, changed := range body.Changed {
 		fmt.Fprintf(&out, " %s/%s", changed.Kind, changed.Name)
 	}
 	return out.String() + "\n"
--- a/internal/resourceapi/drain_test.go
+++ b/internal/resourceapi/drain_test.go
@@ -11,7 +11,7 @@
 	"github.com/weldline/weldline/internal/resourceapi"
 )
 
-// TestZoneDrains: a drain is ordered by PUT; no other write touches it.
+// TestZoneDrains checks that a ZoneDrain can be written by PUT, and by no other write.
 func TestZoneDrains(t *testing.T) {
 	server := serve(t)
 	client, err := operator.NewClient([]string{server.URL}, "write", "")
@@ -29,25 +29,25 @@
 		}
 		var spec v1.ZoneDrainSpec
 		if err := json.Unmarshal(resource.Spec, &spec); err != nil || spec.Drained != drained {
-			t.Errorf("ordered %t, and the zone is %s (%v)", drained, resource.Spec, err)
+			t.Errorf("set drained to %t, but the spec is %s (%v)", drained, resource.Spec, err)
 		}
 	}
 	drain := v1.Resource{APIVersion: v1.APIVersion, Kind: v1.KindZoneDrain, Metadata: v1.Metadata{Name: "z"}, Spec: json.RawMessage(`{"drained":false}`)}
 	conditional := drain
 	conditional.Metadata.ResourceVersion = "1"
-	_, versioned := client.Put(ctx, &conditional, "")
-	_, applied := client.Apply(ctx, &resourceapi.ApplyRequest{Items: []v1.Resource{drain}}, "key")
-	for _, refusal := range []struct {
-		what, field string
+	_, conditionalErr := client.Put(ctx, &conditional, "")
+	_, applyErr := client.Apply(ctx, &resourceapi.ApplyRequest{Items: []v1.Resource{drain}}, "key")
+	for _, test := range []struct {
+		name, field string
 		err         error
 	}{
-		{"an unknown zone", "zone", client.DrainZone(ctx, "elsewhere", true)},
-		{"a deletion", "kind", client.Delete(ctx, "zonedrain", "z", "", "key")},
-		{"a version", "metadata.resourceVersion", versioned},
-		{"a write among others", "items[0].kind", applied},
+		{"unknown zone", "zone", client.DrainZone(ctx, "elsewhere", true)},
+		{"delete", "kind", client.Delete(ctx, "zonedrain", "z", "", "key")},
+		{"put with a version", "metadata.resourceVersion", conditionalErr},
+		{"apply", "items[0].kind", applyErr},
 	} {
-		if !fault.Is(refusal.err, fault.Invalid) || fault.FieldOf(refusal.err) != refusal.field {
-			t.Errorf("%s: %v", refusal.what, refusal.err)
+		if !fault.Is(test.err, fault.Invalid) || fault.FieldOf(test.err) != test.field {
+			t.Errorf("%s: %v", test.name, test.err)
 		}
 	}
 }
--- a/internal/resourceapi/status.go
+++ b/internal/resourceapi/status.go
@@ -6,31 +6,31 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// Status is the answer of GET /status.
+// Status is the response of GET /status.
 type Status struct {
 	Leader          string   `json:"leader"`
 	Term            uint64   `json:"term"`
 	ResourceVersion string   `json:"resourceVersion"`
 	Voters          []uint64 `json:"voters"`
 	Learners        []uint64 `json:"learners,omitempty"`
-	// Level is the level of the cluster in force; see the runbook of rolling upgrades.
+	// Level is the feature level that the cluster has enabled for rolling upgrades.
 	Level uint32       `json:"level"`
 	Nodes []NodeStatus `json:"nodes"`
 }
 
-// NodeStatus is one node in a Status.
+// NodeStatus is the status of one node.
 type NodeStatus struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 	Live bool   `json:"live"`
-	// ResourceVersion is the configuration in force on the node.
+	// ResourceVersion is the latest revision that the node has applied.
 	ResourceVersion string `json:"resourceVersion"`
 	ReportAgeMillis uint32 `json:"reportAgeMillis"`
-	// Level is the highest that the node understands.
+	// Level is the highest feature level that the node supports.
 	Level uint32 `json:"level"`
 }
 
-func statusOf(reply *wirepb.StatusReply) Status {
+func toStatus(reply *wirepb.StatusReply) Status {
 	status := Status{
 		Leader: reply.GetLeader(), Term: reply.GetTerm(),
 		ResourceVersion: strconv.FormatUint(reply.GetRevision(), 10),
--- a/internal/resourceapi/watch.go
+++ b/internal/resourceapi/watch.go
@@ -11,18 +11,18 @@
 	"github.com/weldline/weldline/internal/feed"
 )
 
-// EventType says what a WatchEvent tells.
+// EventType is the type of a WatchEvent.
 type EventType string
 
 // The types of watch events.
 const (
 	EventChanged EventType = "CHANGED"
 	EventDeleted EventType = "DELETED"
-	// EventBookmark only moves the position on.
+	// EventBookmark carries no resource. It advances the client's position.
 	EventBookmark EventType = "BOOKMARK"
 )
 
-// WatchEvent is one line of a watch.
+// WatchEvent is one line of a watch response.
 type WatchEvent struct {
 	Type EventType `json:"type"`
 	// ResourceVersion is the position after this event.
@@ -30,8 +30,8 @@
 	Resource        *v1.Resource `json:"resource,omitempty"`
 }
 
-// watch streams changes after a position. A position that is too old ends
-// with 410 and the advice to list again.
+// watch streams the changes after a resourceVersion. If those changes are no
+// longer available, it responds with 410 and the client has to list again.
 func (a *API) watch(writer http.ResponseWriter, request *http.Request) error {
 	after, err := v1.ParseRevision(request.URL.Query().Get("after"))
 	if err != nil || after == nil {
@@ -50,7 +50,7 @@
 		changed := a.store.Changed()
 		changes := a.store.ChangesAfter(stream.position)
 		if changes.Reset || stream.send(changes) != nil {
-			return nil // The client lists again from its last position.
+			return nil // The client reconnects at its last position.
 		}
 		select {
 		case <-changed:
@@ -81,7 +81,7 @@
 		if s.kind != "" && v1.Kind(object.GetKind()) != s.kind {
 			continue
 		}
-		resource := resourceOf(object)
+		resource := toResource(object)
 		line := WatchEvent{Type: EventChanged, ResourceVersion: resource.Metadata.ResourceVersion, Resource: &resource}
 		if event.GetDeleted() {
 			line.Type = EventDeleted
--- a/internal/resourceapi/write.go
+++ b/internal/resourceapi/write.go
@@ -14,10 +14,10 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// conflictRevision carries the stored revision in a Conflict error.
+// conflictRevision is the stored revision in a Conflict error.
 var conflictRevision = errorx.RegisterProperty("conflict_revision")
 
-func conflictOf(err error) (uint64, bool) {
+func conflictRevisionOf(err error) (uint64, bool) {
 	value, found := errorx.ExtractProperty(err, conflictRevision)
 	revision, isRevision := value.(uint64)
 	return revision, found && isRevision
@@ -26,13 +26,13 @@
 // ApplyRequest is the body of POST /apply.
 type ApplyRequest struct {
 	Items []v1.Resource `json:"items"`
-	// Delete lists resources to delete in the same step.
+	// Delete lists resources to delete in the same atomic step.
 	Delete []ResourceName `json:"delete,omitempty"`
-	// DryRun checks everything and changes nothing.
+	// DryRun validates the request without writing.
 	DryRun bool `json:"dryRun,omitempty"`
 }
 
-// ResourceName names a resource.
+// ResourceName identifies a resource.
 type ResourceName struct {
 	Kind v1.Kind `json:"kind"`
 	Name string  `json:"name"`
@@ -40,7 +40,7 @@
 	ResourceVersion string `json:"resourceVersion,omitempty"`
 }
 
-// ApplyResult is the answer of POST /apply.
+// ApplyResult is the response of POST /apply.
 type ApplyResult struct {
 	ResourceVersion string `json:"resourceVersion"`
 	// Changed lists the resources that were created or changed.
@@ -49,7 +49,7 @@
 }
 
 func (a *API) put(writer http.ResponseWriter, request *http.Request) error {
-	kind, err := kindOf(request)
+	kind, err := kindFromPath(request)
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	}
 	name := mux.Vars(request)["name"]
 	if resource.Kind != kind || resource.Metadata.Name != name {
-		return fault.InvalidField("metadata.name", "the body names %s %s, the path %s %s", resource.Kind, resource.Metadata.Name, kind, name)
+		return fault.InvalidField("metadata.name", "body is for %s %s, but the path is for %s %s", resource.Kind, resource.Metadata.Name, kind, name)
 	}
 	if kind == v1.KindZoneDrain {
 		return a.putZoneDrain(writer, request, &resource)
@@ -76,10 +76,10 @@
 	if len(result.GetObjects()) > 0 {
 		resource.Metadata.Generation = result.GetObjects()[0].GetGeneration()
 	}
-	return respond(writer, resource)
+	return writeJSON(writer, resource)
 }
 
-// putWrite checks a resource in full and returns its conditional write.
+// putWrite validates a resource and returns its write, conditional if it has a version.
 func putWrite(resource *v1.Resource) (*wirepb.ObjectWrite, error) {
 	if err := checkGenericKind(resource.Kind); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 }
 
 func (a *API) remove(writer http.ResponseWriter, request *http.Request) error {
-	kind, err := kindOf(request)
+	kind, err := kindFromPath(request)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	return respond(writer, ApplyResult{
+	return writeJSON(writer, ApplyResult{
 		ResourceVersion: strconv.FormatUint(result.GetRevision(), 10),
 		Changed:         []ResourceName{{Kind: kind, Name: name}},
 	})
@@ -152,16 +152,16 @@
 	if err != nil {
 		return err
 	}
-	answer := ApplyResult{
+	response := ApplyResult{
 		ResourceVersion: strconv.FormatUint(result.GetRevision(), 10), DryRun: body.DryRun, Changed: []ResourceName{},
 	}
 	for _, object := range result.GetObjects() {
-		answer.Changed = append(answer.Changed, ResourceName{
+		response.Changed = append(response.Changed, ResourceName{
 			Kind: v1.Kind(object.GetKind()), Name: object.GetName(),
 			ResourceVersion: strconv.FormatUint(object.GetRevision(), 10),
 		})
 	}
-	return respond(writer, answer)
+	return writeJSON(writer, response)
 }
 
 func applyWrites(body *ApplyRequest) ([]*wirepb.ObjectWrite, error) {
@@ -169,27 +169,28 @@
 	for position := range body.Items {
 		write, err := putWrite(&body.Items[position])
 		if err != nil {
-			return nil, inItem(err, "items", position)
+			return nil, prefixField(err, "items", position)
 		}
 		writes = append(writes, write)
 	}
-	for position, target := range body.Delete {
-		write, err := deleteWrite(target.Kind, target.Name, target.ResourceVersion)
+	for position, name := range body.Delete {
+		write, err := deleteWrite(name.Kind, name.Name, name.ResourceVersion)
 		if err != nil {
-			return nil, inItem(err, "delete", position)
+			return nil, prefixField(err, "delete", position)
 		}
 		writes = append(writes, write)
 	}
 	return writes, nil
 }
 
-func inItem(err error, list string, position int) error {
+// prefixField returns an error whose field is prefixed with the position in a list.
+func prefixField(err error, list string, position int) error {
 	field := list + "[" + strconv.Itoa(position) + "]." + fault.FieldOf(err)
 	return fault.InvalidField(field, "%s", fault.Message(err))
 }
 
 func (a *API) dryRun(request *http.Request, writes []*wirepb.ObjectWrite) (*wirepb.WriteResult, error) {
-	if err := a.barrier(request); err != nil {
+	if err := a.waitApplied(request); err != nil {
 		return nil, err
 	}
 	var result *wirepb.WriteResult
@@ -214,7 +215,7 @@
 	return result.GetWrite(), resultError(result.GetWrite())
 }
 
-// resultError returns the typed error of a failed write.
+// resultError returns the error for a failed write, or nil.
 func resultError(result *wirepb.WriteResult) error {
 	switch result.GetCode() {
 	case wirepb.ResultCode_RESULT_CODE_OK:
