--- a/cmd/weldctl/explain.go
+++ b/cmd/weldctl/explain.go
@@ -7,7 +7,7 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// explainCommand tells the story of a request from logs.
+// explainCommand prints the timeline of a request.
 type explainCommand struct {
 	Request string   `arg:"" help:"The request's id."`
 	Files   []string `arg:"" type:"existingfile" help:"Logs of any nodes."`
@@ -21,16 +21,16 @@
 		if err != nil {
 			return fault.InvalidField("files", "%s", err.Error())
 		}
-		read, err := explain.Read(file)
+		parsed, err := explain.Read(file)
 		_ = file.Close()
 		if err != nil {
 			return err
 		}
-		lines = append(lines, read...)
+		lines = append(lines, parsed...)
 	}
-	story, err := explain.Request(c.Request, lines)
+	timeline, err := explain.BuildTimeline(c.Request, lines)
 	if err != nil {
 		return err
 	}
-	return story.Write(os.Stdout)
+	return timeline.Write(os.Stdout)
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,14 +1,9 @@
-// Package explain tells the story of one request from the logs of many nodes.
+// Package explain reconstructs what happened to one request from the logs of
+// several nodes.
 //
-// The problem: an engineer on call has a request's id and the logs. What
-// happened to the request is in the lines that carry the id; why it happened is
-// in lines of other nodes that do not: that its model was being unloaded, that
-// an order had no answer, that there was no leader.
-//
-// The mechanism: the lines of the request name its model, adapter and machines,
-// and give its span. Around it, the lines about these, and those about leaders,
-// members, and configurations, are what the system believed. All are put in
-// order of time; the cause is told by the request's last line.
+// A timeline has the lines that carry the request's id, the lines about its
+// model, adapter and machines around that time, and cluster-wide events such as
+// leader changes. The cause is derived from the request's last line.
 package explain
 
 import (
@@ -29,39 +24,40 @@
 )
 
 const (
-	// before and after are how much around the request's span is told.
-	before = 8 * time.Second
-	after  = 2 * time.Second
+	// Related lines are included from contextBefore the start of the request
+	// until contextAfter its end.
+	contextBefore = 8 * time.Second
+	contextAfter  = 2 * time.Second
 
 	maxLineBytes = 1 << 20
 )
 
-// Line is one line of a log.
+// Line is one log line.
 type Line struct {
 	Time   time.Time
 	Event  string
 	Node   string
 	Fields map[string]any
-	// OfRequest is set for a line that carries the request's id.
+	// OfRequest is set if the line carries the request's id.
 	OfRequest bool
 }
 
-// Story is what is known of a request.
-type Story struct {
+// Timeline is the reconstructed history of a request.
+type Timeline struct {
 	Request string
 	Lines   []Line
-	// Cause is what ended the request, in words.
+	// Cause describes how the request ended.
 	Cause string
 }
 
-// Read reads the lines of a log. What stands before the JSON of a line is passed
-// over, and so are lines that are none.
+// Read parses a log. It ignores text before a line's JSON object, and lines
+// without one.
 func Read(reader io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
-		if line, isLine := parse(scanner.Text()); isLine {
+		if line, ok := parse(scanner.Text()); ok {
 			lines = append(lines, line)
 		}
 	}
@@ -78,18 +74,18 @@
 	}
 	fields := map[string]any{}
 	decoder := json.NewDecoder(strings.NewReader("{" + object))
-	decoder.UseNumber() // Ids of members don't fit into a float.
+	decoder.UseNumber() // Member ids don't fit into a float64.
 	if decoder.Decode(&fields) != nil {
 		return Line{}, false
 	}
-	line := Line{Fields: fields, Event: textOf(fields, "msg"), Node: textOf(fields, "node")}
-	parsed, err := time.Parse(time.RFC3339Nano, textOf(fields, "time"))
+	line := Line{Fields: fields, Event: stringField(fields, "msg"), Node: stringField(fields, "node")}
+	parsed, err := time.Parse(time.RFC3339Nano, stringField(fields, "time"))
 	line.Time = parsed
 	return line, err == nil && line.Event != ""
 }
 
-// ageOf is how old the request was when the line was written.
-func ageOf(line Line) time.Duration {
+// requestAge returns the age of the request when the line was written.
+func requestAge(line Line) time.Duration {
 	number, _ := line.Fields["age_ms"].(json.Number)
 	age, err := number.Int64()
 	if err != nil {
@@ -98,33 +94,33 @@
 	return time.Duration(age) * time.Millisecond
 }
 
-func textOf(fields map[string]any, name string) string {
+func stringField(fields map[string]any, name string) string {
 	text, _ := fields[name].(string)
 	return text
 }
 
-// Request returns the story of a request, or a NotFound error if no line carries
-// its id.
-func Request(id string, lines []Line) (*Story, error) {
+// BuildTimeline returns the timeline of a request, or a NotFound error if no line
+// carries its id.
+func BuildTimeline(id string, lines []Line) (*Timeline, error) {
 	subject := newSubject(id, lines)
-	if len(subject.own) == 0 {
-		return nil, fault.NotFound.New("no line carries the id %s", id)
+	if len(subject.ownLines) == 0 {
+		return nil, fault.NotFound.New("no log line has the request id %s", id)
 	}
-	story := &Story{Request: id}
+	timeline := &Timeline{Request: id}
 	for _, line := range lines {
-		line.OfRequest = textOf(line.Fields, "id") == id
-		if line.OfRequest || subject.concerns(line) {
-			story.Lines = append(story.Lines, line)
+		line.OfRequest = stringField(line.Fields, "id") == id
+		if line.OfRequest || subject.isRelated(line) {
+			timeline.Lines = append(timeline.Lines, line)
 		}
 	}
-	sort.SliceStable(story.Lines, func(i, j int) bool { return story.Lines[i].Time.Before(story.Lines[j].Time) })
-	story.Cause = subject.cause(story.Lines)
-	return story, nil
+	sort.SliceStable(timeline.Lines, func(i, j int) bool { return timeline.Lines[i].Time.Before(timeline.Lines[j].Time) })
+	timeline.Cause = subject.cause(timeline.Lines)
+	return timeline, nil
 }
 
-// subject is what the lines of a request name.
+// subject is the request with the model, adapter and machines that its lines name.
 type subject struct {
-	own        []Line
+	ownLines   []Line
 	model      string
 	adapter    string
 	machines   map[string]bool
@@ -134,25 +130,25 @@
 func newSubject(id string, lines []Line) *subject {
 	created := &subject{machines: map[string]bool{}}
 	for _, line := range lines {
-		if textOf(line.Fields, "id") != id {
+		if stringField(line.Fields, "id") != id {
 			continue
 		}
-		created.own = append(created.own, line)
+		created.ownLines = append(created.ownLines, line)
 		created.add(line)
 	}
-	sort.SliceStable(created.own, func(i, j int) bool { return created.own[i].Time.Before(created.own[j].Time) })
+	sort.SliceStable(created.ownLines, func(i, j int) bool { return created.ownLines[i].Time.Before(created.ownLines[j].Time) })
 	return created
 }
 
 func (s *subject) add(line Line) {
-	if model := textOf(line.Fields, "model"); model != "" {
-		s.model, s.adapter = model, textOf(line.Fields, "adapter")
+	if model := stringField(line.Fields, "model"); model != "" {
+		s.model, s.adapter = model, stringField(line.Fields, "adapter")
 	}
-	if machine := textOf(line.Fields, "machine"); machine != "" {
+	if machine := stringField(line.Fields, "machine"); machine != "" {
 		s.machines[machine] = true
 	}
 	arrived := line.Time
-	arrived = arrived.Add(-ageOf(line))
+	arrived = arrived.Add(-requestAge(line))
 	if s.start.IsZero() || arrived.Before(s.start) {
 		s.start = arrived
 	}
@@ -161,83 +157,84 @@
 	}
 }
 
-// general are the events that change what all nodes believe.
-var general = map[string]bool{
+// clusterEvents are events that can affect any request.
+var clusterEvents = map[string]bool{
 	"raft_role": true, "membership_changed": true, "declared": true, "serving": true, "upstream_lost": true,
 	"upstream_connected": true, "node_started": true, "node_stopped": true, "storage_failed": true, "ingress_draining": true,
 	"drain_in_force": true,
 }
 
-// stated are the events in which a machine states something about itself, in the answer to any request.
-var stated = map[string]bool{"request_rest_requested": true, "request_machine_leaving": true}
+// machineEvents carry the id of some request, but describe the state of the machine that responded to it.
+var machineEvents = map[string]bool{"request_rest_requested": true, "request_machine_leaving": true}
 
-// lasting are the events whose effect lasts until the opposite one.
-var lasting = map[string]bool{"zone_drained": true, "zone_undrained": true}
+// persistentEvents stay in effect until the opposite event, however long before the request they occurred.
+var persistentEvents = map[string]bool{"zone_drained": true, "zone_undrained": true}
 
-func (s *subject) concerns(line Line) bool {
-	if lasting[line.Event] {
+// isRelated reports whether a line may explain what happened to the request.
+func (s *subject) isRelated(line Line) bool {
+	if persistentEvents[line.Event] {
 		return !line.Time.After(s.end)
 	}
-	if line.Time.Before(s.start.Add(-before)) || line.Time.After(s.end.Add(after)) {
+	if line.Time.Before(s.start.Add(-contextBefore)) || line.Time.After(s.end.Add(contextAfter)) {
 		return false
 	}
-	if textOf(line.Fields, "id") != "" && !stated[line.Event] {
+	if stringField(line.Fields, "id") != "" && !machineEvents[line.Event] {
 		return false
 	}
-	if general[line.Event] {
+	if clusterEvents[line.Event] {
 		return true
 	}
-	if s.machines[textOf(line.Fields, "machine")] {
+	if s.machines[stringField(line.Fields, "machine")] {
 		return true
 	}
 	return s.model != "" && s.namesModel(line)
 }
 
 func (s *subject) namesModel(line Line) bool {
-	if textOf(line.Fields, "model") == s.model {
-		adapter := textOf(line.Fields, "adapter")
+	if stringField(line.Fields, "model") == s.model {
+		adapter := stringField(line.Fields, "adapter")
 		return adapter == "" || adapter == s.adapter
 	}
 	for _, field := range []string{"replica", "version"} {
-		if strings.Contains(textOf(line.Fields, field), "/"+s.model+"@") {
+		if strings.Contains(stringField(line.Fields, field), "/"+s.model+"@") {
 			return true
 		}
 	}
 	return false
 }
 
-// cause tells what ended the request, by its last line and what was believed.
+// cause describes how the request ended, from its last line and the related lines.
 func (s *subject) cause(lines []Line) string {
-	last := s.own[len(s.own)-1]
-	for _, line := range s.own {
+	last := s.ownLines[len(s.ownLines)-1]
+	for _, line := range s.ownLines {
 		if line.Event != "request_attempt" {
 			last = line
 		}
 	}
 	switch last.Event {
 	case "request_answered":
-		return fmt.Sprintf("answered with %v after %v ms%s", last.Fields["status"], last.Fields["age_ms"], s.waitedFor())
+		return fmt.Sprintf("answered with %v after %v ms%s", last.Fields["status"], last.Fields["age_ms"], s.describeWait())
 	case "request_cancelled":
-		return fmt.Sprintf("its caller left after %v ms%s", last.Fields["age_ms"], s.waitedFor())
+		return fmt.Sprintf("caller disconnected after %v ms%s", last.Fields["age_ms"], s.describeWait())
 	case "request_broken_off":
-		return s.brokenOff(last, lines)
+		return s.describeInterruption(last, lines)
 	case "request_refused":
-		return s.refused(last, lines)
+		return s.describeRefusal(last, lines)
 	}
-	return "its end is not in these logs; the last that is known is " + last.Event
+	return "its outcome is not in these logs; last event: " + last.Event
 }
 
-// waitedFor tells if the request had to wait for a place before it was sent.
-func (s *subject) waitedFor() string {
-	for _, line := range s.own {
+// describeWait describes how long the request waited for capacity before it was sent.
+func (s *subject) describeWait() string {
+	for _, line := range s.ownLines {
 		if line.Event == "request_sent" && line.Fields["waited"] == true {
-			return fmt.Sprintf(", of which it waited %d ms for a place for %s", ageOf(line).Milliseconds(), s.wanted())
+			return fmt.Sprintf(", including a wait of %d ms for capacity of %s", requestAge(line).Milliseconds(), s.target())
 		}
 	}
 	return ""
 }
 
-func (s *subject) wanted() string {
+func (s *subject) target() string {
 	switch {
 	case s.model == "":
 		return "its pool"
@@ -247,51 +244,51 @@
 	return "adapter " + s.adapter + " of model " + s.model
 }
 
-func (s *subject) brokenOff(last Line, lines []Line) string {
+func (s *subject) describeInterruption(last Line, lines []Line) string {
 	switch {
 	case last.Fields["caller_left"] == true:
-		return fmt.Sprintf("its caller left after %v ms, in the middle of the answer", last.Fields["age_ms"])
+		return fmt.Sprintf("caller disconnected after %v ms, during the response", last.Fields["age_ms"])
 	case last.Fields["deadline_passed"] == true:
-		return fmt.Sprintf("its time was over after %v ms, in the middle of the answer", last.Fields["age_ms"])
+		return fmt.Sprintf("deadline exceeded after %v ms, during the response", last.Fields["age_ms"])
 	}
 	for _, line := range lines {
-		machine := textOf(line.Fields, "machine")
+		machine := stringField(line.Fields, "machine")
 		isEnd := line.Event == "machine_Lost" || line.Event == "machine_Gone"
 		if isEnd && s.machines[machine] {
-			return fmt.Sprintf("machine %s ended in the middle of the answer (%s)", machine, textOf(line.Fields, "reason"))
+			return fmt.Sprintf("machine %s terminated during the response (%s)", machine, stringField(line.Fields, "reason"))
 		}
 	}
-	return fmt.Sprintf("its machine broke the answer off: %v", last.Fields["error"])
+	return fmt.Sprintf("the machine interrupted the response: %v", last.Fields["error"])
 }
 
-func (s *subject) refused(last Line, lines []Line) string {
-	if textOf(last.Fields, "kind") == problem.TypeNoRegion {
+func (s *subject) describeRefusal(last Line, lines []Line) string {
+	if stringField(last.Fields, "kind") == problem.TypeNoRegion {
 		return fmt.Sprintf("refused: no allowed region after %v ms: %v", last.Fields["age_ms"], last.Fields["detail"])
 	}
-	text := fmt.Sprintf("refused with %v after %v ms: %v", last.Fields["status"], last.Fields["age_ms"], last.Fields["detail"]) + s.heldBack()
-	if strings.HasPrefix(textOf(last.Fields, "detail"), v1.ReasonZoneDrained) {
-		return text + drainedBy(lines, last.Time)
+	text := fmt.Sprintf("refused with %v after %v ms: %v", last.Fields["status"], last.Fields["age_ms"], last.Fields["detail"]) + s.describePermits()
+	if strings.HasPrefix(stringField(last.Fields, "detail"), v1.ReasonZoneDrained) {
+		return text + describeDrains(lines, last.Time)
 	}
-	if strings.HasPrefix(textOf(last.Fields, "detail"), string(dispatch.RefusedResting)) {
-		return text + s.restedBy(lines, last)
+	if strings.HasPrefix(stringField(last.Fields, "detail"), string(dispatch.RefusedResting)) {
+		return text + s.describeBackoff(lines, last)
 	}
-	if !strings.Contains(textOf(last.Fields, "detail"), "no replica") {
+	if !strings.Contains(stringField(last.Fields, "detail"), "no replica") {
 		return text
 	}
 	var orders, leaders []string
 	for _, line := range lines {
 		switch line.Event {
 		case "order":
-			orders = append(orders, s.orderOf(line))
+			orders = append(orders, s.describeOrder(line))
 		case "raft_role":
-			if textOf(line.Fields, "role") == "leader" {
+			if stringField(line.Fields, "role") == "leader" {
 				leaders = append(leaders, line.Node)
 			}
 		}
 	}
-	text += "; wanted: " + s.wanted()
+	text += "; requested: " + s.target()
 	if len(orders) == 0 {
-		text += "; no order for it was given in these logs"
+		text += "; no order for it is in these logs"
 	} else {
 		text += "; orders: " + strings.Join(orders, ", ")
 	}
@@ -301,29 +298,29 @@
 	return text
 }
 
-// restedBy names the machines that had asked the refusing node for a rest.
-func (s *subject) restedBy(lines []Line, refusal Line) string {
-	rests := map[string]string{}
+// describeBackoff names the machines that had asked the refusing node to back off.
+func (s *subject) describeBackoff(lines []Line, refusal Line) string {
+	backoffs := map[string]string{}
 	for _, line := range lines {
 		if line.Event != "request_rest_requested" || line.Node != refusal.Node || line.Time.After(refusal.Time) {
 			continue
 		}
-		machine := textOf(line.Fields, "machine")
-		rests[machine] = fmt.Sprintf("%s %v ms, %d ms before", machine, line.Fields["rest_ms"], refusal.Time.Sub(line.Time).Milliseconds())
+		machine := stringField(line.Fields, "machine")
+		backoffs[machine] = fmt.Sprintf("%s %v ms, %d ms before", machine, line.Fields["rest_ms"], refusal.Time.Sub(line.Time).Milliseconds())
 	}
-	if len(rests) == 0 {
-		return "; no request for a rest is in these logs"
+	if len(backoffs) == 0 {
+		return "; no request to back off is in these logs"
 	}
-	return "; rests asked for: " + strings.Join(slices.Sorted(maps.Values(rests)), ", ")
+	return "; backoff requested: " + strings.Join(slices.Sorted(maps.Values(backoffs)), ", ")
 }
 
-// drainedBy names the zones that were drained at a moment, by orders that were told of in order.
-func drainedBy(lines []Line, moment time.Time) string {
+// describeDrains names the zones that were drained at the given time. Lines must be sorted by time.
+func describeDrains(lines []Line, at time.Time) string {
 	since := map[string]time.Time{}
 	for _, line := range lines {
-		zone := textOf(line.Fields, "zone")
+		zone := stringField(line.Fields, "zone")
 		switch {
-		case line.Time.After(moment):
+		case line.Time.After(at):
 		case line.Event == "zone_drained" && since[zone].IsZero():
 			since[zone] = line.Time
 		case line.Event == "zone_undrained":
@@ -331,71 +328,71 @@
 		}
 	}
 	if len(since) == 0 {
-		return "; the order for a drain is not in these logs"
+		return "; no drain of a zone is in these logs"
 	}
-	var told []string
+	var descriptions []string
 	for _, zone := range slices.Sorted(maps.Keys(since)) {
-		told = append(told, fmt.Sprintf("%s for %.1f s", zone, moment.Sub(since[zone]).Seconds()))
+		descriptions = append(descriptions, fmt.Sprintf("%s for %.1f s", zone, at.Sub(since[zone]).Seconds()))
 	}
-	return "; drained: " + strings.Join(told, ", ")
+	return "; drained: " + strings.Join(descriptions, ", ")
 }
 
-// heldBack tells how often the request was not sent since there was no permit for a machine that
-// warms up or names a limit, and of the machines.
-func (s *subject) heldBack() string {
-	times := 0
+// describePermits describes how often the request was refused a permit, and for which machines.
+// Permits limit requests to machines that warm up or have announced a limit.
+func (s *subject) describePermits() string {
+	count := 0
 	var machines []string
-	for _, line := range s.own {
+	for _, line := range s.ownLines {
 		if line.Event != "permit_refused" {
 			continue
 		}
-		times++
-		if machine := textOf(line.Fields, "machine"); !slices.Contains(machines, machine) {
+		count++
+		if machine := stringField(line.Fields, "machine"); !slices.Contains(machines, machine) {
 			machines = append(machines, machine)
 		}
 	}
-	if times == 0 {
+	if count == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; held back %d times, as machines warm up or name a limit: %s", times, strings.Join(machines, ", "))
+	return fmt.Sprintf("; permit refused %d times by machines that warm up or have a limit: %s", count, strings.Join(machines, ", "))
 }
 
-// orderOf tells of an order: what, when by the request's start, and its outcome.
-func (s *subject) orderOf(line Line) string {
-	name := textOf(line.Fields, "model")
-	if adapter := textOf(line.Fields, "adapter"); adapter != "" {
+// describeOrder formats an order with its time relative to the start of the request and its outcome.
+func (s *subject) describeOrder(line Line) string {
+	name := stringField(line.Fields, "model")
+	if adapter := stringField(line.Fields, "adapter"); adapter != "" {
 		name += "/" + adapter
 	}
 	return fmt.Sprintf("%s %s at %+.1f s %s", line.Fields["operation"], name, line.Time.Sub(s.start).Seconds(), line.Fields["outcome"])
 }
 
-// Write prints a story: a line for each event with the time since the request's
-// first line, those of the request itself marked.
-func (s *Story) Write(out io.Writer) error {
+// Write prints the cause and one row per line, with the time relative to the
+// first line of the request. Lines of the request itself are marked with "*".
+func (t *Timeline) Write(out io.Writer) error {
 	var origin time.Time
-	for _, line := range s.Lines {
+	for _, line := range t.Lines {
 		if line.OfRequest {
 			origin = line.Time
 			break
 		}
 	}
-	if _, err := fmt.Fprintf(out, "request %s: %s\n", s.Request, s.Cause); err != nil {
-		return fault.Internal.Wrap(err, "writing a story")
+	if _, err := fmt.Fprintf(out, "request %s: %s\n", t.Request, t.Cause); err != nil {
+		return fault.Internal.Wrap(err, "writing the timeline")
 	}
-	for _, line := range s.Lines {
+	for _, line := range t.Lines {
 		mark := " "
 		if line.OfRequest {
 			mark = "*"
 		}
 		_, err := fmt.Fprintf(out, "%s %+9.3f s  %-16s %-20s %s\n", mark, line.Time.Sub(origin).Seconds(), line.Node, line.Event, details(line))
 		if err != nil {
-			return fault.Internal.Wrap(err, "writing a story")
+			return fault.Internal.Wrap(err, "writing the timeline")
 		}
 	}
 	return nil
 }
 
-// details prints a line's other fields by name.
+// details formats the remaining fields of a line, sorted by name.
 func details(line Line) string {
 	skipped := map[string]bool{"time": true, "level": true, "msg": true, "node": true, "id": true}
 	var names []string
