--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -14,13 +14,13 @@
 	"testing"
 )
 
-// levels are the methods that write a line; requestLog is the ingress's own,
-// which puts a prefix before the event.
-var levels = map[string]string{"Debug": "", "Info": "", "Warn": "", "Error": "", "log": "request_"}
+// eventPrefixes maps the methods that log an event to the prefix that they add to
+// its name. "log" is a method of the ingress's request log.
+var eventPrefixes = map[string]string{"Debug": "", "Info": "", "Warn": "", "Error": "", "log": "request_"}
 
-// TestEventsAreInTheOperatorsPage: every event that the code logs stands in the
-// table of docs/OPERATIONS.md, and nothing else does.
-func TestEventsAreInTheOperatorsPage(t *testing.T) {
+// TestEventsAreDocumented checks that the table of events in docs/OPERATIONS.md
+// lists exactly the events that the code logs.
+func TestEventsAreDocumented(t *testing.T) {
 	root := filepath.Join("..", "..")
 	logged := map[string]bool{}
 	for _, folder := range []string{"internal", "platform"} {
@@ -34,40 +34,40 @@
 			t.Fatal(err)
 		}
 	}
-	page, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
+	document, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, table, found := strings.Cut(string(page), "## Events")
+	_, table, found := strings.Cut(string(document), "## Events")
 	if !found {
-		t.Fatal("the page has no table of events")
+		t.Fatal("docs/OPERATIONS.md has no table of events")
 	}
-	listed := map[string]bool{}
+	documented := map[string]bool{}
 	for line := range strings.SplitSeq(table, "\n") {
 		if cells := strings.Split(line, "|"); len(cells) > 2 {
 			for _, name := range regexp.MustCompile("`([A-Za-z_]+)`").FindAllStringSubmatch(cells[1], -1) {
-				listed[name[1]] = true
+				documented[name[1]] = true
 			}
 		}
 	}
-	for _, event := range sorted(logged) {
+	for _, event := range sortedNames(logged) {
 		if strings.HasSuffix(event, "_") {
-			if !hasPrefix(listed, event) {
-				t.Errorf("no event that begins with %s is in the table", event)
+			if !anyHasPrefix(documented, event) {
+				t.Errorf("no event with prefix %s is in the table", event)
 			}
-		} else if !listed[event] {
+		} else if !documented[event] {
 			t.Errorf("event %s is not in the table", event)
 		}
 	}
-	for _, event := range sorted(listed) {
-		if !logged[event] && !prefixed(logged, event) {
-			t.Errorf("event %s is in the table, but nothing logs it", event)
+	for _, event := range sortedNames(documented) {
+		if !logged[event] && !hasAnyPrefix(logged, event) {
+			t.Errorf("event %s is in the table, but the code doesn't log it", event)
 		}
 	}
 }
 
-// addEvents adds the events of a source file. Of an event that is put together,
-// the constant beginning counts.
+// addEvents adds the events that a source file logs. For a concatenated name, it
+// adds the constant prefix.
 func addEvents(path string, logged map[string]bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
@@ -82,7 +82,7 @@
 		if !isMethod {
 			return true
 		}
-		prefix, isLog := levels[method.Sel.Name]
+		prefix, isLog := eventPrefixes[method.Sel.Name]
 		if !isLog {
 			return true
 		}
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func hasPrefix(names map[string]bool, prefix string) bool {
+func anyHasPrefix(names map[string]bool, prefix string) bool {
 	for name := range names {
 		if strings.HasPrefix(name, prefix) {
 			return true
@@ -109,7 +109,7 @@
 	return false
 }
 
-func prefixed(prefixes map[string]bool, name string) bool {
+func hasAnyPrefix(prefixes map[string]bool, name string) bool {
 	for prefix := range prefixes {
 		if strings.HasSuffix(prefix, "_") && strings.HasPrefix(name, prefix) {
 			return true
@@ -118,7 +118,7 @@
 	return false
 }
 
-func sorted(names map[string]bool) []string {
+func sortedNames(names map[string]bool) []string {
 	list := make([]string, 0, len(names))
 	for name := range names {
 		list = append(list, name)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,15 +1,9 @@
-// Package logging writes a process's log as JSON lines without ever holding up
-// the process.
+// Package logging writes a process's log as JSON lines without blocking the
+// process.
 //
-// The problem: an engineer on call has only logs and metrics, so every failure
-// must be in them; but the volume must stay bounded under load, and whoever
-// reads standard output may be slow, or not read at all.
-//
-// The mechanism: lines go through a buffer of fixed size to a goroutine of their
-// own; what does not fit is dropped and counted. Before that, each event has a
-// rate: failures (warnings and errors) are always kept, other events beyond
-// their rate are left out and counted. What was left out is told in a line of
-// its own, and by counters.
+// Lines pass through a bounded buffer to a writer goroutine; lines that don't fit
+// are dropped. Each event below level Warn is rate-limited; warnings and errors are
+// not. Dropped and suppressed lines are counted and summarized in the log.
 package logging
 
 import (
@@ -26,17 +20,13 @@
 )
 
 const (
-	// bufferLines is how many lines wait for a slow reader.
-	bufferLines = 2048
-	// eventRate is how many lines of one event are kept in a second, eventBurst
-	// how many at once.
-	eventRate  = 100
-	eventBurst = 200
-	// summaryInterval is how often what was left out is told.
-	summaryInterval = 5 * time.Second
+	bufferLines         = 2048
+	eventLinesPerSecond = 100
+	eventBurstLines     = 200
+	summaryInterval     = 5 * time.Second
 )
 
-// Log is a process's log. Close writes what is buffered.
+// Log is the log of a process. Close flushes it.
 type Log struct {
 	*slog.Logger
 	writer  *asyncWriter
@@ -48,7 +38,7 @@
 // New returns a log that writes to out.
 func New(out io.Writer, level slog.Level) *Log {
 	writer := newAsyncWriter(out, bufferLines)
-	limiter := newLimiter(eventRate, eventBurst)
+	limiter := newLimiter(eventLinesPerSecond, eventBurstLines)
 	handler := &limitedHandler{
 		Handler: slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: level}), limiter: limiter, now: time.Now,
 	}
@@ -57,13 +47,14 @@
 	return created
 }
 
-// Close writes what is buffered, as far as the reader takes it within the time.
-func (l *Log) Close(patience time.Duration) {
+// Close flushes the buffer and stops the log. It gives up after the timeout.
+func (l *Log) Close(timeout time.Duration) {
 	close(l.stop)
 	l.stopped.Wait()
-	l.writer.close(patience)
+	l.writer.close(timeout)
 }
 
+// summarize periodically logs the numbers of suppressed and dropped lines.
 func (l *Log) summarize() {
 	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
@@ -73,7 +64,7 @@
 			return
 		case <-ticker.C:
 		}
-		for event, count := range l.limiter.takeLeftOut() {
+		for event, count := range l.limiter.takeSuppressed() {
 			l.Warn("log_left_out", "event", event, "lines", count)
 		}
 		if dropped := l.writer.takeDropped(); dropped > 0 {
@@ -85,29 +76,29 @@
 // Describe implements prometheus.Collector.
 func (l *Log) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- droppedDescription
-	descriptions <- leftOutDescription
+	descriptions <- suppressedDescription
 }
 
 var (
-	droppedDescription = prometheus.NewDesc("weldline_log_lines_dropped_total", "Lines dropped since the buffer was full.", nil, nil)
-	leftOutDescription = prometheus.NewDesc("weldline_log_lines_left_out_total", "Lines left out beyond their event's rate.", nil, nil)
+	droppedDescription    = prometheus.NewDesc("weldline_log_lines_dropped_total", "Lines dropped since the buffer was full.", nil, nil)
+	suppressedDescription = prometheus.NewDesc("weldline_log_lines_left_out_total", "Lines left out beyond their event's rate.", nil, nil)
 )
 
 // Collect implements prometheus.Collector.
 func (l *Log) Collect(metrics chan<- prometheus.Metric) {
 	metrics <- prometheus.MustNewConstMetric(droppedDescription, prometheus.CounterValue, float64(l.writer.dropped.Load()))
-	metrics <- prometheus.MustNewConstMetric(leftOutDescription, prometheus.CounterValue, float64(l.limiter.total.Load()))
+	metrics <- prometheus.MustNewConstMetric(suppressedDescription, prometheus.CounterValue, float64(l.limiter.total.Load()))
 }
 
-// asyncWriter passes lines on to a writer on a goroutine of its own. Write never
-// waits.
+// asyncWriter writes lines to out on its own goroutine. Write never blocks; it
+// drops the line if the buffer is full.
 type asyncWriter struct {
-	out     io.Writer
-	lines   chan []byte
-	done    chan struct{}
-	dropped atomic.Uint64
-	told    uint64
-	closing sync.Once
+	out       io.Writer
+	lines     chan []byte
+	done      chan struct{}
+	dropped   atomic.Uint64
+	reported  uint64
+	closeOnce sync.Once
 }
 
 func newAsyncWriter(out io.Writer, capacity int) *asyncWriter {
@@ -116,7 +107,7 @@
 	return writer
 }
 
-// Write implements io.Writer; the line is copied.
+// Write implements io.Writer. It copies the line.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- slices.Clone(line):
@@ -129,23 +120,23 @@
 func (w *asyncWriter) run() {
 	defer close(w.done)
 	for line := range w.lines {
-		if line == nil {
+		if line == nil { // Sent by close.
 			return
 		}
 		_, _ = w.out.Write(line)
 	}
 }
 
-// takeDropped returns how many lines were dropped since it was called last.
+// takeDropped returns the number of lines dropped since the last call.
 func (w *asyncWriter) takeDropped() uint64 {
-	dropped := w.dropped.Load() - w.told
-	w.told += dropped
+	dropped := w.dropped.Load() - w.reported
+	w.reported += dropped
 	return dropped
 }
 
-func (w *asyncWriter) close(patience time.Duration) {
-	w.closing.Do(func() {
-		limit := time.NewTimer(patience)
+func (w *asyncWriter) close(timeout time.Duration) {
+	w.closeOnce.Do(func() {
+		limit := time.NewTimer(timeout)
 		defer limit.Stop()
 		select {
 		case w.lines <- nil:
@@ -159,14 +150,14 @@
 	})
 }
 
-// limiter keeps each event to a rate. Time is an argument.
+// limiter is a token bucket per event.
 type limiter struct {
 	rate, burst float64
 	total       atomic.Uint64
 
-	mutex   sync.Mutex
-	events  map[string]*bucket
-	leftOut map[string]uint64
+	mutex      sync.Mutex
+	events     map[string]*bucket
+	suppressed map[string]uint64
 }
 
 type bucket struct {
@@ -175,39 +166,42 @@
 }
 
 func newLimiter(rate, burst float64) *limiter {
-	return &limiter{rate: rate, burst: burst, events: map[string]*bucket{}, leftOut: map[string]uint64{}}
+	return &limiter{rate: rate, burst: burst, events: map[string]*bucket{}, suppressed: map[string]uint64{}}
 }
 
-// allow reports whether a line of an event may be written now.
+// allow reports whether a line of an event may be written, and counts it as
+// suppressed if not.
 func (l *limiter) allow(now time.Time, event string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	held := l.events[event]
-	if held == nil {
-		held = &bucket{tokens: l.burst, updated: now}
-		l.events[event] = held
+	state := l.events[event]
+	if state == nil {
+		state = &bucket{tokens: l.burst, updated: now}
+		l.events[event] = state
 	}
-	held.tokens = min(l.burst, held.tokens+now.Sub(held.updated).Seconds()*l.rate)
-	held.updated = now
-	if held.tokens < 1 {
-		l.leftOut[event]++
+	state.tokens = min(l.burst, state.tokens+now.Sub(state.updated).Seconds()*l.rate)
+	state.updated = now
+	if state.tokens < 1 {
+		l.suppressed[event]++
 		l.total.Add(1)
 		return false
 	}
-	held.tokens--
+	state.tokens--
 	return true
 }
 
-// takeLeftOut returns how many lines were left out since it was called last.
-func (l *limiter) takeLeftOut() map[string]uint64 {
+// takeSuppressed returns the number of suppressed lines by event since the last
+// call.
+func (l *limiter) takeSuppressed() map[string]uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	leftOut := maps.Clone(l.leftOut)
-	clear(l.leftOut)
-	return leftOut
+	suppressed := maps.Clone(l.suppressed)
+	clear(l.suppressed)
+	return suppressed
 }
 
-// limitedHandler leaves out what is beyond an event's rate, failures excepted.
+// limitedHandler suppresses records below level Warn that exceed their event's
+// rate.
 type limitedHandler struct {
 	slog.Handler
 	limiter *limiter
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// stuck is an output that is never read.
-type stuck struct{ entered chan struct{} }
+// blockingWriter is a writer whose Write never returns.
+type blockingWriter struct{ entered chan struct{} }
 
-func (s stuck) Write([]byte) (int, error) {
-	s.entered <- struct{}{}
+func (b blockingWriter) Write([]byte) (int, error) {
+	b.entered <- struct{}{}
 	select {}
 }
 
-// TestOutputThatIsNeverRead: the process goes on, and what was lost is counted.
-func TestOutputThatIsNeverRead(t *testing.T) {
-	output := stuck{entered: make(chan struct{}, 1)}
+// TestBlockedOutput checks that Write doesn't block on its output, and that the
+// dropped lines are counted.
+func TestBlockedOutput(t *testing.T) {
+	output := blockingWriter{entered: make(chan struct{}, 1)}
 	writer := newAsyncWriter(output, 10)
 	_, _ = writer.Write([]byte("first"))
 	<-output.entered
@@ -30,56 +31,58 @@
 		}
 	}
 	if dropped := writer.takeDropped(); dropped != 90 {
-		t.Errorf("%d lines were dropped, 90 did not fit", dropped)
+		t.Errorf("%d lines were dropped, want 90", dropped)
 	}
 	if dropped := writer.takeDropped(); dropped != 0 {
-		t.Errorf("%d lines are told twice", dropped)
+		t.Errorf("%d dropped lines are counted twice", dropped)
 	}
 	writer.close(time.Millisecond)
 }
 
-// guarded is a buffer for two goroutines.
-type guarded struct {
+// lockedBuffer is a bytes.Buffer that is safe for concurrent use.
+type lockedBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (g *guarded) Write(line []byte) (int, error) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.buffer.Write(line)
+func (b *lockedBuffer) Write(line []byte) (int, error) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.buffer.Write(line)
 }
 
-func (g *guarded) text() string {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.buffer.String()
+func (b *lockedBuffer) text() string {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.buffer.String()
 }
 
-// TestFailuresAreKept beyond the rate at which successes are left out.
-func TestFailuresAreKept(t *testing.T) {
-	output := &guarded{}
+// TestFailuresAreNotSuppressed checks that warnings are kept beyond the rate at
+// which lines below level Warn are suppressed.
+func TestFailuresAreNotSuppressed(t *testing.T) {
+	output := &lockedBuffer{}
 	log := New(output, slog.LevelInfo)
-	for range 3 * eventBurst {
+	for range 3 * eventBurstLines {
 		log.Info("request_answered")
 		log.Warn("request_failed")
 	}
 	log.Info("leader_elected")
 	log.Close(time.Minute)
 	text := output.text()
-	if failures := strings.Count(text, `"request_failed"`); failures != 3*eventBurst {
-		t.Errorf("%d of %d failures are in the log", failures, 3*eventBurst)
+	if failures := strings.Count(text, `"request_failed"`); failures != 3*eventBurstLines {
+		t.Errorf("%d of %d failures are in the log", failures, 3*eventBurstLines)
 	}
-	if successes := strings.Count(text, `"request_answered"`); successes < eventBurst || successes == 3*eventBurst {
-		t.Errorf("%d of %d successes are in the log", successes, 3*eventBurst)
+	if successes := strings.Count(text, `"request_answered"`); successes < eventBurstLines || successes == 3*eventBurstLines {
+		t.Errorf("%d of %d successes are in the log", successes, 3*eventBurstLines)
 	}
 	if !strings.Contains(text, `"leader_elected"`) {
-		t.Error("one event's rate left out another")
+		t.Error("a line was suppressed by the rate of another event")
 	}
 }
 
-// TestRateOfAnEvent tables when a line is left out.
-func TestRateOfAnEvent(t *testing.T) {
+// TestLimiter checks the rate and burst of an event, and that events have
+// separate buckets.
+func TestLimiter(t *testing.T) {
 	start := time.Unix(1000, 0)
 	limiter := newLimiter(2, 3)
 	for position, step := range []struct {
@@ -97,11 +100,11 @@
 		{time.Hour, "a", true},
 	} {
 		if allowed := limiter.allow(start.Add(step.after), step.event); allowed != step.allowed {
-			t.Errorf("step %d is allowed: %v", position, allowed)
+			t.Errorf("step %d: allowed is %v", position, allowed)
 		}
 	}
-	if leftOut := limiter.takeLeftOut(); leftOut["a"] != 2 || leftOut["b"] != 0 {
-		t.Errorf("left out: %v", leftOut)
+	if suppressed := limiter.takeSuppressed(); suppressed["a"] != 2 || suppressed["b"] != 0 {
+		t.Errorf("suppressed: %v", suppressed)
 	}
 }
 
@@ -114,7 +117,7 @@
 	}
 }
 
-func BenchmarkLineThatIsLeftOut(b *testing.B) {
+func BenchmarkSuppressedLine(b *testing.B) {
 	log := New(io.Discard, slog.LevelInfo)
 	defer log.Close(time.Minute)
 	log.limiter.rate = 0
@@ -125,7 +128,7 @@
 }
 
 func BenchmarkFullBuffer(b *testing.B) {
-	output := stuck{entered: make(chan struct{}, 1)}
+	output := blockingWriter{entered: make(chan struct{}, 1)}
 	log := New(output, slog.LevelInfo)
 	b.ReportAllocs()
 	for b.Loop() {
