--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -27,19 +27,18 @@
 	retryDelay     = 200 * time.Millisecond
 )
 
-// Client talks to any of several servers of the resource API. A request that
-// got no clear answer is sent again, to the next server, under the same
-// Idempotency-Key.
+// Client calls any of several servers of the resource API. If a server is
+// unavailable, the request is retried on the next one with the same
+// Idempotency-Key. A Client is not safe for concurrent use.
 type Client struct {
-	servers []string
-	token   string
-	http    *http.Client
-	current int
+	servers     []string
+	token       string
+	http        *http.Client
+	serverIndex int
 }
 
-// NewClient returns a client of the given base URLs. Authority is the PEM file
-// of the authority that signs the servers' certificates; empty for the
-// system's.
+// NewClient returns a client for the given base URLs. authority is a PEM file with
+// the CA certificates to verify the servers with, or "" for the system's CAs.
 func NewClient(servers []string, token, authority string) (*Client, error) {
 	if len(servers) == 0 {
 		return nil, fault.InvalidField("server", "at least one server is required")
@@ -56,24 +55,24 @@
 	return client, nil
 }
 
-// call is one request to the API.
-type call struct {
+// apiRequest is a request to the API; its path is relative to basePath.
+type apiRequest struct {
 	method string
 	path   string
-	key    string
+	key    string // Idempotency-Key
 	body   any
 }
 
-// do sends a request until it gets a clear answer or ctx ends.
-func (c *Client) do(ctx context.Context, request call, answer any) error {
+// retry repeats a request until a server responds or ctx is done.
+func (c *Client) retry(ctx context.Context, request apiRequest, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for {
-		err := c.once(ctx, request, answer)
+		err := c.attempt(ctx, request, target)
 		if !fault.Is(err, fault.Unavailable) {
 			return err
 		}
-		c.current++
+		c.serverIndex++
 		select {
 		case <-ctx.Done():
 			return err
@@ -82,22 +81,22 @@
 	}
 }
 
-func (c *Client) once(ctx context.Context, request call, answer any) error {
+func (c *Client) attempt(ctx context.Context, request apiRequest, target any) error {
 	response, err := c.send(ctx, request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return errorOf(response)
+		return errorFromResponse(response)
 	}
-	if err := json.NewDecoder(response.Body).Decode(answer); err != nil {
-		return fault.Unavailable.Wrap(err, "reading the answer")
+	if err := json.NewDecoder(response.Body).Decode(target); err != nil {
+		return fault.Unavailable.Wrap(err, "reading the response")
 	}
 	return nil
 }
 
-func (c *Client) send(ctx context.Context, request call) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, request apiRequest) (*http.Response, error) {
 	var encoded []byte
 	if request.body != nil {
 		var err error
@@ -105,25 +104,27 @@
 			return nil, fault.Internal.Wrap(err, "encoding a request")
 		}
 	}
-	target := strings.TrimRight(c.servers[c.current%len(c.servers)], "/") + basePath + request.path
-	created, err := http.NewRequestWithContext(ctx, request.method, target, bytes.NewReader(encoded))
+	target := strings.TrimRight(c.servers[c.serverIndex%len(c.servers)], "/") + basePath + request.path
+	httpRequest, err := http.NewRequestWithContext(ctx, request.method, target, bytes.NewReader(encoded))
 	if err != nil {
 		return nil, fault.InvalidField("server", "%s", err.Error())
 	}
 	if c.token != "" {
-		created.Header.Set("Authorization", "Bearer "+c.token)
+		httpRequest.Header.Set("Authorization", "Bearer "+c.token)
 	}
 	if request.key != "" {
-		created.Header.Set("Idempotency-Key", request.key)
+		httpRequest.Header.Set("Idempotency-Key", request.key)
 	}
-	response, err := c.http.Do(created)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
-		return nil, fault.Unavailable.Wrap(err, "no answer from %s", target)
+		return nil, fault.Unavailable.Wrap(err, "request to %s failed", target)
 	}
 	return response, nil
 }
 
-var faults = map[string]*errorx.Type{
+// errorTypes maps the types of problem documents to errors. A missed deadline is
+// Unavailable, so that the request is retried.
+var errorTypes = map[string]*errorx.Type{
 	problem.TypeInvalid:      fault.Invalid,
 	problem.TypeConflict:     fault.Conflict,
 	problem.TypeNotFound:     fault.NotFound,
@@ -134,20 +135,20 @@
 	problem.TypeDeadline:     fault.Unavailable,
 }
 
-// errorOf turns a problem document back into a typed error.
-func errorOf(response *http.Response) error {
+// errorFromResponse converts a problem document to a typed error.
+func errorFromResponse(response *http.Response) error {
 	document := &problem.Document{Type: problem.New(problem.TypeUnavailable, 0, "").Type}
 	if err := json.NewDecoder(response.Body).Decode(document); err != nil {
-		return fault.Unavailable.New("the server answered %s without a problem document", response.Status)
+		return fault.Unavailable.New("server returned %s without a problem document", response.Status)
 	}
 	kind := document.Type[strings.LastIndex(document.Type, "/")+1:]
-	known := faults[kind]
+	known := errorTypes[kind]
 	if known == nil {
 		return fault.Protocol.New("%s: %s", document.Title, document.Detail)
 	}
 	detail := document.Detail
 	if document.ResourceVersion != "" {
-		detail += " (present version " + document.ResourceVersion + ")"
+		detail += " (current version " + document.ResourceVersion + ")"
 	}
 	if document.Field != "" {
 		detail = document.Field + ": " + detail
@@ -155,68 +156,67 @@
 	return known.New("%s", detail).WithProperty(fault.Field, document.Field)
 }
 
-// List returns all resources of a kind.
+// List returns all resources of a kind, read at one version.
 func (c *Client) List(ctx context.Context, kind string) (*v1.List, error) {
 	list := &v1.List{}
-	return list, c.do(ctx, call{method: http.MethodGet, path: "/" + url.PathEscape(kind)}, list)
+	return list, c.retry(ctx, apiRequest{method: http.MethodGet, path: "/" + url.PathEscape(kind)}, list)
 }
 
-// Get returns one resource.
 func (c *Client) Get(ctx context.Context, kind, name string) (*v1.Resource, error) {
 	resource := &v1.Resource{}
 	path := "/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
-	return resource, c.do(ctx, call{method: http.MethodGet, path: path}, resource)
+	return resource, c.retry(ctx, apiRequest{method: http.MethodGet, path: path}, resource)
 }
 
-// Put writes one resource under a key.
+// Put creates or replaces a resource. key is the Idempotency-Key; it may be empty.
 func (c *Client) Put(ctx context.Context, resource *v1.Resource, key string) (*v1.Resource, error) {
-	answer := &v1.Resource{}
+	stored := &v1.Resource{}
 	path := "/" + url.PathEscape(string(resource.Kind)) + "/" + url.PathEscape(resource.Metadata.Name)
-	return answer, c.do(ctx, call{method: http.MethodPut, path: path, key: key, body: resource}, answer)
+	return stored, c.retry(ctx, apiRequest{method: http.MethodPut, path: path, key: key, body: resource}, stored)
 }
 
-// DrainZone orders that the machines of a zone get no requests, or that they get them again. The
-// same order may be given again, so it needs no key.
+// DrainZone drains or undrains a zone. Machines of a drained zone get no requests. The write is
+// idempotent, so it needs no key.
 func (c *Client) DrainZone(ctx context.Context, zone string, drained bool) error {
 	spec, err := json.Marshal(v1.ZoneDrainSpec{Drained: drained})
 	if err != nil {
 		return fault.Internal.Wrap(err, "encoding a drain")
 	}
-	order := &v1.Resource{APIVersion: v1.APIVersion, Kind: v1.KindZoneDrain, Metadata: v1.Metadata{Name: zone}, Spec: spec}
-	_, err = c.Put(ctx, order, "")
+	resource := &v1.Resource{APIVersion: v1.APIVersion, Kind: v1.KindZoneDrain, Metadata: v1.Metadata{Name: zone}, Spec: spec}
+	_, err = c.Put(ctx, resource, "")
 	return err
 }
 
-// Delete removes one resource; an empty version makes it unconditional.
+// Delete deletes a resource. An empty version makes the deletion unconditional.
 func (c *Client) Delete(ctx context.Context, kind, name, version, key string) error {
 	path := "/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 	if version != "" {
 		path += "?resourceVersion=" + url.QueryEscape(version)
 	}
-	return c.do(ctx, call{method: http.MethodDelete, path: path, key: key}, &resourceapi.ApplyResult{})
+	return c.retry(ctx, apiRequest{method: http.MethodDelete, path: path, key: key}, &resourceapi.ApplyResult{})
 }
 
-// Apply writes many resources, all or none, under a key.
+// Apply writes several resources in one atomic step.
 func (c *Client) Apply(ctx context.Context, request *resourceapi.ApplyRequest, key string) (*resourceapi.ApplyResult, error) {
 	result := &resourceapi.ApplyResult{}
-	return result, c.do(ctx, call{method: http.MethodPost, path: "/apply", key: key, body: request}, result)
+	return result, c.retry(ctx, apiRequest{method: http.MethodPost, path: "/apply", key: key, body: request}, result)
 }
 
-// Status returns the cluster as its leader sees it.
+// Status returns the status of the cluster from its leader.
 func (c *Client) Status(ctx context.Context) (*resourceapi.Status, error) {
 	status := &resourceapi.Status{}
-	return status, c.do(ctx, call{method: http.MethodGet, path: "/status"}, status)
+	return status, c.retry(ctx, apiRequest{method: http.MethodGet, path: "/status"}, status)
 }
 
-// Watch calls visit for each event after a version until ctx ends. A lost
-// connection is resumed at the last version seen.
+// Watch calls visit for each event after a version until ctx is done or visit
+// fails. If the connection is lost, it resumes after the last event.
 func (c *Client) Watch(ctx context.Context, kind, after string, visit func(event resourceapi.WatchEvent) error) error {
 	for ctx.Err() == nil {
 		err := c.watchOnce(ctx, kind, &after, visit)
 		if err != nil && !fault.Is(err, fault.Unavailable) {
 			return err
 		}
-		c.current++
+		c.serverIndex++
 		select {
 		case <-ctx.Done():
 		case <-time.After(retryDelay):
@@ -227,19 +227,19 @@
 
 func (c *Client) watchOnce(ctx context.Context, kind string, after *string, visit func(event resourceapi.WatchEvent) error) error {
 	path := "/watch?after=" + url.QueryEscape(*after) + "&kind=" + url.QueryEscape(kind)
-	response, err := c.send(ctx, call{method: http.MethodGet, path: path})
+	response, err := c.send(ctx, apiRequest{method: http.MethodGet, path: path})
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return errorOf(response)
+		return errorFromResponse(response)
 	}
 	decoder := json.NewDecoder(bufio.NewReader(response.Body))
 	for {
 		var event resourceapi.WatchEvent
 		if err := decoder.Decode(&event); err != nil {
-			return fault.Unavailable.Wrap(err, "the watch was cut off")
+			return fault.Unavailable.Wrap(err, "watch connection lost")
 		}
 		if err := visit(event); err != nil {
 			return err
