--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -6,14 +6,14 @@
 	"github.com/weldline/weldline/api/engine"
 )
 
-// The tiers in which a machine may have a checkpoint, from fast to slow.
+// The storage tiers of a checkpoint, from fast to slow.
 const (
 	TierMemory = "memory"
 	TierDisk   = "disk"
 	TierRemote = "remote"
 )
 
-// Tiers describes the caches of a machine. Speeds are in bytes a second.
+// Tiers describes the read bandwidths and cache sizes of a machine.
 type Tiers struct {
 	MemoryBytesPerSecond float64
 	DiskBytesPerSecond   float64
@@ -21,35 +21,34 @@
 	DiskCacheBytes       int64
 }
 
-// CheckpointCache holds checkpoints in host memory and on disk, the least
-// recently used going first.
+// CheckpointCache is an LRU cache of checkpoints in host memory and on disk.
 type CheckpointCache struct {
 	tiers  Tiers
-	memory lruBytes
-	disk   lruBytes
+	memory lruSet
+	disk   lruSet
 }
 
 // NewCheckpointCache returns an empty cache.
 func NewCheckpointCache(tiers Tiers) *CheckpointCache {
 	return &CheckpointCache{
 		tiers:  tiers,
-		memory: lruBytes{limit: tiers.MemoryCacheBytes},
-		disk:   lruBytes{limit: tiers.DiskCacheBytes},
+		memory: lruSet{limit: tiers.MemoryCacheBytes},
+		disk:   lruSet{limit: tiers.DiskCacheBytes},
 	}
 }
 
-// Add keeps a checkpoint that was loaded.
+// Add caches a loaded checkpoint in both tiers.
 func (c *CheckpointCache) Add(checkpoint string, bytes int64) {
 	c.memory.add(checkpoint, bytes)
 	c.disk.add(checkpoint, bytes)
 }
 
-// DropMemory empties the memory tier, as the end of the engine does.
+// DropMemory empties the memory tier, as when the engine process exits.
 func (c *CheckpointCache) DropMemory() {
-	c.memory = lruBytes{limit: c.tiers.MemoryCacheBytes}
+	c.memory = lruSet{limit: c.tiers.MemoryCacheBytes}
 }
 
-// Tier returns the fastest tier that has a checkpoint.
+// Tier returns the fastest tier that holds a checkpoint.
 func (c *CheckpointCache) Tier(checkpoint string) string {
 	switch {
 	case c.memory.has(checkpoint):
@@ -60,7 +59,8 @@
 	return TierRemote
 }
 
-// Speed returns the bytes per second of a tier of the machine itself, or 0.
+// Speed returns the bandwidth of a local tier in bytes per second, or 0 for a
+// remote one.
 func (c *CheckpointCache) Speed(tier string) float64 {
 	switch tier {
 	case TierMemory:
@@ -71,7 +71,7 @@
 	return 0
 }
 
-// List returns the cached checkpoints by name.
+// List returns the cached checkpoints, sorted by name.
 func (c *CheckpointCache) List() []engine.CheckpointReport {
 	var listed []engine.CheckpointReport
 	for _, entry := range c.disk.entries {
@@ -81,8 +81,9 @@
 	return listed
 }
 
-// lruBytes is a set bounded by bytes, oldest first.
-type lruBytes struct {
+// lruSet is an LRU set with a limit in bytes. Entries are sorted from least to most
+// recently used.
+type lruSet struct {
 	limit   int64
 	used    int64
 	entries []lruEntry
@@ -93,7 +94,7 @@
 	bytes int64
 }
 
-func (l *lruBytes) has(name string) bool {
+func (l *lruSet) has(name string) bool {
 	for _, entry := range l.entries {
 		if entry.name == name {
 			return true
@@ -102,7 +103,7 @@
 	return false
 }
 
-func (l *lruBytes) add(name string, bytes int64) {
+func (l *lruSet) add(name string, bytes int64) {
 	for position, entry := range l.entries {
 		if entry.name == name {
 			l.entries = append(l.entries[:position], l.entries[position+1:]...)
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -1,17 +1,15 @@
-// Package enginemodel is the part of a model engine that weldline's promises
-// rest on: fenced orders, incarnations and accelerator memory. It is pure; the
-// emulator runs it in real time, the simulators in virtual time.
-//
-// Its rules are the contract of the engine protocol:
+// Package enginemodel is a deterministic model of an engine: fenced orders,
+// incarnations and accelerator memory. It implements the rules of the engine
+// protocol:
 //
 //   - an order for another incarnation is refused;
 //   - an order whose fence is below the highest accepted one is refused,
-//     unless it asks for a load that is already there;
-//   - a replica name that has ended (unloaded, failed or refused for lack of
-//     memory) is never loaded again in the same incarnation, so a late copy
-//     of its order can't bring it back;
-//   - an unload refuses new requests at once, and frees the memory when the
-//     last running one has ended.
+//     unless it is a load of a replica that exists;
+//   - a replica name that was unloaded, failed or was refused for lack of memory
+//     is never loaded again in the same incarnation, so a delayed duplicate of its
+//     order has no effect;
+//   - an unload refuses new requests immediately, and frees the memory when the
+//     last running request has ended.
 package enginemodel
 
 import (
@@ -20,8 +18,7 @@
 	"github.com/weldline/weldline/api/engine"
 )
 
-// Engine is the state of one engine process. It is not safe for concurrent
-// use.
+// Engine is the state of one engine process. It is not safe for concurrent use.
 type Engine struct {
 	Machine          string
 	Accelerators     int
@@ -29,12 +26,12 @@
 	Incarnation      uint64
 	Fence            uint64
 	replicas         map[string]*Replica
-	ended            map[string]bool
-	// ignoreFence breaks the rule of fences, to show that checks notice.
+	retired          map[string]bool
+	// ignoreFence disables fencing and the incarnation check, for mutation tests.
 	ignoreFence bool
 }
 
-// Replica is a replica that the engine holds.
+// Replica is a replica on the engine.
 type Replica struct {
 	Order   engine.Order
 	Phase   string
@@ -42,35 +39,33 @@
 	Reason  string
 }
 
-// New returns an engine with empty memory.
+// New returns an engine without replicas.
 func New(machine string, accelerators int, acceleratorBytes int64, incarnation uint64) *Engine {
 	created := &Engine{Machine: machine, Accelerators: accelerators, AcceleratorBytes: acceleratorBytes}
 	created.Restart(incarnation)
 	return created
 }
 
-// BreakFence makes the engine ignore fences; for mutation tests.
+// BreakFence makes the engine ignore fences and incarnations, for mutation tests.
 func (e *Engine) BreakFence() {
 	e.ignoreFence = true
 }
 
-// Restart empties the memory under a new incarnation.
+// Restart removes all replicas and starts a new incarnation.
 func (e *Engine) Restart(incarnation uint64) {
 	e.Incarnation = incarnation
 	e.Fence = 0
 	e.replicas = map[string]*Replica{}
-	e.ended = map[string]bool{}
+	e.retired = map[string]bool{}
 }
 
-// Effect is what an accepted order began.
+// Effect has the replicas whose load or unload an accepted order started, or nil.
 type Effect struct {
-	// Loading is the replica whose load begins.
-	Loading *Replica
-	// Unloading is the replica whose unload begins.
+	Loading   *Replica
 	Unloading *Replica
 }
 
-// Apply carries out an order.
+// Apply executes an order.
 func (e *Engine) Apply(order engine.Order) (engine.OrderResult, Effect) {
 	if reason := e.refusal(order); reason != "" {
 		return engine.OrderResult{Reason: reason, Fence: e.Fence}, Effect{}
@@ -97,7 +92,7 @@
 	if order.Kind == engine.OrderLoad && e.replicas[order.Replica] != nil {
 		return ""
 	}
-	if order.Fence < e.Fence || order.Kind == engine.OrderLoad && e.ended[order.Replica] {
+	if order.Fence < e.Fence || order.Kind == engine.OrderLoad && e.retired[order.Replica] {
 		return engine.ReasonStaleFence
 	}
 	return ""
@@ -108,12 +103,12 @@
 		return nil, ""
 	}
 	if !e.hasRoom(order) {
-		e.ended[order.Replica] = true
+		e.retired[order.Replica] = true
 		return nil, engine.ReasonNoMemory
 	}
-	started := &Replica{Order: order, Phase: engine.PhaseLoading}
-	e.replicas[order.Replica] = started
-	return started, ""
+	replica := &Replica{Order: order, Phase: engine.PhaseLoading}
+	e.replicas[order.Replica] = replica
+	return replica, ""
 }
 
 func (e *Engine) hasRoom(order engine.Order) bool {
@@ -129,100 +124,101 @@
 	return true
 }
 
-// Used returns the bytes in use on each accelerator.
+// Used returns the bytes reserved on each accelerator.
 func (e *Engine) Used() []int64 {
 	used := make([]int64, e.Accelerators)
-	for _, held := range e.replicas {
-		if held.Phase == engine.PhaseFailed {
+	for _, replica := range e.replicas {
+		if replica.Phase == engine.PhaseFailed {
 			continue
 		}
-		for _, accelerator := range held.Order.Accelerators {
-			used[accelerator] += held.Order.BytesPerAccelerator
+		for _, accelerator := range replica.Order.Accelerators {
+			used[accelerator] += replica.Order.BytesPerAccelerator
 		}
 	}
 	return used
 }
 
 func (e *Engine) unload(name string) *Replica {
-	e.ended[name] = true
-	held := e.replicas[name]
-	if held == nil {
+	e.retired[name] = true
+	replica := e.replicas[name]
+	if replica == nil {
 		return nil
 	}
-	if held.Phase == engine.PhaseFailed {
+	if replica.Phase == engine.PhaseFailed {
 		delete(e.replicas, name)
 		return nil
 	}
-	held.Phase = engine.PhaseUnloading
-	e.free(held)
-	return held
+	replica.Phase = engine.PhaseUnloading
+	e.release(replica)
+	return replica
 }
 
-func (e *Engine) free(held *Replica) {
-	if held.Phase == engine.PhaseUnloading && held.Running == 0 {
-		delete(e.replicas, held.Order.Replica)
+// release removes a replica that is unloading and has no running requests.
+func (e *Engine) release(replica *Replica) {
+	if replica.Phase == engine.PhaseUnloading && replica.Running == 0 {
+		delete(e.replicas, replica.Order.Replica)
 	}
 }
 
-// FinishLoad ends a load, with a failure if reason is not empty. A failed
-// load holds no memory. It returns false where the load is no longer wanted.
-func (e *Engine) FinishLoad(held *Replica, reason string) bool {
-	if e.replicas[held.Order.Replica] != held || held.Phase != engine.PhaseLoading {
+// FinishLoad completes a load, as failed if reason is not empty. A failed load
+// frees its memory. It returns false if the replica is no longer loading.
+func (e *Engine) FinishLoad(replica *Replica, reason string) bool {
+	if e.replicas[replica.Order.Replica] != replica || replica.Phase != engine.PhaseLoading {
 		return false
 	}
-	held.Phase = engine.PhaseReady
+	replica.Phase = engine.PhaseReady
 	if reason != "" {
-		held.Phase = engine.PhaseFailed
-		held.Reason = reason
-		e.ended[held.Order.Replica] = true
+		replica.Phase = engine.PhaseFailed
+		replica.Reason = reason
+		e.retired[replica.Order.Replica] = true
 	}
 	return true
 }
 
-// Begin admits a request to a replica, or returns nil: it does not run then.
+// Begin starts a request on a replica. It returns nil if the replica is not ready.
 func (e *Engine) Begin(name string) *Replica {
-	held := e.replicas[name]
-	if held == nil || held.Phase != engine.PhaseReady {
+	replica := e.replicas[name]
+	if replica == nil || replica.Phase != engine.PhaseReady {
 		return nil
 	}
-	held.Running++
-	return held
+	replica.Running++
+	return replica
 }
 
-// End ends a request that Begin admitted.
-func (e *Engine) End(held *Replica) {
-	held.Running--
-	if e.replicas[held.Order.Replica] == held {
-		e.free(held)
+// End ends a request that Begin started.
+func (e *Engine) End(replica *Replica) {
+	replica.Running--
+	if e.replicas[replica.Order.Replica] == replica {
+		e.release(replica)
 	}
 }
 
-// Replica returns a held replica by name, or nil.
+// Replica returns a replica by name, or nil.
 func (e *Engine) Replica(name string) *Replica {
 	return e.replicas[name]
 }
 
-// Replicas returns what the engine holds, by name.
+// Replicas returns all replicas, sorted by name.
 func (e *Engine) Replicas() []*Replica {
 	listed := make([]*Replica, 0, len(e.replicas))
-	for _, held := range e.replicas {
-		listed = append(listed, held)
+	for _, replica := range e.replicas {
+		listed = append(listed, replica)
 	}
 	sort.Slice(listed, func(i, j int) bool { return listed[i].Order.Replica < listed[j].Order.Replica })
 	return listed
 }
 
-// Report returns what the engine says of itself, without lagging figures.
+// Report returns the current state of the engine.
 func (e *Engine) Report() engine.Report {
 	report := engine.Report{
 		Machine: e.Machine, Incarnation: e.Incarnation, Fence: e.Fence,
 		Accelerators: e.Accelerators, AcceleratorBytes: e.AcceleratorBytes,
 	}
-	for _, held := range e.Replicas() {
-		report.Running += held.Running
+	for _, replica := range e.Replicas() {
+		report.Running += replica.Running
 		report.Replicas = append(report.Replicas, engine.ReplicaReport{
-			Replica: held.Order.Replica, Version: held.Order.Version, Phase: held.Phase,
-			Running: held.Running, Reason: held.Reason,
+			Replica: replica.Order.Replica, Version: replica.Order.Version, Phase: replica.Phase,
+			Running: replica.Running, Reason: replica.Reason,
 		})
 	}
 	return report
