--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -1,5 +1,4 @@
-// Package manifest reads resource files that operators keep under version
-// control: YAML, one or more documents a file.
+// Package manifest reads resources from YAML files with one or more documents.
 package manifest
 
 import (
@@ -19,15 +18,16 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// Load reads a file, or all .yaml and .yml files of a folder and the folders
-// below it. The same resource declared twice is refused.
+// Load reads a file, or all .yaml and .yml files in a directory tree. It returns
+// an error if a resource is declared twice. Resources are sorted so that each
+// comes after those that it may refer to.
 func Load(path string) ([]v1.Resource, error) {
 	files, err := listFiles(path)
 	if err != nil {
 		return nil, err
 	}
 	var resources []v1.Resource
-	places := map[string]string{}
+	locations := map[string]string{}
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
@@ -39,11 +39,11 @@
 		}
 		for position, resource := range parsed {
 			key := string(resource.Kind) + " " + resource.Metadata.Name
-			place := file + ":" + strconv.Itoa(lines[position])
-			if earlier, declared := places[key]; declared {
-				return nil, fault.InvalidField("metadata.name", "%s: %s is declared already at %s", place, key, earlier)
+			location := file + ":" + strconv.Itoa(lines[position])
+			if earlier, declared := locations[key]; declared {
+				return nil, fault.InvalidField("metadata.name", "%s: %s is already declared at %s", location, key, earlier)
 			}
-			places[key] = place
+			locations[key] = location
 		}
 		resources = append(resources, parsed...)
 	}
@@ -52,11 +52,11 @@
 }
 
 func listFiles(path string) ([]string, error) {
-	information, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fault.InvalidField("file", "can't read %s: %s", path, err.Error())
 	}
-	if !information.IsDir() {
+	if !info.IsDir() {
 		return []string{path}, nil
 	}
 	var files []string
@@ -74,8 +74,8 @@
 	return files, nil
 }
 
-// Parse reads the documents of one file. It returns the line at which each
-// begins beside them.
+// Parse reads the documents of one file. It returns the resources and the line at
+// which each starts.
 func Parse(file string, content []byte) ([]v1.Resource, []int, error) {
 	parsed, err := parser.ParseBytes(content, 0)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return resource, nil
 }
 
-// sortByKind puts resources behind those that they may refer to.
+// sortByKind sorts resources after those that they may refer to.
 func sortByKind(resources []v1.Resource) {
 	order := map[v1.Kind]int{}
 	for position, kind := range v1.Kinds {
