--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -18,18 +18,18 @@
 	typePrefix  = "https://weldline.dev/problems/"
 )
 
-// Outcome tells a caller whether the request may have run.
+// Outcome tells the caller of a failed request whether it may have run.
 type Outcome string
 
 // The outcomes of a failed request.
 const (
-	// OutcomeNotRun: proved not to have run, and won't.
+	// OutcomeNotRun means that the request did not run and never will.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown: it may have run, or may be running.
+	// OutcomeUnknown means that the request may have run or may still be running.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Document is a problem document.
+// Document is an RFC 9457 problem document.
 type Document struct {
 	Type    string  `json:"type"`
 	Title   string  `json:"title"`
@@ -37,14 +37,14 @@
 	Detail  string  `json:"detail,omitempty"`
 	Field   string  `json:"field,omitempty"`
 	Outcome Outcome `json:"outcome,omitempty"`
-	// ResourceVersion is the present one where a conditional write failed.
+	// ResourceVersion is the current version if a conditional write failed.
 	ResourceVersion string `json:"resourceVersion,omitempty"`
 	RequestID       string `json:"requestId,omitempty"`
-	// RetryAfter is also sent as a header, in whole seconds.
+	// RetryAfter is sent as a header, rounded up to seconds.
 	RetryAfter time.Duration `json:"-"`
 }
 
-// The names of problem types, documented in docs/API.md.
+// The problem types, without typePrefix. docs/API.md lists them.
 const (
 	TypeInvalid       = "invalid"
 	TypeConflict      = "conflict"
@@ -93,12 +93,12 @@
 	TypeInternalError: "An internal error",
 }
 
-// New returns a document of a type.
+// New returns a document of a problem type.
 func New(kind string, status int, detail string) *Document {
 	return &Document{Type: typePrefix + kind, Title: titles[kind], Status: status, Detail: detail}
 }
 
-// Kind returns the document's type without its prefix.
+// Kind returns the problem type without typePrefix.
 func (d *Document) Kind() string {
 	return d.Type[len(typePrefix):]
 }
@@ -132,7 +132,7 @@
 	{fault.Engine, TypeEngineFailed, http.StatusBadGateway},
 }
 
-// Write sends the document.
+// Write sends the document as the response.
 func (d *Document) Write(writer http.ResponseWriter) {
 	header := writer.Header()
 	header.Set("Content-Type", ContentType)
