--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// wrapped is how a library wraps what passes through it.
+// wrapped is an untyped error that wraps another, as libraries return them.
 type wrapped struct{ cause error }
 
 func (w wrapped) Error() string { return "running the command: " + w.cause.Error() }
 func (w wrapped) Unwrap() error { return w.cause }
 
-// TestWrappedErrorsKeepTheirType wraps as a library would.
+// TestWrappedErrorsKeepTheirType checks type, field and message of an error, bare
+// and wrapped by an untyped one.
 func TestWrappedErrorsKeepTheirType(t *testing.T) {
 	bare := InvalidField("zone", "must not be empty")
 	for _, err := range []error{bare, wrapped{bare}} {
@@ -17,7 +18,7 @@
 		}
 	}
 	if Is(nil, Invalid) || Message(nil) != "" || FieldOf(nil) != "" {
-		t.Error("no error has a type")
+		t.Error("a nil error has a type, a message or a field")
 	}
 	if outer := Storage.Wrap(bare, "opening"); !Is(outer, Storage) || Is(outer, Invalid) {
 		t.Errorf("%v", outer)
