--- a/internal/clock/boottime_linux.go
+++ b/internal/clock/boottime_linux.go
@@ -6,23 +6,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// begun and begunAt are one moment by the steady clock and by CLOCK_BOOTTIME.
+// startTime and startBootTime are the process start on the monotonic clock and on
+// CLOCK_BOOTTIME.
 var (
-	begun   = time.Now()
-	begunAt = bootTime()
+	startTime     = time.Now()
+	startBootTime = bootTime()
 )
 
 func bootTime() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		return 0 // A system without the clock: sinceBoot falls back for the process's whole life.
+		return 0 // Without CLOCK_BOOTTIME, sinceBoot always uses the monotonic clock.
 	}
 	return time.Duration(now.Nano())
 }
 
+// sinceBoot returns the time since boot, or since the process started if
+// CLOCK_BOOTTIME is not available.
 func sinceBoot() time.Duration {
-	if begunAt == 0 {
-		return time.Since(begun)
+	if startBootTime == 0 {
+		return time.Since(startTime)
 	}
 	return bootTime()
 }
--- a/internal/clock/boottime_other.go
+++ b/internal/clock/boottime_other.go
@@ -4,9 +4,10 @@
 
 import "time"
 
-var begun = time.Now()
+var startTime = time.Now()
 
-// sinceBoot counts no sleep where the system has no clock that does.
+// sinceBoot returns the time since the process started. Suspends are not included,
+// as there is no portable clock that includes them.
 func sinceBoot() time.Duration {
-	return time.Since(begun)
+	return time.Since(startTime)
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,73 +8,70 @@
 )
 
 const (
-	// watchInterval is how often Watch looks for a sleep: what relies on Slept errs by as much
-	// at most once the machine is awake.
+	// watchInterval bounds how long Slept lags behind after the machine wakes up.
 	watchInterval = 50 * time.Millisecond
-	// leastSleep is the shortest sleep that is told of. The two clocks are not read at the same
-	// instant, and a process may be put aside between the readings.
-	leastSleep = 100 * time.Millisecond
-	// readingTime is how long a reading of both clocks may take. One in which the process was
-	// put aside, as for a tenth of a second where its share of a processor is used up, would
-	// look like a sleep.
-	readingTime = 10 * time.Millisecond
+	// minSleep is the shortest suspend to report. Shorter differences can come from reading the
+	// two clocks at different times.
+	minSleep = 100 * time.Millisecond
+	// maxReadDuration is the longest duration of a valid reading of both clocks. If the process
+	// is preempted between the two, the difference would look like a suspend.
+	maxReadDuration = 10 * time.Millisecond
 )
 
-// slept is the sum of all sleeps that Watch has seen.
-var slept atomic.Int64
+// totalSlept is in nanoseconds.
+var totalSlept atomic.Int64
 
-// Now returns the time since the machine started, sleeps included. It never runs backwards.
+// Now returns the time since boot, including suspended time. It is monotonic.
 func Now() time.Duration {
 	return sinceBoot()
 }
 
-// Slept returns for how long the machine has slept in all since Watch was started.
+// Slept returns the total time that the machine was suspended since Watch was started.
 func Slept() time.Duration {
-	return time.Duration(slept.Load())
+	return time.Duration(totalSlept.Load())
 }
 
-// detector finds sleeps by how far the two clocks drift apart. It is pure.
+// detector detects suspends by comparing the boot clock with the monotonic clock.
 type detector struct {
 	started bool
-	// boot and steady are the clocks' last readings.
-	boot, steady time.Duration
+	// boot and monotonic are the last readings.
+	boot, monotonic time.Duration
 }
 
-// look takes a reading of both clocks and returns how long the machine has slept since the
-// last one: 0 for less than leastSleep, and for a clock that runs backwards.
-func (d *detector) look(boot, steady time.Duration) time.Duration {
-	before := *d
-	d.started, d.boot, d.steady = true, boot, steady
-	if !before.started || boot < before.boot || steady < before.steady {
+// observe adds a reading of both clocks. It returns how long the machine was suspended since the
+// last one, or 0 if that is below minSleep or a clock ran backwards.
+func (d *detector) observe(boot, monotonic time.Duration) time.Duration {
+	previous := *d
+	d.started, d.boot, d.monotonic = true, boot, monotonic
+	if !previous.started || boot < previous.boot || monotonic < previous.monotonic {
 		return 0
 	}
-	asleep := (boot - before.boot) - (steady - before.steady)
-	if asleep < leastSleep {
+	asleep := (boot - previous.boot) - (monotonic - previous.monotonic)
+	if asleep < minSleep {
 		return 0
 	}
 	return asleep
 }
 
-// readBoth reads both clocks as of one moment; ok is false where that did not come off.
-func readBoth(begun time.Time) (boot, steady time.Duration, ok bool) {
+// readClocks reads both clocks. ok is false if the readings are too far apart in time to compare.
+func readClocks(start time.Time) (boot, monotonic time.Duration, ok bool) {
 	boot = sinceBoot()
-	steady = time.Since(begun)
-	return boot, steady, sinceBoot()-boot < readingTime
+	monotonic = time.Since(start)
+	return boot, monotonic, sinceBoot()-boot < maxReadDuration
 }
 
-// Watch tells of each sleep of the machine, on a goroutine of its own, until ctx ends. What a
-// node holds is out of date by then.
-func Watch(ctx context.Context, logger *slog.Logger, woke func(asleep time.Duration)) {
-	begun := time.Now()
-	found := detector{}
+// Watch logs each suspend of the machine and calls onWake after it, until ctx is done.
+func Watch(ctx context.Context, logger *slog.Logger, onWake func(asleep time.Duration)) {
+	start := time.Now()
+	suspends := detector{}
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
-		if boot, steady, ok := readBoth(begun); ok {
-			if asleep := found.look(boot, steady); asleep > 0 {
-				slept.Add(int64(asleep))
+		if boot, monotonic, ok := readClocks(start); ok {
+			if asleep := suspends.observe(boot, monotonic); asleep > 0 {
+				totalSlept.Add(int64(asleep))
 				logger.Warn("machine_slept", "slept_ms", asleep.Milliseconds())
-				woke(asleep)
+				onWake(asleep)
 			}
 		}
 		select {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestNowNeverRunsBackwards(t *testing.T) {
+func TestNowIsMonotonic(t *testing.T) {
 	before := Now()
 	for range 1000 {
 		now := Now()
@@ -16,27 +16,27 @@
 	}
 }
 
-// TestDetector reads both clocks in turn; each reading follows the one before.
+// TestDetector feeds a sequence of readings to one detector.
 func TestDetector(t *testing.T) {
 	tests := []struct {
-		name         string
-		boot, steady time.Duration
-		asleep       time.Duration
+		name            string
+		boot, monotonic time.Duration
+		asleep          time.Duration
 	}{
 		{"first reading", time.Hour, time.Minute, 0},
 		{"awake", time.Hour + 50*time.Millisecond, time.Minute + 50*time.Millisecond, 0},
-		{"put aside between the readings", time.Hour + 100*time.Millisecond, time.Minute + 140*time.Millisecond, 0},
-		{"and made up for", time.Hour + 190*time.Millisecond, time.Minute + 190*time.Millisecond, 0},
+		{"preempted between the clocks", time.Hour + 100*time.Millisecond, time.Minute + 140*time.Millisecond, 0},
+		{"next reading after that", time.Hour + 190*time.Millisecond, time.Minute + 190*time.Millisecond, 0},
 		{"slept", time.Hour + 4240*time.Millisecond, time.Minute + 240*time.Millisecond, 4 * time.Second},
-		{"told once", time.Hour + 4290*time.Millisecond, time.Minute + 290*time.Millisecond, 0},
+		{"not reported twice", time.Hour + 4290*time.Millisecond, time.Minute + 290*time.Millisecond, 0},
 		{"runs backwards", time.Hour, time.Minute + 340*time.Millisecond, 0},
-		{"goes on from there", time.Hour + 50*time.Millisecond, time.Minute + 390*time.Millisecond, 0},
+		{"continues after that", time.Hour + 50*time.Millisecond, time.Minute + 390*time.Millisecond, 0},
 		{"slept again", time.Hour + 12100*time.Millisecond, time.Minute + 440*time.Millisecond, 12 * time.Second},
 	}
-	found := detector{}
+	suspends := detector{}
 	for _, test := range tests {
-		if asleep := found.look(test.boot, test.steady); asleep != test.asleep {
-			t.Errorf("%s: slept %s, not %s", test.name, asleep, test.asleep)
+		if asleep := suspends.observe(test.boot, test.monotonic); asleep != test.asleep {
+			t.Errorf("%s: slept %s, want %s", test.name, asleep, test.asleep)
 		}
 	}
 }
