--- a/internal/virtualtime/parallel.go
+++ b/internal/virtualtime/parallel.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// RunAll calls run with each position below count, on all processors at once,
-// and returns when all have ended. Simulations are independent of each other,
-// so results stored by position are the same in whatever order they run.
+// RunAll calls run for each position in [0, count) on up to GOMAXPROCS goroutines,
+// and returns when all calls have returned. The calls must be independent of each
+// other, so that results stored by position are deterministic.
 func RunAll(count int, run func(position int)) {
 	positions := make(chan int)
 	var group sync.WaitGroup
--- a/internal/virtualtime/scheduler.go
+++ b/internal/virtualtime/scheduler.go
@@ -1,4 +1,5 @@
-// Package virtualtime runs events in virtual time, for the simulators.
+// Package virtualtime provides a deterministic discrete-event scheduler in virtual
+// time, for the simulators.
 package virtualtime
 
 import (
@@ -6,14 +7,13 @@
 	"time"
 )
 
-// event is something that happens at a virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	action   func()
 }
 
-// eventQueue is a heap by time, then by order of scheduling.
+// eventQueue is a heap ordered by time, then by order of scheduling.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -34,15 +34,15 @@
 
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
-	taken := (*q)[last]
+	popped := (*q)[last]
 	(*q)[last] = event{}
 	*q = (*q)[:last]
-	return taken
+	return popped
 }
 
-// Scheduler is a clock and the events that are due by it. It is not safe for
-// concurrent use: the simulators run in one goroutine, so that the same
-// events always come in the same order.
+// Scheduler is a virtual clock with a queue of events. It is not safe for
+// concurrent use: all events run on the caller's goroutine, in a deterministic
+// order.
 type Scheduler struct {
 	now      time.Duration
 	queue    eventQueue
@@ -50,21 +50,20 @@
 	ran      int
 }
 
-// Now is the time since the simulation began.
+// Now returns the time since the start of the simulation.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// Ran is how many events have run.
+// Ran returns the number of events that have run.
 func (s *Scheduler) Ran() int { return s.ran }
 
-// After runs an action after a delay. Actions due at the same time run in the
-// order in which they were scheduled.
+// After schedules an action after a delay. Actions due at the same time run in the
+// order in which they were scheduled. A negative delay counts as 0.
 func (s *Scheduler) After(delay time.Duration, action func()) {
 	s.sequence++
 	heap.Push(&s.queue, event{at: s.now + max(delay, 0), sequence: s.sequence, action: action})
 }
 
-// RunUntil runs everything that is due up to a time, which is then the
-// present.
+// RunUntil runs all events due at or before end, and sets the time to end.
 func (s *Scheduler) RunUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		next, _ := heap.Pop(&s.queue).(event)
