--- a/internal/drainlog/drainlog_test.go
+++ b/internal/drainlog/drainlog_test.go
@@ -12,17 +12,18 @@
 	"github.com/weldline/weldline/internal/nodeview"
 )
 
-// TestDrainIsLoggedOnce: orders are given again when answers are lost.
+// TestDrainIsLoggedOnce checks that a repeated order with the same state is not
+// logged again.
 func TestDrainIsLoggedOnce(t *testing.T) {
-	var written bytes.Buffer
-	logger := slog.New(slog.NewTextHandler(&written, nil))
+	var output bytes.Buffer
+	logger := slog.New(slog.NewTextHandler(&output, nil))
 	log := New(logger, NewGauge(prometheus.NewRegistry(), "test_zone_drained"))
 	now := time.Unix(1000, 0)
 	for revision, drained := range []bool{false, true, true, false} {
 		log.InForce(now, map[string]nodeview.ZoneDrain{"z": {Drained: drained, Revision: uint64(revision), OrderedAt: now.Add(-time.Second)}})
 	}
-	lines := strings.Split(strings.TrimSpace(written.String()), "\n")
+	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	if len(lines) != 2 || !strings.Contains(lines[0], "drained=true revision=1 age_ms=1000") || !strings.Contains(lines[1], "drained=false revision=3") {
-		t.Errorf("logged\n%s", written.String())
+		t.Errorf("logged\n%s", output.String())
 	}
 }
