--- a/internal/tcpopt/tcpopt.go
+++ b/internal/tcpopt/tcpopt.go
@@ -1,8 +1,7 @@
-// Package tcpopt sets the options that make connections to silent machines
-// end soon.
+// Package tcpopt sets socket options that detect unresponsive peers within seconds.
 //
-// A machine without power, or behind a cut, answers nothing: without these
-// options a connection to it hangs for many minutes.
+// With the system's defaults, a connection to a machine that is down or partitioned
+// takes minutes to fail.
 package tcpopt
 
 import (
@@ -14,33 +13,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout is how long sent bytes may stay unacknowledged.
+// UserTimeout is the value of TCP_USER_TIMEOUT: the longest time for which sent data
+// may remain unacknowledged.
 const UserTimeout = 2 * time.Second
 
-// KeepAlive probes idle connections, so that a silent peer is noticed within
-// a few seconds.
+// KeepAlive configures keep-alive probes that detect an unresponsive peer of an idle
+// connection within a few seconds.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}
 
-// Control sets the options on a socket before it connects; see
+// Control sets the options on a socket before it connects. It is for use as
 // net.Dialer.Control.
 func Control(_, _ string, raw syscall.RawConn) error {
-	var failure error
+	var optionErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UserTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optionErr
 }
 
-// Refused reports whether a connection was refused, as the system of a machine does whose
-// process has ended. One that is cut off lets the time run out.
+// Refused reports whether a connection was refused: the host is reachable, but no process
+// listens on the port. An unreachable host causes a timeout instead.
 func Refused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Apply sets the options on an accepted connection, if it is one of TCP.
+// Apply sets the options on an accepted connection. It ignores connections other than TCP.
 func Apply(connection net.Conn) {
 	accepted, isTCP := connection.(*net.TCPConn)
 	if !isTCP {
