--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -1,28 +1,28 @@
-// Package signal wakes any number of waiters when something changes.
+// Package signal provides a broadcast notification for any number of waiters.
 package signal
 
 import "sync"
 
-// Broadcast is a repeatable wake-up. The zero value is not usable; see New.
+// Broadcast notifies all waiters, any number of times. The zero value is not usable;
+// see New.
 type Broadcast struct {
 	mutex   sync.Mutex
 	channel chan struct{}
 }
 
-// New returns a broadcast.
 func New() *Broadcast {
 	return &Broadcast{channel: make(chan struct{})}
 }
 
-// Wait returns a channel that is closed at the next Notify. Take it before
-// looking at what is watched, so that no change is missed in between.
+// Wait returns a channel that the next Notify closes. Call it before reading the
+// state that Notify announces, so that no change in between is missed.
 func (b *Broadcast) Wait() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.channel
 }
 
-// Notify wakes everyone who waits.
+// Notify wakes all waiters.
 func (b *Broadcast) Notify() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
