--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,18 +1,18 @@
-// Package buildinfo tells the version of the programs.
+// Package buildinfo provides the version of the programs.
 package buildinfo
 
 import "runtime/debug"
 
-// Release is the release that the next build belongs to.
+// Release is the version of the current release.
 const Release = "0.1.0"
 
-// Version returns the release and, where the build recorded it, the commit.
+// Version returns the release and, if the build recorded it, the commit.
 func Version() string {
-	information, available := debug.ReadBuildInfo()
-	if !available {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
 		return Release
 	}
-	for _, setting := range information.Settings {
+	for _, setting := range info.Settings {
 		if setting.Key == "vcs.revision" {
 			return Release + "+" + setting.Value
 		}
