--- a/api/engine/engine.go
+++ b/api/engine/engine.go
@@ -1,33 +1,32 @@
-// Package engine defines the HTTP protocol between weldline and a model
-// engine. Inference follows the OpenAI API; this package holds the rest.
+// Package engine defines the HTTP protocol between weldline and a model engine,
+// except for inference, which uses the OpenAI API.
 //
-//	POST /v1/orders                fenced orders to load, unload, change role
-//	GET  /v1/report                load, replicas, cached checkpoints
-//	GET  /v1/events?after=N        cache events, late and with gaps
-//	POST /v1/requests/{id}/cancel  stop a request
+//	POST /v1/orders                       fenced orders: load, unload, change role
+//	GET  /v1/report                       load, replicas, cached checkpoints
+//	GET  /v1/events?after=N               cache events; may be delayed or lost
+//	POST /v1/requests/{id}/cancel         cancel a request
 //	GET  /v1/requests/{id}/stream?from=N  resume a stream at a token
 package engine
 
-// Header names of requests from a router to an engine and of the answers.
+// Headers of requests to an engine and of its responses.
 const (
-	// HeaderRequestID identifies one request; the answer repeats it.
+	// HeaderRequestID identifies a request. The response repeats it.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderReplica names the replica that shall run the request.
+	// HeaderReplica names the replica to run the request on.
 	HeaderReplica = "X-Weldline-Replica"
-	// HeaderOutcome is "not-run" on an answer that proves that the request
-	// did not run.
+	// HeaderOutcome is OutcomeNotRun on a response if the request did not run.
 	HeaderOutcome = "X-Weldline-Outcome"
-	// HeaderPriority orders requests in the engine; higher first.
+	// HeaderPriority orders requests in the engine, highest first.
 	HeaderPriority = "X-Weldline-Priority"
 	// HeaderAdapter names the adapter to apply.
 	HeaderAdapter = "X-Weldline-Adapter"
-	// HeaderIdempotencyKey names an unrepeatable request.
+	// HeaderIdempotencyKey identifies an unrepeatable request.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// OutcomeNotRun is the value of HeaderOutcome.
 	OutcomeNotRun = "not-run"
 )
 
-// OrderKind is what an order asks for.
+// OrderKind is the operation of an order.
 type OrderKind string
 
 // The kinds of orders.
@@ -37,16 +36,16 @@
 	OrderRole   OrderKind = "role"
 )
 
-// Order is a fenced order. An engine refuses an order for another
-// incarnation, or whose fence is below the highest that it has accepted,
-// unless the order is already carried out.
+// Order is a fenced order. An engine refuses an order for another incarnation, and
+// an order with a fence below the highest accepted one, unless it has already been
+// executed.
 type Order struct {
 	Kind        OrderKind `json:"kind"`
 	Replica     string    `json:"replica"`
 	Fence       uint64    `json:"fence"`
 	Incarnation uint64    `json:"incarnation"`
 
-	// For loads.
+	// The fields up to MaxConcurrent are for loads.
 	Version             string `json:"version,omitempty"`
 	Checkpoint          string `json:"checkpoint,omitempty"`
 	WeightBytes         int64  `json:"weightBytes,omitempty"`
@@ -55,19 +54,19 @@
 	CacheBytes          int64  `json:"cacheBytes,omitempty"`
 	MaxConcurrent       int    `json:"maxConcurrent,omitempty"`
 
-	// Role is for role changes: "mixed", "prefill" or "decode".
+	// Role is the new role of a role change: "mixed", "prefill" or "decode".
 	Role string `json:"role,omitempty"`
 }
 
-// OrderResult answers an order.
+// OrderResult is the response to an order.
 type OrderResult struct {
 	Accepted bool   `json:"accepted"`
 	Reason   string `json:"reason,omitempty"`
-	// Fence is the highest that the engine has accepted.
+	// Fence is the highest fence that the engine has accepted.
 	Fence uint64 `json:"fence"`
 }
 
-// Reasons for which orders are refused.
+// The reasons for which orders are refused.
 const (
 	ReasonStaleFence  = "stale-fence"
 	ReasonIncarnation = "other-incarnation"
@@ -75,7 +74,7 @@
 	ReasonStopping    = "stopping"
 )
 
-// Phases of a replica on its engine.
+// The phases of a replica on its engine.
 const (
 	PhaseLoading   = "loading"
 	PhaseReady     = "ready"
@@ -83,7 +82,7 @@
 	PhaseUnloading = "unloading"
 )
 
-// Report is an engine's state, which may lag.
+// Report is the state of an engine. It may be out of date.
 type Report struct {
 	Machine     string          `json:"machine"`
 	Incarnation uint64          `json:"incarnation"`
@@ -91,13 +90,13 @@
 	Running     int             `json:"running"`
 	Queued      int             `json:"queued"`
 	Replicas    []ReplicaReport `json:"replicas"`
-	// Checkpoints are those cached in memory or on disk.
+	// Checkpoints are cached in memory or on disk.
 	Checkpoints      []CheckpointReport `json:"checkpoints"`
 	Accelerators     int                `json:"accelerators"`
 	AcceleratorBytes int64              `json:"acceleratorBytes"`
 }
 
-// ReplicaReport is one replica in a Report.
+// ReplicaReport is the state of one replica.
 type ReplicaReport struct {
 	Replica         string   `json:"replica"`
 	Version         string   `json:"version"`
@@ -108,13 +107,13 @@
 	Reason          string   `json:"reason,omitempty"`
 }
 
-// CheckpointReport is the fastest tier of one cached checkpoint.
+// CheckpointReport names the fastest tier that has a checkpoint cached.
 type CheckpointReport struct {
 	Checkpoint string `json:"checkpoint"`
 	Tier       string `json:"tier"`
 }
 
-// CacheEvent tells of a prefix that entered or left a replica's cache.
+// CacheEvent reports that a prefix was added to or evicted from a replica's cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Replica  string `json:"replica"`
@@ -123,7 +122,8 @@
 	Evicted bool   `json:"evicted,omitempty"`
 }
 
-// CacheEvents answers a request for events. Gaps show in the sequence.
+// CacheEvents is the response to a request for events. Lost events are gaps in the
+// sequence.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Last   uint64       `json:"last"`
--- a/api/platform/platform.go
+++ b/api/platform/platform.go
@@ -1,11 +1,11 @@
-// Package platform defines the HTTP protocols of the surroundings: the list
-// of machines and the weight store.
+// Package platform defines the HTTP protocols of the platform that weldline runs
+// on: the machine list and the weight store.
 //
-//	GET /v1/machines              the machine list, which lags
-//	GET /v1/checkpoints/{name}?bytes=N  read a checkpoint; 429 over the rate
+//	GET /v1/machines                    machine list; eventually consistent
+//	GET /v1/checkpoints/{name}?bytes=N  read a checkpoint; 429 above the rate limit
 package platform
 
-// MachineState is a machine's state in the machine list.
+// MachineState is the state of a machine in the machine list.
 type MachineState string
 
 // The states of a listed machine.
@@ -24,7 +24,7 @@
 	State            MachineState `json:"state"`
 }
 
-// MachineList is the answer of GET /v1/machines.
+// MachineList is the response of GET /v1/machines.
 type MachineList struct {
 	Machines []Machine `json:"machines"`
 }
--- a/api/v1/declaration_test.go
+++ b/api/v1/declaration_test.go
@@ -6,7 +6,7 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// TestDeclarationLimitsNameTheirField: a bad limit is refused under its own name.
+// TestDeclarationLimitsNameTheirField checks that errors about a limit name its field.
 func TestDeclarationLimitsNameTheirField(t *testing.T) {
 	tests := []struct {
 		spec, field string
@@ -21,14 +21,14 @@
 	for _, test := range tests {
 		_, err := DecodeSpec(KindDeclaration, []byte(test.spec))
 		if field := fault.FieldOf(err); field != test.field || (err != nil) != (test.field != "") {
-			t.Errorf("%s: %v names %q, wanted %q", test.spec, err, field, test.field)
+			t.Errorf("%s: %v names %q, want %q", test.spec, err, field, test.field)
 		}
 	}
 }
 
-// TestAdaptersOfAVersion: adapters without a name of their own are refused, each under
-// its own place in the list.
-func TestAdaptersOfAVersion(t *testing.T) {
+// TestModelVersionAdapters checks that empty and duplicate adapter names are rejected with
+// the index of the adapter.
+func TestModelVersionAdapters(t *testing.T) {
 	const version = `{"model":"m","checkpoint":"c","weightBytes":1,"adapters":`
 	tests := []struct {
 		adapters, field string
@@ -41,7 +41,7 @@
 	for _, test := range tests {
 		_, err := DecodeSpec(KindModelVersion, []byte(version+test.adapters+"}"))
 		if field := fault.FieldOf(err); field != test.field || (err != nil) != (test.field != "") {
-			t.Errorf("%s: %v names %q, wanted %q", test.adapters, err, field, test.field)
+			t.Errorf("%s: %v names %q, want %q", test.adapters, err, field, test.field)
 		}
 	}
 }
--- a/api/v1/routing.go
+++ b/api/v1/routing.go
@@ -9,54 +9,54 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// RouteKind tells what may be repeated.
+// RouteKind determines whether requests of a route may be retried.
 type RouteKind string
 
 // The kinds of routes.
 const (
-	// RouteRepeatable requests may run more than once.
+	// RouteRepeatable marks idempotent requests, which may run more than once.
 	RouteRepeatable RouteKind = "Repeatable"
-	// RouteUnrepeatable requests run at most once.
+	// RouteUnrepeatable marks requests that run at most once.
 	RouteUnrepeatable RouteKind = "Unrepeatable"
-	// RouteStream requests are answered by a series of events and run at most
-	// once, unless the route is resumable.
+	// RouteStream marks requests with a stream of events as response. They run at
+	// most once, unless the route is resumable.
 	RouteStream RouteKind = "Stream"
 )
 
-// RouteSpec declares which requests go to which pools.
+// RouteSpec declares which pools serve the requests for a host and path prefix.
 type RouteSpec struct {
-	// Host is the name that the caller asked for. Required.
+	// Host is matched with the request's host. Required.
 	Host string `json:"host"`
-	// PathPrefix begins and ends with a slash; the longest match wins.
+	// PathPrefix must begin and end with a slash; the longest match wins.
 	PathPrefix string    `json:"pathPrefix"`
 	Kind       RouteKind `json:"kind"`
-	// Timeout is the longest that an attempt of a caller is held. Required.
+	// Timeout bounds a request, from its arrival to the end of the response. Required.
 	Timeout Duration `json:"timeout"`
-	// TargetLatency is within which an answer is worth its full value.
+	// TargetLatency is the response time within which a response has its full value.
 	TargetLatency Duration `json:"targetLatency,omitempty"`
-	// Priority orders requests under overload; higher first. Default 0.
+	// Priority orders requests under overload, highest first. Default 0.
 	Priority int32 `json:"priority,omitempty"`
-	// Targets share the requests by weight. Required.
+	// Targets receive requests in proportion to their weights. Required.
 	Targets []RouteTarget `json:"targets"`
-	// MaxAttempts is to how many machines one request may go. Default 1.
+	// MaxAttempts bounds the machines that a request is sent to. Default 1.
 	MaxAttempts int `json:"maxAttempts,omitempty"`
-	// Resumable streams may continue on another machine.
+	// Resumable allows a stream to continue on another machine.
 	Resumable bool `json:"resumable,omitempty"`
-	// Anonymous routes take requests without a tenant's key.
+	// Anonymous allows requests without a tenant's key.
 	Anonymous bool `json:"anonymous,omitempty"`
-	// Affinity prefers machines that hold the beginning of the prompt.
+	// Affinity prefers machines that have the prompt's prefix in their cache.
 	Affinity bool `json:"affinity,omitempty"`
-	// FirstByteLimit is for how long callers wait for the first byte of an
-	// answer; 0 if only the deadline counts.
+	// FirstByteLimit bounds the time to the first byte of the response; 0: only
+	// the deadline applies.
 	FirstByteLimit Duration `json:"firstByteLimit,omitempty"`
-	// PauseTarget is the longest pause between events of a timely stream.
+	// PauseTarget is the target for the longest pause between events of a stream.
 	PauseTarget Duration `json:"pauseTarget,omitempty"`
-	// AllowedRegions are the only regions whose machines may get requests of the route; empty:
-	// all. Where a tenant has a list too, both bind.
+	// AllowedRegions restricts the route's requests to machines in these regions; empty: all. If
+	// the tenant has a list too, both apply.
 	AllowedRegions []string `json:"allowedRegions,omitempty"`
 }
 
-// RouteTarget is a pool's share of a route.
+// RouteTarget is a pool with its weight in a route.
 type RouteTarget struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"weight"`
@@ -104,7 +104,7 @@
 		total += target.Weight
 	}
 	if total == 0 {
-		return fault.InvalidField("spec.targets", "the weights add up to 0")
+		return fault.InvalidField("spec.targets", "the weights must not add up to 0")
 	}
 	return requireRange("spec.maxAttempts", int64(s.MaxAttempts), 1, 100)
 }
@@ -119,25 +119,25 @@
 	return references
 }
 
-// PoolSpec declares a pool of machines that register by themselves.
+// PoolSpec declares a pool of self-registering machines.
 type PoolSpec struct {
-	// MaxConnections is how many connections one machine takes from all
-	// routers together; 0: no limit.
+	// MaxConnections bounds the connections to one machine from all routers
+	// together; 0: no limit.
 	MaxConnections int `json:"maxConnections,omitempty"`
-	// Engine is set where the machines hold models that weldline places.
+	// Engine is set if weldline places models on the machines.
 	Engine *EngineSpec `json:"engine,omitempty"`
-	// Warming is set where machines bear less for a while after their start.
+	// Warming is set if machines have a lower request rate while they warm up.
 	Warming *WarmingSpec `json:"warming,omitempty"`
 }
 
-// WarmingSpec says what a machine bears while it warms up: for some time after its start, and
-// whenever it says so.
+// WarmingSpec limits the request rate of a machine that warms up: after its start, and whenever
+// it reports that it does.
 type WarmingSpec struct {
-	// StartTime is for how long a machine warms up after its start. It is for whoever reads the
-	// declaration: a machine says itself for how long it still warms up, and that is what counts.
+	// StartTime is the expected warm-up time after a start. It is informative only: machines
+	// report the remaining time themselves.
 	StartTime Duration `json:"startTime"`
-	// RequestsPerSecond is how many requests it bears meanwhile, from all routers together.
-	// Required, above 0.
+	// RequestsPerSecond bounds the request rate of a machine that warms up, from all routers
+	// together. Required, above 0.
 	RequestsPerSecond float64 `json:"requestsPerSecond"`
 }
 
@@ -148,23 +148,23 @@
 	if s.StartTime < 0 {
 		return fault.InvalidField("spec.warming.startTime", "must not be negative")
 	}
-	if !(s.RequestsPerSecond > 0) { // Not a number, too.
+	if !(s.RequestsPerSecond > 0) { // Also rejects NaN.
 		return fault.InvalidField("spec.warming.requestsPerSecond", "must be above 0")
 	}
 	return nil
 }
 
-// EngineSpec describes the engines of a pool's machines.
+// EngineSpec describes the engines on a pool's machines.
 type EngineSpec struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int `json:"slots"`
-	// CacheTokens is for how many tokens an engine has memory.
+	// CacheTokens is the capacity of an engine's KV cache.
 	CacheTokens int64 `json:"cacheTokens,omitempty"`
-	// MemoryBytes is the room for weights and adapters together.
+	// MemoryBytes is the memory for weights and adapters together.
 	MemoryBytes int64 `json:"memoryBytes"`
-	// AdapterSlots is how many adapters an engine holds at most.
+	// AdapterSlots is the maximum number of loaded adapters.
 	AdapterSlots int `json:"adapterSlots,omitempty"`
-	// StoreLoadsPerSecond is the rate that the weight store admits.
+	// StoreLoadsPerSecond is the rate limit of the weight store.
 	StoreLoadsPerSecond float64 `json:"storeLoadsPerSecond,omitempty"`
 }
 
@@ -188,16 +188,15 @@
 // References implements Spec.
 func (s *PoolSpec) References() []Reference { return nil }
 
-// DeclarationSpec describes the document that declared the routes and pools.
+// DeclarationSpec describes the document that declares the routes and pools.
 type DeclarationSpec struct {
-	// Version of the document; the highest wins.
-	Version uint64 `json:"version"`
-	// MaxHeaderBytes and MaxBodyBytes bound a caller's request.
-	MaxHeaderBytes int64 `json:"maxHeaderBytes,omitempty"`
-	MaxBodyBytes   int64 `json:"maxBodyBytes,omitempty"`
-	// HeaderTimeout is how long a caller may take to send a request's head.
+	// Version is the document's version; the highest wins.
+	Version        uint64 `json:"version"`
+	MaxHeaderBytes int64  `json:"maxHeaderBytes,omitempty"`
+	MaxBodyBytes   int64  `json:"maxBodyBytes,omitempty"`
+	// HeaderTimeout bounds the time to receive the headers of a request.
 	HeaderTimeout Duration `json:"headerTimeout,omitempty"`
-	// IdleTimeout is how long a caller's connection may rest.
+	// IdleTimeout bounds the idle time of a caller's connection.
 	IdleTimeout Duration `json:"idleTimeout,omitempty"`
 }
 
@@ -215,20 +214,20 @@
 // References implements Spec.
 func (s *DeclarationSpec) References() []Reference { return nil }
 
-// CheckRoutes refuses routes that share host and prefix.
+// CheckRoutes returns an error if two routes have the same host and prefix.
 func CheckRoutes(routes map[string]*RouteSpec) error {
 	names := make([]string, 0, len(routes))
 	for name := range routes {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	taken := make(map[string]string, len(routes))
+	owners := make(map[string]string, len(routes))
 	for _, name := range names {
-		place := routes[name].Host + routes[name].PathPrefix
-		if other, used := taken[place]; used {
-			return fault.InvalidField("spec.pathPrefix", "routes %s and %s share host and prefix", other, name)
+		key := routes[name].Host + routes[name].PathPrefix
+		if other, exists := owners[key]; exists {
+			return fault.InvalidField("spec.pathPrefix", "routes %s and %s have the same host and prefix", other, name)
 		}
-		taken[place] = name
+		owners[key] = name
 	}
 	return nil
 }
--- a/api/v1/suspect.go
+++ b/api/v1/suspect.go
@@ -5,18 +5,17 @@
 // MaxCrashesRecorded bounds the machines that a Suspect names.
 const MaxCrashesRecorded = 16
 
-// SuspectSpec is what is known of a request that was at machines when their processes ended.
-// It is named by the request's identity. Deleting it lets the request run again.
+// SuspectSpec records a request that was running on machines when their processes crashed. The
+// resource is named by the request's identity. Deleting it lifts the quarantine.
 type SuspectSpec struct {
-	// Route and Tenant tell whose request it is; Tenant is empty where callers show no key.
+	// Tenant is empty if the caller had no key.
 	Route  string `json:"route,omitempty"`
 	Tenant string `json:"tenant,omitempty"`
-	// Machines are the machines that ended, the earliest first. A machine that starts again
-	// has another name.
+	// Machines are the crashed machines, oldest first. A restarted machine has another name.
 	Machines []string `json:"machines"`
-	// Quarantined is set once no router sends the request to a machine any more.
+	// Quarantined is set if routers must reject the request.
 	Quarantined bool `json:"quarantined,omitempty"`
-	// LastCrash is when the newest of the crashes was recorded, by the leader's clock.
+	// LastCrash is the time at which the last crash was recorded, by the leader's clock.
 	LastCrash time.Time `json:"lastCrash"`
 }
 
@@ -26,5 +25,5 @@
 	return requireRange("spec.machines", int64(len(s.Machines)), 0, MaxCrashesRecorded)
 }
 
-// References implements Spec. The machines are gone mostly.
+// References implements Spec. The machines usually no longer exist.
 func (s *SuspectSpec) References() []Reference { return nil }
--- a/api/v1/tenant.go
+++ b/api/v1/tenant.go
@@ -9,39 +9,38 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// TenantUnit is what a tenant's rate counts.
+// TenantUnit is the unit of a tenant's rate.
 type TenantUnit string
 
 // The units of a tenant's rate.
 const (
 	// UnitRequests counts every request as one.
 	UnitRequests TenantUnit = "Requests"
-	// UnitTokens counts the tokens of a request's prompt and the most of its answer.
+	// UnitTokens counts the tokens of the prompt and the maximum of the response.
 	UnitTokens TenantUnit = "Tokens"
 )
 
-// KeyHash identifies a caller's key without being one.
+// KeyHash is the SHA-256 hash of a caller's key.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns the hash of a caller's key.
 func HashKey(key string) KeyHash {
 	return sha256.Sum256([]byte(key))
 }
 
-// String returns the hash as a TenantSpec lists it: in hexadecimal.
+// String returns the hash in hexadecimal, as in TenantSpec.KeyHashes.
 func (h KeyHash) String() string {
 	return hex.EncodeToString(h[:])
 }
 
-// fingerprintBytes are enough to tell keys apart in logs, and too few to look one up.
+// fingerprintBytes is enough to distinguish keys in logs, but not to identify a key.
 const fingerprintBytes = 4
 
-// Fingerprint is how logs name a key.
+// Fingerprint returns a prefix of the hash for use in logs.
 func (h KeyHash) Fingerprint() string {
 	return hex.EncodeToString(h[:fingerprintBytes])
 }
 
-// ParseKeyHash reads a hash as a TenantSpec lists it; it reports whether it is one.
+// ParseKeyHash parses a hash in hexadecimal. ok is false if the text is not a valid hash.
 func ParseKeyHash(text string) (hash KeyHash, ok bool) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(hash) {
@@ -51,29 +50,29 @@
 	return hash, true
 }
 
-// TenantSpec declares a customer that shares the fleet with others. Once a tenant is
-// declared, every request needs the key of one, except on anonymous routes.
+// TenantSpec declares a tenant. Once any tenant is declared, every request requires a
+// tenant's key, except on anonymous routes.
 type TenantSpec struct {
-	// KeyHashes are the SHA-256 hashes, in hexadecimal, of the tenant's keys. No two
-	// tenants share a key; one without keys is turned away.
+	// KeyHashes are the SHA-256 hashes of the tenant's keys, in hexadecimal. No two
+	// tenants may share a key; all requests of a tenant without keys are rejected.
 	KeyHashes []string `json:"keyHashes,omitempty"`
-	// Priority goes before the route's priority; higher first. Default: the route's.
+	// Priority overrides the route's priority. Default: the route's.
 	Priority *int32 `json:"priority,omitempty"`
-	// Rate is how much the tenant may ask for in a second at all nodes together, in
-	// units of Unit; 0: no limit.
+	// Rate is the limit per second over all nodes, in units of Unit; 0: no limit.
 	Rate float64 `json:"rate,omitempty"`
-	// Burst is what it may ask for beside the rate at once, in units of Unit.
+	// Burst is the size of the token bucket, in units of Unit.
 	Burst float64 `json:"burst,omitempty"`
-	// Unit is what Rate and Burst count. Default Requests.
+	// Unit is the unit of Rate and Burst. Default Requests.
 	Unit TenantUnit `json:"unit,omitempty"`
-	// PlainTokens is what a request counts, in tokens, that doesn't name its own.
+	// PlainTokens is the cost in tokens of a request that doesn't state its own.
 	PlainTokens float64 `json:"plainTokens,omitempty"`
-	// AllowedRegions are the only regions whose machines may get the tenant's requests; empty:
-	// all. Where a route has a list too, both bind.
+	// AllowedRegions restricts the tenant's requests to machines in these regions; empty: all. If
+	// the route has a list too, both apply.
 	AllowedRegions []string `json:"allowedRegions,omitempty"`
 }
 
-// Cost is what a request with so many tokens counts, in units of the tenant's rate.
+// Cost returns the cost of a request in units of the tenant's rate. tokens is 0 if the
+// request doesn't state its tokens.
 func (s *TenantSpec) Cost(tokens float64) float64 {
 	switch {
 	case s.Unit != UnitTokens:
@@ -91,7 +90,7 @@
 }
 
 func (s *TenantSpec) validate() error {
-	listed := make(map[string]bool, len(s.KeyHashes))
+	seen := make(map[string]bool, len(s.KeyHashes))
 	for position, text := range s.KeyHashes {
 		field := "spec.keyHashes[" + strconv.Itoa(position) + "]"
 		hash, ok := ParseKeyHash(text)
@@ -101,13 +100,13 @@
 		if hash == HashKey("") {
 			return fault.InvalidField(field, "is the hash of an empty key")
 		}
-		if listed[text] {
+		if seen[text] {
 			return fault.InvalidField(field, "is listed twice")
 		}
-		listed[text] = true
+		seen[text] = true
 	}
 	if s.Unit != UnitRequests && s.Unit != UnitTokens {
-		return fault.InvalidField("spec.unit", "%q is not a unit", string(s.Unit))
+		return fault.InvalidField("spec.unit", "%q is not a valid unit", string(s.Unit))
 	}
 	return firstError(
 		requireQuantity("spec.rate", s.Rate),
@@ -122,26 +121,26 @@
 
 // SharedKey is a key that two tenants list.
 type SharedKey struct {
-	// First and Second are the tenants' names, in order; Position is the key's in the
-	// second one's list.
+	// First and Second are the tenants' names in sorted order. Position is the index of
+	// the key in the list of Second.
 	First, Second string
 	Position      int
 }
 
-// CheckTenants refuses tenants that share a key.
+// CheckTenants returns a key that two tenants share, or nil.
 func CheckTenants(tenants map[string]*TenantSpec) *SharedKey {
 	names := make([]string, 0, len(tenants))
 	for name := range tenants {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	holders := map[string]string{}
+	owners := map[string]string{}
 	for _, name := range names {
 		for position, hash := range tenants[name].KeyHashes {
-			if other, held := holders[hash]; held {
+			if other, exists := owners[hash]; exists {
 				return &SharedKey{First: other, Second: name, Position: position}
 			}
-			holders[hash] = name
+			owners[hash] = name
 		}
 	}
 	return nil
--- a/api/v1/tenant_test.go
+++ b/api/v1/tenant_test.go
@@ -7,8 +7,8 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// TestTenantsNameTheirField: a bad tenant is refused under the field at fault.
-func TestTenantsNameTheirField(t *testing.T) {
+// TestTenantValidation checks that errors about a tenant name the field.
+func TestTenantValidation(t *testing.T) {
 	hash := HashKey("k").String()
 	tests := []struct {
 		spec, field string
@@ -28,12 +28,12 @@
 	for _, test := range tests {
 		_, err := DecodeSpec(KindTenant, []byte(test.spec))
 		if field := fault.FieldOf(err); field != test.field || (err != nil) != (test.field != "") {
-			t.Errorf("%s: %v names %q, wanted %q", test.spec, err, field, test.field)
+			t.Errorf("%s: %v names %q, want %q", test.spec, err, field, test.field)
 		}
 	}
 }
 
-// TestCost tables what requests count.
+// TestCost checks the cost of requests with and without stated tokens.
 func TestCost(t *testing.T) {
 	byTokens := &TenantSpec{Unit: UnitTokens, PlainTokens: 200}
 	byRequests := &TenantSpec{Unit: UnitRequests, PlainTokens: 200}
@@ -42,7 +42,7 @@
 		tokens, want float64
 	}{{byTokens, 1540, 1540}, {byTokens, 0, 200}, {byRequests, 1540, 1}, {byRequests, 0, 1}} {
 		if got := test.spec.Cost(test.tokens); got != test.want {
-			t.Errorf("%s, %g tokens: %g, wanted %g", test.spec.Unit, test.tokens, got, test.want)
+			t.Errorf("%s, %g tokens: %g, want %g", test.spec.Unit, test.tokens, got, test.want)
 		}
 	}
 }
--- a/api/v1/types.go
+++ b/api/v1/types.go
@@ -1,9 +1,9 @@
-// Package v1 defines the resources that operators declare and the records
-// that weldline keeps beside them.
+// Package v1 defines the resources of the API.
 //
-// Every resource has metadata, a spec that operators write and a status that
-// weldline writes. Sizes are in bytes, durations are Go duration strings
-// ("1.5s"), rates are per second.
+// Every resource has metadata, a spec and a status. Operators write the spec, and
+// weldline writes the status; Replica and Suspect are written by weldline only.
+// Sizes are in bytes, durations are Go duration strings ("1.5s"), rates are per
+// second.
 package v1
 
 import (
@@ -14,7 +14,7 @@
 // APIVersion is the version of the resource types in this package.
 const APIVersion = "weldline/v1"
 
-// Kind names a type of resource.
+// Kind is the type of a resource.
 type Kind string
 
 // The kinds of resources. Replica and Suspect are written by weldline only.
@@ -34,18 +34,18 @@
 	KindZoneDrain    Kind = "ZoneDrain"
 )
 
-// Kinds lists all kinds; a kind comes after those it may refer to.
+// Kinds lists all kinds, each after those that it may refer to.
 var Kinds = []Kind{KindModel, KindModelVersion, KindAdapter, KindService, KindLimit, KindMachine, KindReplica, KindPool, KindRoute, KindDeclaration, KindTenant, KindSuspect, KindZoneDrain}
 
-// Duration is a time span written as a Go duration string.
+// Duration is encoded as a Go duration string.
 type Duration time.Duration
 
-// MarshalJSON writes the duration as a string such as "250ms".
+// MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads a duration string.
+// UnmarshalJSON implements json.Unmarshaler.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -66,13 +66,13 @@
 	// ResourceVersion is the store revision of the last write, in decimal.
 	// In a write it makes the write conditional; "0" means "must not exist".
 	ResourceVersion string `json:"resourceVersion,omitempty"`
-	// Generation counts changes of the spec. Set by weldline.
+	// Generation is incremented with each change of the spec. Set by weldline.
 	Generation uint64 `json:"generation,omitempty"`
-	// Labels are free for operators.
+	// Labels are set by operators; weldline does not interpret them.
 	Labels map[string]string `json:"labels,omitempty"`
 }
 
-// Resource is a resource of any kind with its spec still encoded.
+// Resource is a resource of any kind, with encoded spec and status.
 type Resource struct {
 	APIVersion string          `json:"apiVersion"`
 	Kind       Kind            `json:"kind"`
@@ -88,43 +88,42 @@
 	Items           []Resource `json:"items"`
 }
 
-// ModelSpec declares a model that callers may name.
+// ModelSpec declares a model that callers can request.
 type ModelSpec struct {
-	// DefaultVersion is the ModelVersion that serves the model. Required
-	// before the model can be served.
+	// DefaultVersion is the ModelVersion that serves the model. The model is not
+	// served without it.
 	DefaultVersion string `json:"defaultVersion,omitempty"`
-	// MinReplicas are kept loaded at all times. Default 0.
+	// MinReplicas is the number of replicas to keep loaded. Default 0.
 	MinReplicas int `json:"minReplicas,omitempty"`
 	// MaxReplicas bounds the replicas of the model. Default 2.
 	MaxReplicas int `json:"maxReplicas,omitempty"`
 }
 
-// ModelVersionSpec declares one checkpoint of a model. Its spec can't be
-// changed once accepted.
+// ModelVersionSpec declares one checkpoint of a model. It is immutable.
 type ModelVersionSpec struct {
-	// Model is the Model that this is a version of. Required.
+	// Model is the versioned Model. Required.
 	Model string `json:"model"`
 	// Checkpoint is the name of the weights in the weight store. Required.
 	Checkpoint string `json:"checkpoint"`
-	// WeightBytes is the size of the weights on all accelerators together.
+	// WeightBytes is the size of the weights, summed over all accelerators.
 	WeightBytes int64 `json:"weightBytes"`
-	// CacheBytes is reserved for the KV cache of a replica, on all of its
-	// accelerators together.
+	// CacheBytes is the memory reserved for the KV cache of a replica, summed over
+	// its accelerators.
 	CacheBytes int64 `json:"cacheBytes"`
-	// AdapterBytes is reserved for adapters of a replica. Default 0: none.
+	// AdapterBytes is the memory reserved for the adapters of a replica. Default 0.
 	AdapterBytes int64 `json:"adapterBytes,omitempty"`
-	// Adapters are the names under which registered engines know the adapters of
-	// the version. Default none: adapters are loaded once they are asked for.
+	// Adapters are the names of the version's adapters on registered engines.
+	// Default none: adapters are loaded on demand.
 	Adapters []string `json:"adapters,omitempty"`
-	// Accelerators is how many accelerators a replica spans. Default 1.
+	// Accelerators is the number of accelerators of a replica. Default 1.
 	Accelerators int `json:"accelerators,omitempty"`
-	// MaxConcurrent is how many requests a replica runs at once. Default 16.
+	// MaxConcurrent bounds the concurrent requests of a replica. Default 16.
 	MaxConcurrent int `json:"maxConcurrent,omitempty"`
 	// Pool restricts the version to machines that registered for a Pool.
 	Pool string `json:"pool,omitempty"`
-	// LoadTime, DiskLoadTime and MemoryLoadTime are how long a load takes from
-	// the weight store, a machine's disk and its memory. Where they are 0,
-	// they are learned.
+	// LoadTime, DiskLoadTime and MemoryLoadTime are the durations of a load from
+	// the weight store, a machine's disk and its memory. 0: estimated from
+	// observed loads.
 	LoadTime       Duration `json:"loadTime,omitempty"`
 	DiskLoadTime   Duration `json:"diskLoadTime,omitempty"`
 	MemoryLoadTime Duration `json:"memoryLoadTime,omitempty"`
@@ -136,22 +135,23 @@
 	Model string `json:"model"`
 	// Checkpoint is the name of the adapter in the weight store. Required.
 	Checkpoint string `json:"checkpoint"`
-	// WeightBytes is the size of the adapter in accelerator memory.
+	// WeightBytes is the size in accelerator memory.
 	WeightBytes int64 `json:"weightBytes"`
 }
 
-// ServiceSpec declares how callers reach models or a generic back end.
+// ServiceSpec declares a service of models or of generic back ends.
 type ServiceSpec struct {
-	// Models that the service offers. Either Models or Backend is required.
+	// Models lists the models of the service. Exactly one of Models and Backend is
+	// required.
 	Models []string `json:"models,omitempty"`
-	// Backend makes this a service of generic back ends.
+	// Backend declares generic back ends.
 	Backend *BackendSpec `json:"backend,omitempty"`
-	// Priority orders requests under overload; higher first. Default 0.
+	// Priority orders requests under overload, highest first. Default 0.
 	Priority int32 `json:"priority,omitempty"`
-	// Deadline for requests that name none. Default 30s.
+	// Deadline applies to requests without their own. Default 30s.
 	Deadline Duration `json:"deadline,omitempty"`
-	// ColdStartWeight is how many accelerator-seconds of idling a second of
-	// cold start is worth. Default 30.
+	// ColdStartWeight is the cost of a second of cold start in idle
+	// accelerator-seconds. Default 30.
 	ColdStartWeight float64 `json:"coldStartWeight,omitempty"`
 }
 
@@ -159,48 +159,48 @@
 type BackendSpec struct {
 	// Endpoints are base URLs with IP addresses. Required.
 	Endpoints []string `json:"endpoints"`
-	// Unrepeatable lists path prefixes whose POST requests run at most once
-	// and need an Idempotency-Key.
+	// Unrepeatable lists path prefixes whose POST requests run at most once and
+	// require an Idempotency-Key.
 	Unrepeatable []string `json:"unrepeatable,omitempty"`
 }
 
-// LimitSpec bounds the use of a service by a caller.
+// LimitSpec limits the requests of a caller to a service.
 type LimitSpec struct {
-	// Service is the Service that the limit is for. Required.
+	// Required.
 	Service string `json:"service"`
-	// Caller is the caller's name; empty for all callers together.
+	// Caller is the caller's name; empty: all callers together.
 	Caller string `json:"caller,omitempty"`
-	// RequestsPerSecond is the sustained rate in the whole fleet; 0: no limit.
+	// RequestsPerSecond bounds the sustained rate over all nodes; 0: no limit.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty"`
-	// Burst is how many requests may come at once. Default: the rate.
+	// Burst is the size of the token bucket. Default: the rate.
 	Burst int `json:"burst,omitempty"`
-	// Concurrent bounds requests in flight in the whole fleet; 0: no limit.
+	// Concurrent bounds the requests in flight over all nodes; 0: no limit.
 	Concurrent int `json:"concurrent,omitempty"`
 }
 
-// MachineSpec declares a machine with an engine on it.
+// MachineSpec declares a machine with an engine.
 type MachineSpec struct {
 	// Endpoint is the engine's base URL with an IP address. Required.
 	Endpoint string `json:"endpoint"`
-	// Zone is where the machine stands. Required.
+	// Required.
 	Zone string `json:"zone"`
-	// Accelerators is how many accelerators the machine has. Required.
+	// Accelerators is the number of accelerators. Required.
 	Accelerators int `json:"accelerators"`
-	// AcceleratorBytes is the memory of each. Required.
+	// AcceleratorBytes is the memory of each accelerator. Required.
 	AcceleratorBytes int64 `json:"acceleratorBytes"`
-	// Drain asks that the machine be emptied. Default false.
+	// Drain requests that all replicas be moved off the machine. Default false.
 	Drain bool `json:"drain,omitempty"`
-	// Pool is the Pool that the machine registered for; empty for a machine
-	// that an operator or the machine list declared.
+	// Pool is the Pool of a self-registered machine; empty for a machine declared by
+	// an operator or the machine list.
 	Pool string `json:"pool,omitempty"`
-	// Slots is how many requests a registered machine runs at once.
+	// Slots is the number of requests that a registered machine runs concurrently.
 	Slots int `json:"slots,omitempty"`
-	// StartedMs is when a registered machine started, in Unix milliseconds by its own clock; 0 if
-	// it did not say.
+	// StartedMs is the start time reported by a registered machine, in Unix milliseconds by its
+	// own clock; 0: not reported.
 	StartedMs int64 `json:"startedMs,omitempty"`
 }
 
-// MachinePhase tells whether a machine may get work.
+// MachinePhase is the lifecycle phase of a machine.
 type MachinePhase string
 
 // The phases of a machine.
@@ -211,17 +211,17 @@
 	MachineGone    MachinePhase = "Gone"
 )
 
-// MachineStatus is what weldline knows of a machine.
+// MachineStatus is the status of a Machine.
 type MachineStatus struct {
 	Phase MachinePhase `json:"phase"`
-	// Incarnation is the engine process's, as last decided on.
+	// Incarnation is the last recorded incarnation of the engine process.
 	Incarnation uint64 `json:"incarnation,omitempty"`
-	// Reason says in words why the machine is not live.
+	// Reason is a description of why the machine is not live.
 	Reason string `json:"reason,omitempty"`
 }
 
-// DecodeMachineStatus decodes a machine's status. One that can't be read, such as of a later release,
-// is that of a lost machine: it gets no new work.
+// DecodeMachineStatus decodes a machine's status. If it can't be decoded, for example because a later
+// release wrote it, the machine counts as lost and gets no new replicas.
 func DecodeMachineStatus(encoded []byte) MachineStatus {
 	status := MachineStatus{}
 	if len(encoded) > 0 && json.Unmarshal(encoded, &status) != nil {
@@ -230,14 +230,14 @@
 	return status
 }
 
-// IsInUse reports whether a machine may get requests, if only where there is no other: it is neither
-// leaving nor gone.
+// IsInUse reports whether a machine may get requests: it is neither leaving nor gone. Callers use a
+// lost machine only if there is no live one.
 func (p MachinePhase) IsInUse() bool {
 	return p == MachineLive || p == MachineLost
 }
 
-// Rank orders the phases that a registered machine passes through; it never
-// goes back to a lower one. Lost is no step: a lost machine may return.
+// Rank orders the phases of a registered machine, which never returns to a phase
+// of lower rank. A lost machine has the rank of a live one, as it may return.
 func (p MachinePhase) Rank() int {
 	switch p {
 	case MachineLeaving:
@@ -248,50 +248,50 @@
 	return 0
 }
 
-// ReplicaPhase is how far a decided replica has come.
+// ReplicaPhase is the lifecycle phase of a replica.
 type ReplicaPhase string
 
 // The phases of a replica. Memory is reserved in all of them.
 const (
-	// ReplicaLoading: the load is decided and ordered.
+	// ReplicaLoading means that the load is decided and ordered.
 	ReplicaLoading ReplicaPhase = "Loading"
-	// ReplicaReady: the engine confirmed the load.
+	// ReplicaReady means that the engine has confirmed the load.
 	ReplicaReady ReplicaPhase = "Ready"
-	// ReplicaUnloading: the unload is decided and ordered. Routers send
-	// nothing new; the engine finishes what runs and then frees the memory.
+	// ReplicaUnloading means that the unload is decided and ordered. Routers send
+	// no new requests; the engine frees the memory when the running ones have ended.
 	ReplicaUnloading ReplicaPhase = "Unloading"
 )
 
-// ReplicaSpec is one decided replica of a model version.
+// ReplicaSpec is the decision to load a replica of a model version on a machine.
 type ReplicaSpec struct {
 	Model       string `json:"model"`
 	Version     string `json:"version"`
 	Checkpoint  string `json:"checkpoint"`
 	Machine     string `json:"machine"`
 	Incarnation uint64 `json:"incarnation"`
-	// Accelerators are the positions of the reserved accelerators.
+	// Accelerators are the indexes of the reserved accelerators.
 	Accelerators []int `json:"accelerators"`
-	// BytesPerAccelerator is reserved on each of them.
+	// BytesPerAccelerator is the memory reserved on each of them.
 	BytesPerAccelerator int64        `json:"bytesPerAccelerator"`
 	WeightBytes         int64        `json:"weightBytes"`
 	CacheBytes          int64        `json:"cacheBytes"`
 	MaxConcurrent       int          `json:"maxConcurrent"`
 	Phase               ReplicaPhase `json:"phase"`
-	// Tier is where the checkpoint was when the load was decided.
+	// Tier is the storage tier of the checkpoint when the load was decided.
 	Tier string `json:"tier,omitempty"`
-	// Adopted is set where the machine held the model before weldline decided
-	// on it.
+	// Adopted is set if the model was on the machine before weldline decided to
+	// load it.
 	Adopted bool `json:"adopted,omitempty"`
 }
 
-// ReplicaStatus is what weldline knows of a replica.
+// ReplicaStatus is the status of a Replica.
 type ReplicaStatus struct {
-	// Adapters that the replica holds, by name.
+	// Adapters are the names of the loaded adapters.
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// ReplicaAdapters returns the adapters that an encoded ReplicaStatus names; none
-// if it can't be read.
+// ReplicaAdapters returns the adapters in an encoded ReplicaStatus, or nil if it
+// can't be decoded.
 func ReplicaAdapters(status []byte) []string {
 	decoded := ReplicaStatus{}
 	if len(status) == 0 || json.Unmarshal(status, &decoded) != nil {
--- a/api/v1/validate.go
+++ b/api/v1/validate.go
@@ -20,7 +20,7 @@
 	defaultMaxReplicas  = 2
 	defaultConcurrent   = 16
 	defaultDeadline     = Duration(30 * time.Second)
-	// DefaultColdStartWeight is the weight of a service that names none.
+	// DefaultColdStartWeight is the default of ServiceSpec.ColdStartWeight.
 	DefaultColdStartWeight = 30
 	maxDeadline            = Duration(24 * time.Hour)
 )
@@ -29,26 +29,26 @@
 
 // Spec is a decoded spec of any kind.
 type Spec interface {
-	// setDefaults fills in documented defaults.
+	// setDefaults sets unset fields to their defaults.
 	setDefaults()
-	// validate checks every field that can be checked alone.
+	// validate checks all fields without regard to other resources.
 	validate() error
-	// References lists the resources that the spec names.
+	// References returns the resources that the spec refers to.
 	References() []Reference
 }
 
-// Reference names another resource from a field of a spec.
+// Reference is a reference from a field of a spec to another resource.
 type Reference struct {
 	Field string
 	Kind  Kind
 	Name  string
-	// Optional references may be declared before what they name; that can't
-	// be deleted while it is named.
+	// Optional allows the referenced resource to be missing. If it exists, it can't
+	// be deleted while it is referenced.
 	Optional bool
 }
 
-// IsReferred reports whether specs may refer to resources of a kind. Machines and replicas, of which
-// there are many more than of all else, are not among them.
+// IsReferred reports whether specs can refer to resources of a kind. Machines and replicas, the most
+// numerous resources, are excluded.
 func (k Kind) IsReferred() bool {
 	switch k {
 	case KindModel, KindModelVersion, KindService, KindPool:
@@ -57,7 +57,7 @@
 	return false
 }
 
-// newSpec returns an empty spec of a kind, or nil.
+// newSpec returns an empty spec, or nil for an unknown kind.
 func newSpec(kind Kind) Spec {
 	switch kind {
 	case KindModel:
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// DecodeSpec decodes, defaults and validates a spec. Unknown fields are
-// refused by name.
+// DecodeSpec decodes a spec, sets defaults and validates it. Unknown fields are
+// rejected.
 func DecodeSpec(kind Kind, data []byte) (Spec, error) {
 	spec := newSpec(kind)
 	if spec == nil {
@@ -109,7 +109,7 @@
 	return spec, nil
 }
 
-// Normalize checks a resource and rewrites its spec with defaults filled in.
+// Normalize validates a resource and replaces its spec by one with defaults set.
 func Normalize(resource *Resource) (Spec, error) {
 	if resource.APIVersion != APIVersion {
 		return nil, fault.InvalidField("apiVersion", "must be %q, not %q", APIVersion, resource.APIVersion)
@@ -131,7 +131,7 @@
 	return spec, nil
 }
 
-// ParseRevision reads a resourceVersion; nil means that none is given.
+// ParseRevision parses a resourceVersion. It returns nil for an empty one.
 func ParseRevision(text string) (*uint64, error) {
 	if text == "" {
 		return nil, nil
@@ -176,7 +176,7 @@
 
 func requireNotNegative(field string, span Duration) error {
 	if span < 0 {
-		return fault.InvalidField(field, "a time-out must not be negative")
+		return fault.InvalidField(field, "must not be negative")
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 
 const (
 	maxBytes = int64(1) << 50
-	// maxQuantity bounds rates and bursts: sums of them stay exact.
+	// maxQuantity bounds rates and bursts so that sums of them stay exact as float64.
 	maxQuantity = 1e12
 )
 
@@ -227,8 +227,8 @@
 	)
 }
 
-// References implements Spec. A model is declared before its versions, and
-// can't be served until its default version exists.
+// References implements Spec. The default version is optional, since a model is
+// declared before its versions.
 func (s *ModelSpec) References() []Reference {
 	if s.DefaultVersion == "" {
 		return nil
@@ -258,18 +258,18 @@
 	)
 }
 
-// validateAdapters checks that each adapter has a name of its own.
+// validateAdapters checks that adapter names are unique and not empty.
 func (s *ModelVersionSpec) validateAdapters() error {
-	named := make(map[string]bool, len(s.Adapters))
+	seen := make(map[string]bool, len(s.Adapters))
 	for position, name := range s.Adapters {
 		field := "spec.adapters[" + strconv.Itoa(position) + "]"
 		if err := requireText(field, name); err != nil {
 			return err
 		}
-		if named[name] {
+		if seen[name] {
 			return fault.InvalidField(field, "%q is listed twice", name)
 		}
-		named[name] = true
+		seen[name] = true
 	}
 	return nil
 }
@@ -279,7 +279,7 @@
 	return []Reference{{Field: "spec.model", Kind: KindModel, Name: s.Model}}
 }
 
-// BytesPerAccelerator is what a replica reserves on each accelerator.
+// BytesPerAccelerator returns the memory that a replica reserves on each accelerator.
 func (s *ModelVersionSpec) BytesPerAccelerator() int64 {
 	total := s.WeightBytes + s.CacheBytes + s.AdapterBytes
 	count := int64(s.Accelerators)
@@ -390,6 +390,6 @@
 
 func (s *ReplicaSpec) validate() error { return nil }
 
-// References implements Spec. A replica outlives deleted declarations until
-// its engine has unloaded it.
+// References implements Spec. A replica has none: it exists until its engine has
+// unloaded it, even if the declarations are deleted.
 func (s *ReplicaSpec) References() []Reference { return nil }
--- a/api/v1/zonedrain.go
+++ b/api/v1/zonedrain.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// ZoneDrainSpec says whether a zone's machines are to get requests. It is named by the zone.
-// The object of a zone that has ever been drained stays, so that its revision tells an order
-// that was overtaken by a later one, whichever way each of them went.
+// ZoneDrainSpec declares whether a zone is drained. The resource has the zone's name. It is never
+// deleted, so that its revision orders all drains and undrains of the zone.
 type ZoneDrainSpec struct {
-	// Drained is set while the zone's machines are to get no requests.
+	// Drained is set if the zone's machines must not get requests.
 	Drained bool `json:"drained"`
 }
 
-// ReasonZoneDrained begins the reason of whatever does not happen since a zone is drained.
+// ReasonZoneDrained is the prefix of the reasons of refusals that a drained zone causes.
 const ReasonZoneDrained = "zone drained"
 
-// ZoneDrainStatus tells of the newest order about a zone.
+// ZoneDrainStatus is the status of a ZoneDrain.
 type ZoneDrainStatus struct {
-	// OrderedAt is when the order was taken, by the clock of the control node that took it. An
-	// order that finds the zone as it wants it writes this, too: the new revision overtakes
-	// whatever is still on its way.
+	// OrderedAt is the time of the last write, by the clock of the control node that received it.
+	// A write that doesn't change the spec updates it too: its new revision supersedes
+	// earlier writes that are still being propagated.
 	OrderedAt time.Time `json:"orderedAt"`
 }
 
