--- a/cmd/weldbench/emulate.go
+++ b/cmd/weldbench/emulate.go
@@ -14,8 +14,8 @@
 )
 
 type emulateCommand struct {
-	Config    string `required:"" type:"path" help:"Emulator configuration."`
-	Addresses string `type:"path" help:"File to write the chosen addresses to, as JSON."`
+	Config    string `required:"" type:"path" help:"Emulator configuration file."`
+	Addresses string `type:"path" help:"File to write the listen addresses to, as JSON."`
 }
 
 func (c *emulateCommand) Run() error {
@@ -23,12 +23,12 @@
 	if err != nil {
 		return err
 	}
-	world, err := emulator.Start(config)
+	emulation, err := emulator.Start(config)
 	if err != nil {
 		return err
 	}
-	defer world.Close()
-	encoded, err := json.MarshalIndent(world.Addresses(), "", "  ")
+	defer emulation.Close()
+	encoded, err := json.MarshalIndent(emulation.Addresses(), "", "  ")
 	if err != nil {
 		return fault.Internal.Wrap(err, "encoding addresses")
 	}
@@ -44,16 +44,17 @@
 }
 
 type portsCommand struct {
-	Count int `default:"1" help:"How many."`
+	Count int `default:"1" help:"Number of ports."`
 }
 
-// Run prints ports that the kernel had free a moment ago.
+// Run prints ports that were free when the kernel assigned them. Other processes may
+// take them afterwards.
 func (c *portsCommand) Run() error {
 	listeners := make([]net.Listener, 0, c.Count)
 	for range c.Count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return fault.Unavailable.Wrap(err, "asking the kernel for a port")
+			return fault.Unavailable.Wrap(err, "listening on a free port")
 		}
 		listeners = append(listeners, listener)
 	}
--- a/cmd/weldbench/faults.go
+++ b/cmd/weldbench/faults.go
@@ -11,15 +11,14 @@
 	"github.com/weldline/weldline/internal/faultsim"
 )
 
-// faultsCommand runs simulated clusters under faults.
+// faultsCommand simulates clusters under faults.
 type faultsCommand struct {
 	Seeds    string            `help:"Range of seeds, as FIRST..LAST." default:"1..100" placeholder:"A..B"`
 	Schedule string            `help:"Run this schedule instead of random ones." type:"existingfile" placeholder:"FILE"`
-	Mutation faultsim.Mutation `help:"Break one rule on purpose; the run is expected to fail then." placeholder:"NAME"`
+	Mutation faultsim.Mutation `help:"Introduce a bug; the run is expected to fail." placeholder:"NAME"`
 	JSON     bool              `help:"Write the summary as one JSON object." name:"json"`
 }
 
-// Run implements the command.
 func (c *faultsCommand) Run() error {
 	schedules, err := c.schedules()
 	if err != nil {
@@ -35,7 +34,7 @@
 		return err
 	}
 	if summary.Result != "ok" {
-		return fault.Refused.New("%d checks were broken", len(summary.Replays))
+		return fault.Refused.New("%d checks failed", len(summary.Replays))
 	}
 	return nil
 }
@@ -63,7 +62,7 @@
 	return schedules, nil
 }
 
-// parseSeeds reads "A..B", or one seed.
+// parseSeeds parses "FIRST..LAST", or a single seed.
 func parseSeeds(text string) (first, last uint64, err error) {
 	from, to, isRange := strings.Cut(text, "..")
 	if !isRange {
@@ -71,9 +70,9 @@
 	}
 	first, firstErr := strconv.ParseUint(from, 10, 64)
 	last, lastErr := strconv.ParseUint(to, 10, 64)
-	const most = 1_000_000
-	if firstErr != nil || lastErr != nil || last < first || last-first >= most {
-		return 0, 0, fault.InvalidField("seeds", "%q is not a range of seeds such as 1..100", text)
+	const maxSeeds = 1_000_000
+	if firstErr != nil || lastErr != nil || last < first || last-first >= maxSeeds {
+		return 0, 0, fault.InvalidField("seeds", "%q is not a valid range of seeds, such as 1..100", text)
 	}
 	return first, last, nil
 }
--- a/cmd/weldbench/load.go
+++ b/cmd/weldbench/load.go
@@ -15,22 +15,23 @@
 	"github.com/weldline/weldline/internal/loadgen"
 )
 
+// loadCommand generates load and checks the responses.
 type loadCommand struct {
 	Routers     []string      `required:"" help:"Base URLs of the routers."`
-	Platform    string        `help:"Base URL of the emulated platform, to judge by its audit."`
-	Duration    time.Duration `default:"20s" help:"Length of the steady part."`
-	Burst       int           `default:"120" help:"Requests to cold models at the start."`
-	Rate        float64       `default:"30" help:"Inference requests a second."`
-	StreamShare float64       `default:"0.5" help:"Share of requests that are streams."`
-	Skew        float64       `default:"1.2" help:"Zipf exponent over the models."`
-	Tokens      int           `default:"24" help:"Tokens asked for."`
+	Platform    string        `help:"Base URL of the emulated platform, to check against its audit."`
+	Duration    time.Duration `default:"20s" help:"Duration of the steady load."`
+	Burst       int           `default:"120" help:"Number of initial requests to cold models."`
+	Rate        float64       `default:"30" help:"Inference requests per second."`
+	StreamShare float64       `default:"0.5" help:"Fraction of streaming requests."`
+	Skew        float64       `default:"1.2" help:"Zipf exponent of the popularity of models."`
+	Tokens      int           `default:"24" help:"Tokens to generate per request."`
 	Service     string        `help:"Service for unrepeatable requests."`
-	HoldRate    float64       `default:"20" help:"Unrepeatable requests a second."`
+	HoldRate    float64       `default:"20" help:"Unrepeatable requests per second."`
 	Deadline    time.Duration `default:"20s" help:"Deadline of each request."`
-	Seed        uint64        `default:"1" help:"Seed."`
+	Seed        uint64        `default:"1" help:"Random seed."`
 }
 
-// errFailed tells that the load showed a broken promise.
+// errFailed is the type of the error for violated invariants.
 var errFailed = fault.Engine
 
 func (c *loadCommand) Run() error {
@@ -60,7 +61,7 @@
 	}
 	fmt.Println(string(encoded))
 	if summary.Result != "ok" {
-		return errFailed.New("the load showed broken promises")
+		return errFailed.New("invariants were violated under load")
 	}
 	return nil
 }
--- a/cmd/weldbench/main.go
+++ b/cmd/weldbench/main.go
@@ -1,4 +1,4 @@
-// Command weldbench is weldline's emulator, load and experiment tool.
+// Command weldbench runs emulators, load tests and simulations of weldline.
 package main
 
 import (
@@ -19,11 +19,11 @@
 
 type commandLine struct {
 	Emulate  emulateCommand  `cmd:"" help:"Run emulated engines, back ends, weight store and machine list."`
-	Load     loadCommand     `cmd:"" help:"Drive routers with an open-loop load and judge every answer."`
-	Faults   faultsCommand   `cmd:"" help:"Simulate clusters under faults and check what must always hold."`
-	Simulate simulateCommand `cmd:"" help:"Run days of traffic through the real decisions in virtual time."`
-	Report   reportCommand   `cmd:"" help:"Compare policies over seeds: a table and drawings."`
-	Ports    portsCommand    `cmd:"" help:"Print free ports of this machine."`
+	Load     loadCommand     `cmd:"" help:"Send open-loop load to routers and check every response."`
+	Faults   faultsCommand   `cmd:"" help:"Simulate clusters under faults and check invariants."`
+	Simulate simulateCommand `cmd:"" help:"Simulate a policy under a traffic scenario in virtual time."`
+	Report   reportCommand   `cmd:"" help:"Compare policies over several seeds, with a table and charts."`
+	Ports    portsCommand    `cmd:"" help:"Print free TCP ports of this machine."`
 	Version  versionCommand  `cmd:"" help:"Print the version."`
 }
 
@@ -35,8 +35,8 @@
 }
 
 func main() {
-	var line commandLine
-	parsed := kong.Parse(&line, kong.Name("weldbench"), kong.Description("Emulate, load and measure weldline."))
+	var commands commandLine
+	parsed := kong.Parse(&commands, kong.Name("weldbench"), kong.Description("Emulation, load tests and simulations for weldline."))
 	err := parsed.Run()
 	if err == nil {
 		return
--- a/cmd/weldbench/report.go
+++ b/cmd/weldbench/report.go
@@ -10,17 +10,16 @@
 	"github.com/weldline/weldline/internal/policysim"
 )
 
-// reportCommand compares policies over seeds.
+// reportCommand compares policies over several seeds.
 type reportCommand struct {
 	Scenario string    `required:"" help:"ramlochun, seatdesk, or a file." placeholder:"NAME|FILE"`
 	Seeds    string    `help:"Range of seeds, as FIRST..LAST." default:"1..10" placeholder:"A..B"`
 	Policies []string  `help:"Policies to compare; all by default."`
-	Scales   []float64 `help:"Multiples of the cold-start weights at which the project's own policy is run, for its curve." default:"1"`
-	Out      string    `required:"" type:"path" help:"Folder for the table and the drawings."`
-	Format   string    `enum:"svg,png" default:"svg" help:"Format of the drawings: svg or png."`
+	Scales   []float64 `help:"Factors to scale the cold-start weights by, for the curves of the adaptive and the clairvoyant policy." default:"1"`
+	Out      string    `required:"" type:"path" help:"Output directory for the table and the charts."`
+	Format   string    `enum:"svg,png" default:"svg" help:"Format of the charts: svg or png."`
 }
 
-// Run implements the command.
 func (c *reportCommand) Run() error {
 	scenario, err := policysim.Load(c.Scenario)
 	if err != nil {
@@ -30,15 +29,15 @@
 	if err != nil {
 		return err
 	}
-	done := 0
-	compared, err := policysim.Compare(scenario, jobs, func(result policysim.Result) {
-		done++
-		fmt.Fprintf(os.Stderr, "report: %d of %d, %s seed %d in %.0f s\n", done, len(jobs), result.Policy, result.Seed, result.Seconds)
+	completed := 0
+	comparisons, err := policysim.Compare(scenario, jobs, func(result policysim.Result) {
+		completed++
+		fmt.Fprintf(os.Stderr, "report: %d of %d, %s seed %d in %.0f s\n", completed, len(jobs), result.Policy, result.Seed, result.Seconds)
 	})
 	if err != nil {
 		return err
 	}
-	return c.write(scenario.Name, compared)
+	return c.write(scenario.Name, comparisons)
 }
 
 func (c *reportCommand) jobs() ([]policysim.Job, error) {
@@ -68,19 +67,19 @@
 	return jobs, nil
 }
 
-func (c *reportCommand) write(name string, compared []policysim.Comparison) error {
+func (c *reportCommand) write(name string, comparisons []policysim.Comparison) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
-		return fault.Storage.Wrap(err, "making the folder")
+		return fault.Storage.Wrap(err, "creating the output directory")
 	}
 	var table bytes.Buffer
-	policysim.WriteComparison(&table, compared)
+	policysim.WriteComparison(&table, comparisons)
 	fmt.Print(table.String())
 	if err := os.WriteFile(filepath.Join(c.Out, name+".md"), table.Bytes(), 0o644); err != nil {
 		return fault.Storage.Wrap(err, "writing the table")
 	}
-	for drawing, quantity := range policysim.Drawings {
-		path := filepath.Join(c.Out, name+"-"+drawing+"."+c.Format)
-		if err := policysim.Draw(path, quantity, compared); err != nil {
+	for chart, quantity := range policysim.Drawings {
+		path := filepath.Join(c.Out, name+"-"+chart+"."+c.Format)
+		if err := policysim.Draw(path, quantity, comparisons); err != nil {
 			return err
 		}
 	}
--- a/cmd/weldbench/simulate.go
+++ b/cmd/weldbench/simulate.go
@@ -9,16 +9,15 @@
 	"github.com/weldline/weldline/internal/policysim"
 )
 
-// simulateCommand runs days of traffic in virtual time.
+// simulateCommand simulates a policy under a traffic scenario in virtual time.
 type simulateCommand struct {
 	Scenario string  `required:"" help:"ramlochun, seatdesk, overload, or a file." placeholder:"NAME|FILE"`
-	Seed     uint64  `default:"1" help:"Seed of the traffic and the faults."`
-	Policy   string  `default:"adaptive" help:"adaptive (the project's own), ski-rental, fixed-10m, none, always-loaded, round-robin, clairvoyant."`
-	Traffic  float64 `default:"1" help:"Multiple of the scenario's sessions."`
+	Seed     uint64  `default:"1" help:"Random seed of the traffic and the faults."`
+	Policy   string  `default:"adaptive" help:"adaptive (weldline's), ski-rental, fixed-10m, none, always-loaded, round-robin, clairvoyant."`
+	Traffic  float64 `default:"1" help:"Factor to scale the number of sessions by."`
 	JSON     bool    `name:"json" help:"Write the result as one JSON object."`
 }
 
-// Run implements the command.
 func (c *simulateCommand) Run() error {
 	scenario, err := policysim.Load(c.Scenario)
 	if err != nil {
@@ -44,7 +43,7 @@
 		fmt.Println(string(encoded))
 	}
 	if broken := result.Broken(); broken > 0 {
-		return fault.Refused.New("%d promises were broken", broken)
+		return fault.Refused.New("%d invariants were violated", broken)
 	}
 	return nil
 }
--- a/cmd/weldctl/apply.go
+++ b/cmd/weldctl/apply.go
@@ -19,20 +19,20 @@
 	managedByApply = "weldctl-apply"
 )
 
-// errDifferent tells that diff found differences.
+// errDifferent is the type of the error for differences that diff found.
 var errDifferent = errorx.NewNamespace("weldctl").NewType("different")
 
 type applyCommand struct {
-	File   string `short:"f" required:"" type:"path" help:"File or folder."`
-	DryRun bool   `help:"Check everything and change nothing."`
-	Prune  bool   `help:"Delete resources that an earlier apply declared and the folder no longer holds."`
+	File   string `short:"f" required:"" type:"path" help:"File or directory."`
+	DryRun bool   `help:"Validate without writing."`
+	Prune  bool   `help:"Delete resources that an earlier apply declared and that are no longer declared."`
 }
 
 type diffCommand struct {
-	File string `short:"f" required:"" type:"path" help:"File or folder."`
+	File string `short:"f" required:"" type:"path" help:"File or directory."`
 }
 
-func newKey() string {
+func newIdempotencyKey() string {
 	var bytes [12]byte
 	_, _ = rand.Read(bytes[:])
 	return hex.EncodeToString(bytes[:])
@@ -60,11 +60,11 @@
 	}
 	request := &resourceapi.ApplyRequest{Items: resources, DryRun: c.DryRun}
 	if c.Prune {
-		if request.Delete, err = current.pruned(resources); err != nil {
+		if request.Delete, err = current.listPrunable(resources); err != nil {
 			return err
 		}
 	}
-	result, err := current.client.Apply(current.ctx, request, newKey())
+	result, err := current.client.Apply(current.ctx, request, newIdempotencyKey())
 	if err != nil {
 		return err
 	}
@@ -83,14 +83,14 @@
 	return nil
 }
 
-// pruned lists the resources that an earlier apply made and that are not
-// among the given ones, those that refer to others first.
-func (s *session) pruned(resources []v1.Resource) ([]resourceapi.ResourceName, error) {
+// listPrunable lists the resources that an earlier apply created and that are not
+// declared any more. Resources come before those that they refer to.
+func (s *session) listPrunable(resources []v1.Resource) ([]resourceapi.ResourceName, error) {
 	declared := map[string]bool{}
 	for _, resource := range resources {
 		declared[string(resource.Kind)+"/"+resource.Metadata.Name] = true
 	}
-	var pruned []resourceapi.ResourceName
+	var prunable []resourceapi.ResourceName
 	for position := len(v1.Kinds) - 1; position >= 0; position-- {
 		kind := v1.Kinds[position]
 		if kind == v1.KindReplica {
@@ -103,13 +103,13 @@
 		for _, item := range list.Items {
 			managed := item.Metadata.Labels[labelManagedBy] == managedByApply
 			if managed && !declared[string(kind)+"/"+item.Metadata.Name] {
-				pruned = append(pruned, resourceapi.ResourceName{
+				prunable = append(prunable, resourceapi.ResourceName{
 					Kind: kind, Name: item.Metadata.Name, ResourceVersion: item.Metadata.ResourceVersion,
 				})
 			}
 		}
 	}
-	return pruned, nil
+	return prunable, nil
 }
 
 func (c *diffCommand) Run(current *session) error {
@@ -117,23 +117,23 @@
 	if err != nil {
 		return err
 	}
-	different := 0
+	differences := 0
 	for position := range resources {
 		resource := &resources[position]
-		held, err := current.client.Get(current.ctx, string(resource.Kind), resource.Metadata.Name)
+		stored, err := current.client.Get(current.ctx, string(resource.Kind), resource.Metadata.Name)
 		switch {
 		case fault.Is(err, fault.NotFound):
 			fmt.Printf("+ %s/%s\n", resource.Kind, resource.Metadata.Name)
-			different++
+			differences++
 		case err != nil:
 			return err
-		case !bytes.Equal(held.Spec, resource.Spec):
-			fmt.Printf("~ %s/%s\n  - %s\n  + %s\n", resource.Kind, resource.Metadata.Name, held.Spec, resource.Spec)
-			different++
+		case !bytes.Equal(stored.Spec, resource.Spec):
+			fmt.Printf("~ %s/%s\n  - %s\n  + %s\n", resource.Kind, resource.Metadata.Name, stored.Spec, resource.Spec)
+			differences++
 		}
 	}
-	if different > 0 {
-		return errDifferent.New("%d of %d resources differ", different, len(resources))
+	if differences > 0 {
+		return errDifferent.New("%d of %d resources differ", differences, len(resources))
 	}
 	fmt.Printf("%d resources are as declared\n", len(resources))
 	return nil
--- a/cmd/weldctl/drain.go
+++ b/cmd/weldctl/drain.go
@@ -11,17 +11,17 @@
 )
 
 type drainCommands struct {
-	Machine drainMachineCommand `cmd:"" default:"withargs" help:"Empty a machine, or let it work again."`
-	Zone    drainZoneCommand    `cmd:"" help:"Send a zone's machines no requests until undrain zone."`
+	Machine drainMachineCommand `cmd:"" default:"withargs" help:"Drain or undrain a machine."`
+	Zone    drainZoneCommand    `cmd:"" help:"Send no requests to a zone's machines until it is undrained."`
 }
 
 type undrainCommand struct {
-	Zone undrainZoneCommand `cmd:"" help:"Send a zone's machines requests again."`
+	Zone undrainZoneCommand `cmd:"" help:"Send requests to a zone's machines again."`
 }
 
 type drainMachineCommand struct {
 	Machine string `arg:"" help:"Machine."`
-	Undo    bool   `help:"Let the machine work again."`
+	Undo    bool   `help:"Undrain the machine."`
 }
 
 type drainZoneCommand struct {
@@ -32,8 +32,8 @@
 	Zone string `arg:"" help:"Zone."`
 }
 
-// Run sets the machine's desired state, conditionally, and again if another
-// operator was faster.
+// Run sets the drain field of the machine with a conditional write, which it retries
+// after a conflict.
 func (c *drainMachineCommand) Run(current *session) error {
 	for {
 		resource, err := current.client.Get(current.ctx, string(v1.KindMachine), c.Machine)
@@ -53,7 +53,7 @@
 			return fault.Internal.Wrap(err, "encoding a machine")
 		}
 		resource.Status = nil
-		_, err = current.client.Put(current.ctx, resource, newKey())
+		_, err = current.client.Put(current.ctx, resource, newIdempotencyKey())
 		if fault.Is(err, fault.Conflict) {
 			continue
 		}
@@ -65,17 +65,16 @@
 	}
 }
 
-// Run orders the drain; once it returns, the order is committed.
+// Run drains the zone. The drain is committed when Run returns.
 func (c *drainZoneCommand) Run(current *session) error {
-	return orderDrain(current, c.Zone, true)
+	return setZoneDrain(current, c.Zone, true)
 }
 
-// Run ends the drain.
 func (c *undrainZoneCommand) Run(current *session) error {
-	return orderDrain(current, c.Zone, false)
+	return setZoneDrain(current, c.Zone, false)
 }
 
-func orderDrain(current *session, zone string, drained bool) error {
+func setZoneDrain(current *session, zone string, drained bool) error {
 	if err := current.client.DrainZone(current.ctx, zone, drained); err != nil {
 		return err
 	}
@@ -83,22 +82,22 @@
 	return nil
 }
 
-// kindNamed resolves the short name of the drains of zones.
-func kindNamed(named string) string {
-	if strings.EqualFold(named, "drains") || strings.EqualFold(named, "drain") {
+// resolveKind expands the aliases "drain" and "drains" of ZoneDrain.
+func resolveKind(name string) string {
+	if strings.EqualFold(name, "drains") || strings.EqualFold(name, "drain") {
 		return string(v1.KindZoneDrain)
 	}
-	return named
+	return name
 }
 
-func summaryOfDrain(spec *v1.ZoneDrainSpec, encoded []byte) string {
-	told := "in service"
+func summarizeDrain(spec *v1.ZoneDrainSpec, encodedStatus []byte) string {
+	summary := "in service"
 	if spec.Drained {
-		told = "drained"
+		summary = "drained"
 	}
 	var status v1.ZoneDrainStatus
-	if json.Unmarshal(encoded, &status) != nil || status.OrderedAt.IsZero() {
-		return told
+	if json.Unmarshal(encodedStatus, &status) != nil || status.OrderedAt.IsZero() {
+		return summary
 	}
-	return told + ", last ordered at " + status.OrderedAt.Format(time.RFC3339)
+	return summary + ", last ordered at " + status.OrderedAt.Format(time.RFC3339)
 }
--- a/cmd/weldctl/main.go
+++ b/cmd/weldctl/main.go
@@ -1,4 +1,4 @@
-// Command weldctl is the operators' tool. It talks only to the resource API.
+// Command weldctl is the command-line client of the resource API.
 package main
 
 import (
@@ -28,22 +28,22 @@
 
 type commandLine struct {
 	Server    []string `help:"Base URLs of the resource API." env:"WELDLINE_API" default:"http://127.0.0.1:7201"`
-	Token     string   `help:"Operator's token." env:"WELDLINE_TOKEN"`
-	Authority string   `help:"PEM file of the authority of the servers' certificates." env:"WELDLINE_AUTHORITY" type:"path"`
+	Token     string   `help:"Bearer token." env:"WELDLINE_TOKEN"`
+	Authority string   `help:"PEM file with the CA certificates to verify the servers with." env:"WELDLINE_AUTHORITY" type:"path"`
 
-	Apply   applyCommand   `cmd:"" help:"Declare the resources of a file or folder, all or none."`
-	Diff    diffCommand    `cmd:"" help:"Show what apply would change. Exits with 6 if anything."`
+	Apply   applyCommand   `cmd:"" help:"Apply the resources of a file or directory atomically."`
+	Diff    diffCommand    `cmd:"" help:"Show what apply would change. Exits with 6 if there are differences."`
 	Get     getCommand     `cmd:"" help:"Show resources."`
-	Watch   watchCommand   `cmd:"" help:"Show changes as they come."`
+	Watch   watchCommand   `cmd:"" help:"Show changes as they happen."`
 	Delete  deleteCommand  `cmd:"" help:"Delete a resource."`
-	Drain   drainCommands  `cmd:"" help:"Empty a machine, or send a zone's machines no requests."`
-	Undrain undrainCommand `cmd:"" help:"Send a zone's machines requests again."`
-	Status  statusCommand  `cmd:"" help:"Show the cluster: leader, nodes and the version in force on each."`
-	Explain explainCommand `cmd:"" help:"Tell what happened to a request, and why, from logs."`
+	Drain   drainCommands  `cmd:"" help:"Drain a machine or a zone."`
+	Undrain undrainCommand `cmd:"" help:"Undrain a zone."`
+	Status  statusCommand  `cmd:"" help:"Show the leader, the nodes and the version that each has applied."`
+	Explain explainCommand `cmd:"" help:"Show from logs what happened to a request, and why."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
-// session is what commands work with.
+// session is the context of a command.
 type session struct {
 	ctx    context.Context
 	client *operator.Client
@@ -70,11 +70,11 @@
 }
 
 func main() {
-	var line commandLine
-	parsed := kong.Parse(&line, kong.Name("weldctl"), kong.Description("Declare and watch weldline resources."))
+	var commands commandLine
+	parsed := kong.Parse(&commands, kong.Name("weldctl"), kong.Description("Manage the resources of a weldline cluster."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	client, err := operator.NewClient(line.Server, line.Token, line.Authority)
+	client, err := operator.NewClient(commands.Server, commands.Token, commands.Authority)
 	if err == nil {
 		err = parsed.Run(&session{ctx: ctx, client: client})
 	}
--- a/cmd/weldctl/show.go
+++ b/cmd/weldctl/show.go
@@ -16,19 +16,19 @@
 
 type getCommand struct {
 	Kind   string `arg:"" help:"Kind, such as model or machine."`
-	Name   string `arg:"" optional:"" help:"Name; all if left out."`
+	Name   string `arg:"" optional:"" help:"Name; all resources of the kind if omitted."`
 	Output string `short:"o" enum:"table,yaml,json" default:"table" help:"table, yaml or json."`
 }
 
 type watchCommand struct {
-	Kind  string `arg:"" optional:"" help:"Kind; all if left out."`
-	After string `help:"Version to begin after; the present one if left out."`
+	Kind  string `arg:"" optional:"" help:"Kind; all kinds if omitted."`
+	After string `help:"Version to start after; the current one if omitted."`
 }
 
 type deleteCommand struct {
 	Kind    string `arg:"" help:"Kind."`
 	Name    string `arg:"" help:"Name."`
-	Version string `name:"resource-version" help:"Delete only this version."`
+	Version string `name:"resource-version" help:"Delete the resource only if it has this version."`
 }
 
 type statusCommand struct {
@@ -36,27 +36,27 @@
 }
 
 func (c *getCommand) Run(current *session) error {
-	c.Kind = kindNamed(c.Kind)
+	c.Kind = resolveKind(c.Kind)
 	var resources []v1.Resource
-	var whole any
+	var value any
 	if c.Name != "" {
 		resource, err := current.client.Get(current.ctx, c.Kind, c.Name)
 		if err != nil {
 			return err
 		}
-		resources, whole = []v1.Resource{*resource}, resource
+		resources, value = []v1.Resource{*resource}, resource
 	} else {
 		list, err := current.client.List(current.ctx, c.Kind)
 		if err != nil {
 			return err
 		}
-		resources, whole = list.Items, list
+		resources, value = list.Items, list
 	}
 	switch c.Output {
 	case "json":
-		return printJSON(whole)
+		return printJSON(value)
 	case "yaml":
-		return printYAML(whole)
+		return printYAML(value)
 	}
 	return printTable(resources)
 }
@@ -65,7 +65,7 @@
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(value); err != nil {
-		return fault.Internal.Wrap(err, "encoding")
+		return fault.Internal.Wrap(err, "encoding the output")
 	}
 	return nil
 }
@@ -73,11 +73,11 @@
 func printYAML(value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return fault.Internal.Wrap(err, "encoding")
+		return fault.Internal.Wrap(err, "encoding the output")
 	}
 	text, err := yaml.JSONToYAML(encoded)
 	if err != nil {
-		return fault.Internal.Wrap(err, "encoding")
+		return fault.Internal.Wrap(err, "encoding the output")
 	}
 	fmt.Print(string(text))
 	return nil
@@ -88,7 +88,7 @@
 	fmt.Fprintln(table, "NAME\tVERSION\tGENERATION\tSUMMARY")
 	for _, resource := range resources {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", resource.Metadata.Name, resource.Metadata.ResourceVersion,
-			resource.Metadata.Generation, summaryOf(resource))
+			resource.Metadata.Generation, summarize(resource))
 	}
 	if err := table.Flush(); err != nil {
 		return fault.Internal.Wrap(err, "writing a table")
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// summaryOf says in a few words what matters most of a resource.
-func summaryOf(resource v1.Resource) string {
+// summarize returns the text for the SUMMARY column.
+func summarize(resource v1.Resource) string {
 	spec, err := v1.DecodeSpec(resource.Kind, resource.Spec)
 	if err != nil {
 		return ""
@@ -114,23 +114,23 @@
 	case *v1.LimitSpec:
 		return fmt.Sprintf("%s: %.1f/s, %d at once", typed.Service, typed.RequestsPerSecond, typed.Concurrent)
 	case *v1.TenantSpec:
-		return fmt.Sprintf("%d keys, %.1f %s/s, burst %.1f%s", len(typed.KeyHashes), typed.Rate, typed.Unit, typed.Burst, regionsOf(typed.AllowedRegions))
+		return fmt.Sprintf("%d keys, %.1f %s/s, burst %.1f%s", len(typed.KeyHashes), typed.Rate, typed.Unit, typed.Burst, formatRegions(typed.AllowedRegions))
 	case *v1.RouteSpec:
-		return fmt.Sprintf("%s%s, %d pools%s", typed.Host, typed.PathPrefix, len(typed.Targets), regionsOf(typed.AllowedRegions))
+		return fmt.Sprintf("%s%s, %d pools%s", typed.Host, typed.PathPrefix, len(typed.Targets), formatRegions(typed.AllowedRegions))
 	case *v1.MachineSpec:
 		var status v1.MachineStatus
 		_ = json.Unmarshal(resource.Status, &status)
 		return fmt.Sprintf("%s %s %s", typed.Zone, status.Phase, status.Reason)
 	case *v1.ZoneDrainSpec:
-		return summaryOfDrain(typed, resource.Status)
+		return summarizeDrain(typed, resource.Status)
 	case *v1.ReplicaSpec:
 		return fmt.Sprintf("%s %s on %s", typed.Version, typed.Phase, typed.Machine)
 	}
 	return ""
 }
 
-// regionsOf adds to a summary which regions alone may serve.
-func regionsOf(allowed []string) string {
+// formatRegions returns the suffix of a summary for a restriction to regions.
+func formatRegions(allowed []string) string {
 	if len(allowed) == 0 {
 		return ""
 	}
@@ -155,7 +155,7 @@
 }
 
 func (c *deleteCommand) Run(current *session) error {
-	if err := current.client.Delete(current.ctx, c.Kind, c.Name, c.Version, newKey()); err != nil {
+	if err := current.client.Delete(current.ctx, c.Kind, c.Name, c.Version, newIdempotencyKey()); err != nil {
 		return err
 	}
 	fmt.Printf("%s/%s deleted\n", c.Kind, c.Name)
--- a/cmd/weldline/main.go
+++ b/cmd/weldline/main.go
@@ -1,4 +1,4 @@
-// Command weldline is a node of a weldline cluster.
+// Command weldline runs a node of a weldline cluster.
 package main
 
 import (
@@ -15,9 +15,9 @@
 )
 
 type commandLine struct {
-	Init    initCommand    `cmd:"" help:"Make the data folder of a new control node."`
-	Serve   serveCommand   `cmd:"" help:"Run the roles that the settings name."`
-	Config  configCommand  `cmd:"" help:"Work on settings files."`
+	Init    initCommand    `cmd:"" help:"Create the data directory of a new control node."`
+	Serve   serveCommand   `cmd:"" help:"Run the node with the roles in its settings."`
+	Config  configCommand  `cmd:"" help:"Check and document settings."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
@@ -25,20 +25,19 @@
 	Config string `required:"" type:"path" help:"Settings file."`
 }
 
-// initCommand makes a data folder, once in a node's life.
+// initCommand creates a data directory, once per node.
 type initCommand struct {
 	Config string `required:"" type:"path" help:"Settings file."`
-	Join   bool   `help:"The node joins a running cluster, under an id that was never used."`
+	Join   bool   `help:"Join a running cluster. The node's id must never have been used in it."`
 }
 
-// Run implements the command.
 func (c *initCommand) Run() error {
 	configuration, err := settings.Load(c.Config)
 	if err != nil {
 		return err
 	}
 	if !configuration.Has(settings.RoleControl) {
-		return fault.InvalidField("roles", "only a control node has a data folder")
+		return fault.InvalidField("roles", "only control nodes have a data directory")
 	}
 	return datadir.Init(configuration.DataDir, datadir.Identity{
 		Cluster: configuration.Cluster, ControlID: configuration.Control.ID, Join: c.Join,
@@ -47,7 +46,7 @@
 
 type configCommand struct {
 	Check     checkCommand     `cmd:"" help:"Check a settings file."`
-	Reference referenceCommand `cmd:"" help:"Print what may be set, as Markdown."`
+	Reference referenceCommand `cmd:"" help:"Print the reference of all settings as Markdown."`
 }
 
 type checkCommand struct {
@@ -56,7 +55,6 @@
 
 type referenceCommand struct{}
 
-// Run implements the command.
 func (c *referenceCommand) Run() error {
 	reference, err := settings.Reference()
 	if err != nil {
@@ -86,8 +84,8 @@
 }
 
 func main() {
-	var line commandLine
-	parsed := kong.Parse(&line, kong.Name("weldline"), kong.Description("A node of a weldline cluster."))
+	var commands commandLine
+	parsed := kong.Parse(&commands, kong.Name("weldline"), kong.Description("A node of a weldline cluster."))
 	err := parsed.Run()
 	if err == nil {
 		return
