--- a/cmd/weldbench/simulate.go
+++ b/cmd/weldbench/simulate.go
@@ -42,8 +42,8 @@
 		}
 		fmt.Println(string(encoded))
 	}
-	if broken := result.Broken(); broken > 0 {
-		return fault.Refused.New("%d invariants were violated", broken)
+	if violations := result.Broken(); violations > 0 {
+		return fault.Refused.New("%d invariants were violated", violations)
 	}
 	return nil
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -10,16 +10,15 @@
 const (
 	// watchInterval bounds how long Slept lags behind after the machine wakes up.
 	watchInterval = 50 * time.Millisecond
-	// minSleep is the shortest suspend to report. Shorter differences can come from reading the
+	// minSuspend is the shortest suspend to report. Shorter differences can come from reading the
 	// two clocks at different times.
-	minSleep = 100 * time.Millisecond
+	minSuspend = 100 * time.Millisecond
 	// maxReadDuration is the longest duration of a valid reading of both clocks. If the process
 	// is preempted between the two, the difference would look like a suspend.
 	maxReadDuration = 10 * time.Millisecond
 )
 
-// totalSlept is in nanoseconds.
-var totalSlept atomic.Int64
+var totalSuspendedNanos atomic.Int64
 
 // Now returns the time since boot, including suspended time. It is monotonic.
 func Now() time.Duration {
@@ -28,7 +27,7 @@
 
 // Slept returns the total time that the machine was suspended since Watch was started.
 func Slept() time.Duration {
-	return time.Duration(totalSlept.Load())
+	return time.Duration(totalSuspendedNanos.Load())
 }
 
 // detector detects suspends by comparing the boot clock with the monotonic clock.
@@ -39,18 +38,18 @@
 }
 
 // observe adds a reading of both clocks. It returns how long the machine was suspended since the
-// last one, or 0 if that is below minSleep or a clock ran backwards.
+// last one, or 0 if that is below minSuspend or a clock ran backwards.
 func (d *detector) observe(boot, monotonic time.Duration) time.Duration {
 	previous := *d
 	d.started, d.boot, d.monotonic = true, boot, monotonic
 	if !previous.started || boot < previous.boot || monotonic < previous.monotonic {
 		return 0
 	}
-	asleep := (boot - previous.boot) - (monotonic - previous.monotonic)
-	if asleep < minSleep {
+	suspended := (boot - previous.boot) - (monotonic - previous.monotonic)
+	if suspended < minSuspend {
 		return 0
 	}
-	return asleep
+	return suspended
 }
 
 // readClocks reads both clocks. ok is false if the readings are too far apart in time to compare.
@@ -61,17 +60,17 @@
 }
 
 // Watch logs each suspend of the machine and calls onWake after it, until ctx is done.
-func Watch(ctx context.Context, logger *slog.Logger, onWake func(asleep time.Duration)) {
+func Watch(ctx context.Context, logger *slog.Logger, onWake func(suspended time.Duration)) {
 	start := time.Now()
 	suspends := detector{}
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
 		if boot, monotonic, ok := readClocks(start); ok {
-			if asleep := suspends.observe(boot, monotonic); asleep > 0 {
-				totalSlept.Add(int64(asleep))
-				logger.Warn("machine_slept", "slept_ms", asleep.Milliseconds())
-				onWake(asleep)
+			if suspended := suspends.observe(boot, monotonic); suspended > 0 {
+				totalSuspendedNanos.Add(int64(suspended))
+				logger.Warn("machine_slept", "slept_ms", suspended.Milliseconds())
+				onWake(suspended)
 			}
 		}
 		select {
