--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -149,7 +149,7 @@
 
 func (w *watcher) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		revision := w.agent.view.DecidedFor(w.machine)
+		revision := w.agent.view.DecisionRevision(w.machine)
 		delay := w.reconcile(ctx)
 		w.wait(ctx, delay, revision)
 	}
@@ -163,7 +163,7 @@
 	defer timer.Stop()
 	for {
 		changed := w.agent.view.Changed()
-		if w.agent.view.DecidedFor(w.machine) != revision {
+		if w.agent.view.DecisionRevision(w.machine) != revision {
 			return
 		}
 		select {
--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -92,7 +92,7 @@
 	n.counters.reports.Add(int64(len(reports)))
 	urgent := false
 	for _, report := range reports {
-		urgent = n.reports.Take(n.now(), report) || urgent
+		urgent = n.reports.Add(n.now(), report) || urgent
 		n.mergeLimits(report.GetLimits(), "report")
 	}
 	if urgent {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -57,10 +57,10 @@
 	cancel     context.CancelFunc
 	workers    sync.WaitGroup
 	wakeup     chan struct{}
-	registered controller.RegisteredCache
+	registered controller.RegisteredFleetCache
 
 	mutex sync.Mutex
-	core  *orders.Core
+	core  *orders.Planner
 	pacer *orders.Pacer
 	// lastReport is the last report passed to core, by machine.
 	lastReport map[string]reportKey
@@ -76,8 +76,8 @@
 	running, cancel := context.WithCancel(ctx)
 	created := &orderDispatcher{
 		node: node, term: term, startedAt: node.now(), cancel: cancel, wakeup: make(chan struct{}, 1),
-		core: orders.NewCore(pacer), pacer: pacer, lastReport: map[string]reportKey{}, grantExpiry: map[string]time.Duration{},
-		registered: controller.RegisteredCache{Places: node.settings.Position().Map},
+		core: orders.NewPlanner(pacer), pacer: pacer, lastReport: map[string]reportKey{}, grantExpiry: map[string]time.Duration{},
+		registered: controller.RegisteredFleetCache{Places: node.settings.Position().Map},
 	}
 	if node.engines != nil {
 		created.workers.Go(func() { created.run(running) })
@@ -123,14 +123,14 @@
 }
 
 // read returns the registered machines. It holds the state lock only while reading.
-func (d *orderDispatcher) read() *controller.Registered {
-	var registered *controller.Registered
+func (d *orderDispatcher) read() *controller.RegisteredFleet {
+	var registered *controller.RegisteredFleet
 	d.node.Read(func(machine *state.Machine) { registered = d.registered.Read(machine) })
 	return registered
 }
 
 // adoptionWrites returns writes that create records for models that engines hold without one.
-func (d *orderDispatcher) adoptionWrites(registered *controller.Registered) []*wirepb.ObjectWrite {
+func (d *orderDispatcher) adoptionWrites(registered *controller.RegisteredFleet) []*wirepb.ObjectWrite {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return registered.Adopt(d.engineStates())
@@ -149,11 +149,11 @@
 
 // publishReports passes engine reports to placement, and the load rates of weight stores to the
 // pacer.
-func (d *orderDispatcher) publishReports(registered *controller.Registered) {
+func (d *orderDispatcher) publishReports(registered *controller.RegisteredFleet) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, report := range registered.Reports(d.engineStates()) {
-		d.node.reports.TakeMachine(d.node.now(), report)
+		d.node.reports.AddMachine(d.node.now(), report)
 	}
 	d.pacer.Limit(registered.StoreLoadsPerSecond)
 }
@@ -187,12 +187,12 @@
 }
 
 // engineStates returns the current engine states; the mutex must be held.
-func (d *orderDispatcher) engineStates() controller.StateOf {
+func (d *orderDispatcher) engineStates() controller.EngineStateFunc {
 	now := d.node.now()
 	return func(machine string) (orders.State, bool) { return d.core.State(now, machine) }
 }
 
-func (d *orderDispatcher) instancesInput(registered *controller.Registered) instances.Input {
+func (d *orderDispatcher) instancesInput(registered *controller.RegisteredFleet) instances.Input {
 	interval := d.node.settings.Machines.HeartbeatInterval
 	return instances.Input{
 		Unreachable: d.node.reports.Unreachable(d.node.now()), Routers: d.node.reports.Routers(d.node.now()),
@@ -216,7 +216,7 @@
 }
 
 // observeHeartbeats passes new heartbeats to the core.
-func (d *orderDispatcher) observeHeartbeats(registered *controller.Registered) {
+func (d *orderDispatcher) observeHeartbeats(registered *controller.RegisteredFleet) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	listed := map[string]bool{}
@@ -232,7 +232,7 @@
 			continue
 		}
 		d.lastReport[name] = report
-		d.core.Take(d.node.now(), name, reportOf(entry.Report))
+		d.core.AddReport(d.node.now(), name, reportOf(entry.Report))
 	}
 	d.core.Forget(listed)
 }
@@ -279,11 +279,11 @@
 // recordGrants records the grants committed in the log.
 func (n *Node) recordGrants(output member.Output) {
 	if output.Restored {
-		n.grants.Forget(n.now())
+		n.grants.Reset(n.now())
 	}
 	for _, applied := range output.Applied {
 		if grant := applied.Result.GetGrant(); grant != nil {
-			n.grants.Note(n.now(), grant.GetMachines())
+			n.grants.Record(n.now(), grant.GetMachines())
 		}
 	}
 }
@@ -297,7 +297,7 @@
 	}
 	free := d.grantable(names)
 	for position := range wanted {
-		wanted[position].Held = !free[wanted[position].Machine]
+		wanted[position].Blocked = !free[wanted[position].Machine]
 	}
 	d.mutex.Lock()
 	plan := d.core.Plan(d.node.now(), wanted)
@@ -315,10 +315,10 @@
 }
 
 // wanted returns the models that the engines should hold.
-func (d *orderDispatcher) wanted(registered *controller.Registered) []orders.Wanted {
+func (d *orderDispatcher) wanted(registered *controller.RegisteredFleet) []orders.DesiredState {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return registered.Wanted(d.engineStates(), d.node.reports.AdapterDemand(d.node.now()), d.work)
+	return registered.DesiredStates(d.engineStates(), d.node.reports.AdapterDemand(d.node.now()), d.work)
 }
 
 func (d *orderDispatcher) poll(ctx context.Context, machine, endpoint string) {
@@ -335,7 +335,7 @@
 		d.core.PollFailed(d.node.now(), machine)
 		return
 	}
-	d.core.Take(d.node.now(), machine, report)
+	d.core.AddReport(d.node.now(), machine, report)
 	d.node.wakeLeader()
 }
 
--- a/internal/control/fleetorders.go
+++ b/internal/control/fleetorders.go
@@ -50,10 +50,10 @@
 		"adapter", order.Adapter, "expected", order.Expected, "fence", d.term, "outcome", outcome.String(),
 		"took_ms", (d.node.now() - started).Milliseconds())
 	d.mutex.Lock()
-	d.core.Sent(d.node.now(), order, outcome)
+	d.core.RecordOutcome(d.node.now(), order, outcome)
 	d.mutex.Unlock()
 	if order.Adapter != "" {
-		time.AfterFunc(orders.AdapterSettles, d.node.wakeLeader)
+		time.AfterFunc(orders.AdapterLoadTime, d.node.wakeLeader)
 	}
 	d.node.wakeLeader()
 }
@@ -71,7 +71,7 @@
 	now := d.node.now()
 	free := make(map[string]bool, len(machines))
 	for _, name := range machines {
-		free[name] = d.node.grants.Free(now, name, holders[name])
+		free[name] = d.node.grants.MayOrder(now, name, holders[name])
 	}
 	return free
 }
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -31,7 +31,7 @@
 	return instances.NameOf(report.GetMachine(), report.GetStartedMs(), recordsOf(machine))
 }
 
-func recordsOf(machine *state.Machine) instances.Records {
+func recordsOf(machine *state.Machine) instances.RecordLookup {
 	return func(name string) *v1.MachineSpec {
 		spec, _ := machine.Spec(v1.KindMachine, name).(*v1.MachineSpec)
 		return spec
@@ -64,7 +64,7 @@
 	n.Read(func(machine *state.Machine) {
 		record := recordsOf(machine)(newest)
 		earlier = machine.Get(v1.KindMachine, name) == nil && record != nil &&
-			instances.IsBefore(report.GetStartedMs(), record, machine.MachineStatus(newest).Phase)
+			instances.PrecedesActiveStart(report.GetStartedMs(), record, machine.MachineStatus(newest).Phase)
 	})
 	return earlier
 }
@@ -81,7 +81,7 @@
 // checkInstance returns the record name for the machine that a report comes from. It returns an
 // error that names the field if the report can't come from the machine whose ID it carries.
 func (n *Node) checkInstance(report *wirepb.InstanceReport) (name string, err error) {
-	if !instances.IsID(report.GetMachine()) {
+	if !instances.IsValidID(report.GetMachine()) {
 		return "", fault.InvalidField("machine", "%q is not a valid machine ID", report.GetMachine())
 	}
 	n.Read(func(machine *state.Machine) {
@@ -112,7 +112,7 @@
 		n.logger.Warn("report_refused", "machine", report.GetMachine(), "field", fault.FieldOf(err), "error", fault.Message(err))
 		return
 	}
-	if n.instances.Take(n.now(), name, report) {
+	if n.instances.Add(n.now(), name, report) {
 		n.wakeLeader()
 	}
 }
--- a/internal/control/operatorcalls.go
+++ b/internal/control/operatorcalls.go
@@ -13,7 +13,7 @@
 // receiveInstanceReport stores a machine's report; a follower forwards it to the leader.
 func (n *Node) receiveInstanceReport(report *wirepb.InstanceReport) {
 	n.counters.heartbeats.Add(1)
-	report = instances.WithContent(report)
+	report = instances.WithContentHash(report)
 	status := n.status.Load()
 	if status.Leader == status.ID {
 		n.storeInstanceReport(report)
@@ -69,7 +69,7 @@
 }
 
 func (n *Node) recordPhase(ctx context.Context, name string, report *wirepb.InstanceReport, phase v1.MachinePhase) error {
-	command := &wirepb.RegisterCommand{Machine: name, Phase: string(phase), Reason: instances.ReasonSaidSo}
+	command := &wirepb.RegisterCommand{Machine: name, Phase: string(phase), Reason: instances.ReasonAnnounced}
 	if report.GetEndpoint() != "" {
 		if registration := instances.Registration(name, report, nil, n.recordsStarts()); registration != nil {
 			command.Spec = registration.GetSpec()
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	n.logger.Info("machine_"+string(phase), "machine", name, "reason", instances.ReasonSaidSo, "revision", result.GetWrite().GetRevision())
+	n.logger.Info("machine_"+string(phase), "machine", name, "reason", instances.ReasonAnnounced, "revision", result.GetWrite().GetRevision())
 	return nil
 }
 
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -56,7 +56,7 @@
 	unanswered      bool
 	unansweredSince time.Duration
 	digests         *feed.DigestSender
-	instances       *instances.Condenser
+	instances       *instances.Deduplicator
 	nextID          uint64
 	pendingCalls    map[uint64]chan *wirepb.Envelope
 }
@@ -204,7 +204,7 @@
 		return
 	}
 	if l.conn.UnchangedInstances {
-		report = l.instances.Next(report)
+		report = l.instances.Encode(report)
 	}
 	_ = l.conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_InstanceReport{InstanceReport: report}})
 }
@@ -213,7 +213,7 @@
 func (l *peerLink) sendFullReport(machine string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if report := l.instances.Whole(machine); report != nil && l.conn != nil {
+	if report := l.instances.Full(machine); report != nil && l.conn != nil {
 		_ = l.conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_InstanceReport{InstanceReport: report}})
 	}
 }
@@ -245,7 +245,7 @@
 	l.connectedAt = l.node.now()
 	l.unanswered = false
 	l.digests = &feed.DigestSender{}
-	l.instances = instances.NewCondenser()
+	l.instances = instances.NewDeduplicator()
 	l.mutex.Unlock()
 	defer l.detach()
 	for {
@@ -420,7 +420,7 @@
 // receiveForwardedReport handles a machine's report forwarded by another control node, and requests
 // the full report if this node lacks the omitted content.
 func (n *Node) receiveForwardedReport(conn *wire.Conn, report *wirepb.InstanceReport) {
-	if whole, known := n.instances.Complete(n.instanceName(report), report); known {
+	if whole, known := n.instances.Restore(n.instanceName(report), report); known {
 		n.receiveInstanceReport(whole)
 		return
 	}
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -112,7 +112,7 @@
 // replica holds, a replica to load it, and what must go where all places are
 // taken: the adapter that was asked for longest ago. Engines that are left with
 // nothing to do load adapters ahead of demand.
-func (r *Registered) adapterTasks(stateOf StateOf, demand []AdapterDemand, work map[string]float64) map[string][]orders.AdapterTask {
+func (r *RegisteredFleet) adapterTasks(stateOf EngineStateFunc, demand []AdapterDemand, work map[string]float64) map[string][]orders.AdapterTask {
 	lastUsed := map[adapterUse]time.Duration{}
 	for _, entry := range demand {
 		lastUsed[adapterUse{entry.Version, entry.Adapter}] = entry.LastUsed
@@ -160,7 +160,7 @@
 	coming []string
 }
 
-func (r *Registered) adapterPlaces(stateOf StateOf) []*adapterPlace {
+func (r *RegisteredFleet) adapterPlaces(stateOf EngineStateFunc) []*adapterPlace {
 	var places []*adapterPlace
 	for _, name := range r.names() {
 		machine := r.Machines[name]
@@ -176,14 +176,14 @@
 		for _, adapters := range known.Models {
 			place.held += len(adapters)
 		}
-		for _, coming := range known.Coming {
+		for _, coming := range known.LoadingAdapters {
 			place.held += len(coming)
 		}
 		for _, replica := range r.replicas[name] {
 			adapters, held := known.Models[replica.spec.Checkpoint]
 			if held && replica.spec.Phase == v1.ReplicaReady {
 				place.models[replica.spec.Version] = adapterHolder{
-					model: replica.spec.Checkpoint, adapters: adapters, coming: known.Coming[replica.spec.Checkpoint],
+					model: replica.spec.Checkpoint, adapters: adapters, coming: known.LoadingAdapters[replica.spec.Checkpoint],
 				}
 			}
 		}
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -49,11 +49,11 @@
 	drainZone(t, machine, "z", true)
 	waiting := []AdapterDemand{{Version: "red@1", Adapter: "a9", Waiting: 1, LastUsed: time.Minute, Now: time.Minute}}
 	known := orders.State{Models: map[string][]string{"red": {"a1"}}}
-	if tasks := ReadRegistered(machine).adapterTasks(knows(known), waiting, nil); len(tasks) != 0 {
+	if tasks := ReadRegisteredFleet(machine).adapterTasks(knows(known), waiting, nil); len(tasks) != 0 {
 		t.Errorf("with the zone drained: %v", tasks)
 	}
 	drainZone(t, machine, "z", false)
-	if tasks := ReadRegistered(machine).adapterTasks(knows(known), waiting, nil); len(tasks["m"]) != 1 {
+	if tasks := ReadRegisteredFleet(machine).adapterTasks(knows(known), waiting, nil); len(tasks["m"]) != 1 {
 		t.Errorf("after the drain: %v", tasks)
 	}
 }
--- a/internal/controller/loadcrash.go
+++ b/internal/controller/loadcrash.go
@@ -36,7 +36,7 @@
 		}
 		spec := action.Replica.Spec
 		switch {
-		case action.EndedUnderLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonSaidSo:
+		case action.EndedUnderLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonAnnounced:
 			// A planned end.
 		case action.EndedUnderLoad:
 			run := quarantine.Run{
--- a/internal/controller/near_test.go
+++ b/internal/controller/near_test.go
@@ -25,8 +25,8 @@
 		t.Error("a machine that was not heard of in this term gets loads")
 	}
 	known := knows(orders.State{Disk: []string{"blue"}, Memory: []string{"red"}})
-	for _, report := range ReadRegistered(fleetState(t)).Reports(known) {
-		reports.TakeMachine(time.Second, report)
+	for _, report := range ReadRegisteredFleet(fleetState(t)).Reports(known) {
+		reports.AddMachine(time.Second, report)
 	}
 	machine := viewOf(t, reports).placementMachines()["m"]
 	if !machine.Accepts || machine.Tiers["blue"] != placement.TierDisk || machine.Tiers["red"] != placement.TierMemory {
@@ -43,7 +43,7 @@
 	reports := NewReportTable()
 	asked := []*wirepb.ModelDemand{{Version: "red@1", Waiting: 1, Running: 2}}
 	for node, zone := range map[string]string{"a": "z", "b": "y", "c": "nowhere"} {
-		reports.Take(time.Second, &wirepb.NodeReport{Node: node, Zone: zone, Incarnation: 1, Sequence: 1, Router: true, Demand: asked})
+		reports.Add(time.Second, &wirepb.NodeReport{Node: node, Zone: zone, Incarnation: 1, Sequence: 1, Router: true, Demand: asked})
 	}
 	demand := viewOf(t, reports).demand()["red@1"]
 	if demand.Waiting != 3 || len(demand.Regions) != 2 || demand.Regions["north"] != 3 || demand.Regions["south"] != 3 {
--- a/internal/controller/pass_bench_test.go
+++ b/internal/controller/pass_bench_test.go
@@ -78,7 +78,7 @@
 	}
 	reports := NewReportTable()
 	for number := range machines / benchMachinesPerRouter {
-		reports.Take(time.Minute, benchReport(number))
+		reports.Add(time.Minute, benchReport(number))
 	}
 	fleet.controller = New(0, Config{Term: 1, Planner: placement.Config{
 		Speeds: placement.DefaultTierSpeeds, KeepAlive: keepalive.New("resident"),
@@ -140,7 +140,7 @@
 	}
 	f.apply(b, writes)
 	f.controller.Observe(f.state)
-	f.controller.reports.Take(time.Minute, report)
+	f.controller.reports.Add(time.Minute, report)
 }
 
 // BenchmarkDecideWaiting is a pass while requests wait for versions of which nothing is loaded,
@@ -150,8 +150,8 @@
 		for _, waiting := range []int{10, 100, 200} {
 			fleet := newBenchFleet(b, machines)
 			fleet.wait(b, waiting)
-			for _, report := range ReadRegistered(fleet.state).Reports(fleet.stateOf) {
-				fleet.controller.reports.TakeMachine(time.Minute, report)
+			for _, report := range ReadRegisteredFleet(fleet.state).Reports(fleet.stateOf) {
+				fleet.controller.reports.AddMachine(time.Minute, report)
 			}
 			b.Run(fmt.Sprintf("machines=%d/waiting=%d", machines, waiting), func(b *testing.B) {
 				b.ReportAllocs()
@@ -169,23 +169,25 @@
 func BenchmarkPass(b *testing.B) {
 	for _, machines := range []int{300, 1000, 3000, 10_000} {
 		fleet := newBenchFleet(b, machines)
-		registered := ReadRegistered(fleet.state)
+		registered := ReadRegisteredFleet(fleet.state)
 		reports := fleet.controller.reports
 		parts := []struct {
 			name string
 			run  func()
 		}{
 			{"read-state", func() { readState(fleet.state) }},
-			{"read-registered", func() { ReadRegistered(fleet.state) }},
+			{"read-registered", func() { ReadRegisteredFleet(fleet.state) }},
 			{"machine-writes", func() { fleet.controller.MachineWrites(time.Minute, nil) }},
 			{"adopt", func() { registered.Adopt(fleet.stateOf) }},
 			{"reports", func() {
 				for _, report := range registered.Reports(fleet.stateOf) {
-					reports.TakeMachine(time.Minute, report)
+					reports.AddMachine(time.Minute, report)
 				}
 			}},
 			{"decide", func() { fleet.controller.DecideReplicas(time.Minute, time.Unix(60, 0)) }},
-			{"wanted", func() { registered.Wanted(fleet.stateOf, reports.AdapterDemand(time.Minute), fleet.controller.Work()) }},
+			{"wanted", func() {
+				registered.DesiredStates(fleet.stateOf, reports.AdapterDemand(time.Minute), fleet.controller.Work())
+			}},
 			{"digest", func() {
 				fleet.controller.lastDigest = 0
 				fleet.controller.Digest(time.Minute, 1)
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -50,7 +50,7 @@
 // prefetchTasks chooses at most one adapter for each engine that has free places and
 // nothing on its way: adapters that no replica of their version holds, first those that
 // were asked for lately, then those of the versions with the most work.
-func (r *Registered) prefetchTasks(places []*adapterPlace, lastUsed map[adapterUse]time.Duration, work map[string]float64) map[string]orders.AdapterTask {
+func (r *RegisteredFleet) prefetchTasks(places []*adapterPlace, lastUsed map[adapterUse]time.Duration, work map[string]float64) map[string]orders.AdapterTask {
 	open := openPlaces(places)
 	if len(open) == 0 {
 		return nil
@@ -74,7 +74,7 @@
 
 // missingAdapters lists the declared adapters that no ready replica of their version
 // holds or loads, the most wanted first, and counts all that are on their way.
-func (r *Registered) missingAdapters(places []*adapterPlace, lastUsed map[adapterUse]time.Duration, work map[string]float64) (missing []prefetch, onTheirWay int) {
+func (r *RegisteredFleet) missingAdapters(places []*adapterPlace, lastUsed map[adapterUse]time.Duration, work map[string]float64) (missing []prefetch, onTheirWay int) {
 	present := map[string]map[string]bool{}
 	for _, place := range places {
 		for version, holder := range place.models {
--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -20,7 +20,7 @@
 		taken.Demand = append(taken.Demand, &wirepb.ModelDemand{
 			Version: "v", Regions: regions, Arrivals: 3, Waiting: 2, Running: 1, OldestWaitMs: 500, Priority: 9,
 		})
-		table.Take(received, taken)
+		table.Add(received, taken)
 	}
 	take("one", 10*time.Second, "b", "a")
 	take("two", 9*time.Second, "a", "b")
@@ -62,7 +62,7 @@
 func TestAdapterGoesWhereItsRequestsMayBeServed(t *testing.T) {
 	const now = time.Minute
 	table := NewReportTable()
-	table.Take(now, &wirepb.NodeReport{Node: "one", Incarnation: 1, Sequence: 1, Demand: []*wirepb.ModelDemand{
+	table.Add(now, &wirepb.NodeReport{Node: "one", Incarnation: 1, Sequence: 1, Demand: []*wirepb.ModelDemand{
 		{Version: "red@1", Adapter: "x", Waiting: 2, OldestWaitMs: 100},
 		{Version: "red@1", Adapter: "x", Waiting: 1, OldestWaitMs: 100, Regions: []string{"b"}},
 		{Version: "red@1", Adapter: "y", Waiting: 3, OldestWaitMs: 50},
@@ -94,7 +94,7 @@
 
 // TestAdapterPlacesStandInRegions: by the table that the cache was given.
 func TestAdapterPlacesStandInRegions(t *testing.T) {
-	cache := RegisteredCache{Places: places.NewMap(map[string]string{"z": "a"})}
+	cache := RegisteredFleetCache{Places: places.NewMap(map[string]string{"z": "a"})}
 	known := orders.State{Models: map[string][]string{"red": {}}}
 	found := cache.Read(fleetState(t)).adapterPlaces(func(string) (orders.State, bool) { return known, true })
 	if len(found) != 1 || found[0].region != "a" {
--- a/internal/controller/registered.go
+++ b/internal/controller/registered.go
@@ -23,9 +23,9 @@
 	TierDisk   = string(placement.TierDisk)
 )
 
-// Registered is what the state holds of machines that registered by
+// RegisteredFleet is what the state holds of machines that registered by
 // themselves.
-type Registered struct {
+type RegisteredFleet struct {
 	Machines map[string]instances.Declared
 	Pools    map[string]*v1.PoolSpec
 	// StoreLoadsPerSecond is the rate that the weight stores admit.
@@ -53,12 +53,12 @@
 	spec *v1.ModelVersionSpec
 }
 
-// StateOf tells what an engine holds; false if nothing is known.
-type StateOf func(machine string) (orders.State, bool)
+// EngineStateFunc tells what an engine holds; false if nothing is known.
+type EngineStateFunc func(machine string) (orders.State, bool)
 
-// ReadRegistered reads the state. The caller must hold it.
-func ReadRegistered(machine *state.Machine) *Registered {
-	registered := &Registered{
+// ReadRegisteredFleet reads the state. The caller must hold it.
+func ReadRegisteredFleet(machine *state.Machine) *RegisteredFleet {
+	registered := &RegisteredFleet{
 		Machines: map[string]instances.Declared{}, Pools: map[string]*v1.PoolSpec{}, revision: machine.Revision(),
 		versions: map[versionKey]declaredVersion{}, replicas: map[string][]storedReplica{}, drained: map[string]bool{},
 	}
@@ -68,27 +68,27 @@
 	return registered
 }
 
-// RegisteredCache reads the state once for each revision of it. Every change of
+// RegisteredFleetCache reads the state once for each revision of it. Every change of
 // an object has a revision of its own, and what was read is never written to.
-type RegisteredCache struct {
+type RegisteredFleetCache struct {
 	// Places tells in which regions machines stand.
 	Places places.Map
 	mutex  sync.Mutex
-	held   *Registered
+	held   *RegisteredFleet
 }
 
-// Read is ReadRegistered, read anew only where the revision is another.
-func (c *RegisteredCache) Read(machine *state.Machine) *Registered {
+// Read is ReadRegisteredFleet, read anew only where the revision is another.
+func (c *RegisteredFleetCache) Read(machine *state.Machine) *RegisteredFleet {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.held == nil || c.held.revision != machine.Revision() {
-		c.held = ReadRegistered(machine)
+		c.held = ReadRegisteredFleet(machine)
 		c.held.places = c.Places
 	}
 	return c.held
 }
 
-func (r *Registered) add(object *wirepb.Object, spec v1.Spec, status v1.MachineStatus) {
+func (r *RegisteredFleet) add(object *wirepb.Object, spec v1.Spec, status v1.MachineStatus) {
 	switch typed := spec.(type) {
 	case *v1.MachineSpec:
 		if typed.Pool != "" {
@@ -110,7 +110,7 @@
 
 // names returns the machines with engines that are not gone, sorted. They are listed once for what was
 // read: each part of a pass goes through them.
-func (r *Registered) names() []string {
+func (r *RegisteredFleet) names() []string {
 	r.listEngines.Do(func() {
 		for name, machine := range r.Machines {
 			if machine.Status.Phase != v1.MachineGone && machine.Spec.Accelerators > 0 {
@@ -124,7 +124,7 @@
 
 // Adopt returns the writes that make records of what engines hold without one. A machine
 // holds models before anything was decided; they are used, not unloaded.
-func (r *Registered) Adopt(stateOf StateOf) []*wirepb.ObjectWrite {
+func (r *RegisteredFleet) Adopt(stateOf EngineStateFunc) []*wirepb.ObjectWrite {
 	var writes []*wirepb.ObjectWrite
 	for _, name := range r.names() {
 		known, heard := stateOf(name)
@@ -140,7 +140,7 @@
 	return writes
 }
 
-func (r *Registered) adoptModel(machine, model string, adapters []string) *wirepb.ObjectWrite {
+func (r *RegisteredFleet) adoptModel(machine, model string, adapters []string) *wirepb.ObjectWrite {
 	if r.hasRecord(machine, model) {
 		return nil
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-func (r *Registered) hasRecord(machine, model string) bool {
+func (r *RegisteredFleet) hasRecord(machine, model string) bool {
 	return slices.ContainsFunc(r.replicas[machine], func(replica storedReplica) bool { return replica.spec.Checkpoint == model })
 }
 
@@ -181,7 +181,7 @@
 // decisions: with voters in several regions a commit takes tens of milliseconds, and adapters
 // come and go many times a second. A record that is written to anyway is left for the next
 // time, since the two writes would name different revisions of it.
-func (r *Registered) WithAdapters(writes []*wirepb.ObjectWrite, stateOf StateOf) []*wirepb.ObjectWrite {
+func (r *RegisteredFleet) WithAdapters(writes []*wirepb.ObjectWrite, stateOf EngineStateFunc) []*wirepb.ObjectWrite {
 	written := make(map[string]bool, len(writes))
 	for _, write := range writes {
 		written[write.GetObject().GetName()] = true
@@ -220,7 +220,7 @@
 }
 
 // Reports returns what engines hold as the reports that placement reads.
-func (r *Registered) Reports(stateOf StateOf) []*wirepb.MachineReport {
+func (r *RegisteredFleet) Reports(stateOf EngineStateFunc) []*wirepb.MachineReport {
 	var reports []*wirepb.MachineReport
 	for _, name := range r.names() {
 		known, heard := stateOf(name)
@@ -232,7 +232,7 @@
 	return reports
 }
 
-func (r *Registered) report(machine string, known orders.State) *wirepb.MachineReport {
+func (r *RegisteredFleet) report(machine string, known orders.State) *wirepb.MachineReport {
 	report := &wirepb.MachineReport{Machine: machine, Incarnation: state.RegisteredIncarnation, Reachable: true, Fence: r.revision}
 	for _, replica := range r.replicas[machine] {
 		_, held := known.Models[replica.spec.Checkpoint]
@@ -260,17 +260,17 @@
 	return report
 }
 
-// Wanted returns what the engines of live machines should hold. Work is the rate
+// DesiredStates returns what the engines of live machines should hold. Work is the rate
 // of work by version: what serves most is loaded first.
-func (r *Registered) Wanted(stateOf StateOf, demand []AdapterDemand, work map[string]float64) []orders.Wanted {
-	var wanted []orders.Wanted
+func (r *RegisteredFleet) DesiredStates(stateOf EngineStateFunc, demand []AdapterDemand, work map[string]float64) []orders.DesiredState {
+	var wanted []orders.DesiredState
 	adapters := r.adapterTasks(stateOf, demand, work)
 	for _, name := range r.names() {
 		machine := r.Machines[name]
 		if machine.Status.Phase != v1.MachineLive {
 			continue
 		}
-		entry := orders.Wanted{Machine: name, Endpoint: machine.Spec.Endpoint, Adapters: adapters[name]}
+		entry := orders.DesiredState{Machine: name, Endpoint: machine.Spec.Endpoint, Adapters: adapters[name]}
 		for _, replica := range sortedReplicas(r.changing(name)) {
 			task := orders.Task{
 				Model: replica.spec.Checkpoint, FromStore: replica.spec.Tier == string(placement.TierRemote),
@@ -290,7 +290,7 @@
 
 // changing returns the replicas of a machine that are being loaded or unloaded: few, of many that are
 // ready.
-func (r *Registered) changing(machine string) []storedReplica {
+func (r *RegisteredFleet) changing(machine string) []storedReplica {
 	var found []storedReplica
 	for _, replica := range r.replicas[machine] {
 		if replica.spec.Phase == v1.ReplicaLoading || replica.spec.Phase == v1.ReplicaUnloading {
--- a/internal/controller/registered_test.go
+++ b/internal/controller/registered_test.go
@@ -59,7 +59,7 @@
 	return machine
 }
 
-func knows(known orders.State) StateOf {
+func knows(known orders.State) EngineStateFunc {
 	return func(string) (orders.State, bool) { return known, true }
 }
 
@@ -67,7 +67,7 @@
 // from before a load had been done. It took the model to be gone, freed its
 // room, and ordered another into it.
 func TestEarlyReportDoesNotUnload(t *testing.T) {
-	registered := ReadRegistered(fleetState(t))
+	registered := ReadRegisteredFleet(fleetState(t))
 	tests := []struct {
 		name  string
 		known orders.State
@@ -91,7 +91,7 @@
 // TestAdoption: what an engine holds gets a record, room or not; what has one
 // gets no second; what nobody declared is left alone.
 func TestAdoption(t *testing.T) {
-	registered := ReadRegistered(fleetState(t))
+	registered := ReadRegisteredFleet(fleetState(t))
 	writes := registered.Adopt(knows(orders.State{Models: map[string][]string{"red": nil, "blue": {"a1"}, "unknown": nil}}))
 	if len(writes) != 1 {
 		t.Fatalf("%d writes: %v", len(writes), writes)
@@ -131,19 +131,19 @@
 	}{
 		{"room", orders.State{Models: map[string][]string{"red": {"a1"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a9"}}},
 		{"held", orders.State{Models: map[string][]string{"red": {"a9"}}}, nil},
-		{"on its way", orders.State{Models: map[string][]string{"red": nil}, Coming: map[string][]string{"red": {"a9"}}}, nil},
+		{"on its way", orders.State{Models: map[string][]string{"red": nil}, LoadingAdapters: map[string][]string{"red": {"a9"}}}, nil},
 		{"full", orders.State{Models: map[string][]string{"red": {"a1", "a2"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a1", Drop: true}}},
 		{
 			"full with what is on its way",
-			orders.State{Models: map[string][]string{"red": {"a2"}}, Coming: map[string][]string{"red": {"a3"}}},
+			orders.State{Models: map[string][]string{"red": {"a2"}}, LoadingAdapters: map[string][]string{"red": {"a3"}}},
 			[]orders.AdapterTask{{Model: "red", Adapter: "a2", Drop: true}},
 		},
 		{"full with one in use", orders.State{Models: map[string][]string{"red": {"a7", "a2"}}}, []orders.AdapterTask{{Model: "red", Adapter: "a2", Drop: true}}},
-		{"full with what is in use", orders.State{Models: map[string][]string{"red": {"a7"}}, Coming: map[string][]string{"red": {"a3"}}}, nil},
+		{"full with what is in use", orders.State{Models: map[string][]string{"red": {"a7"}}, LoadingAdapters: map[string][]string{"red": {"a3"}}}, nil},
 		{"not held", orders.State{Models: map[string][]string{}}, nil},
 	}
 	for _, test := range tests {
-		registered := ReadRegistered(fleetState(t))
+		registered := ReadRegisteredFleet(fleetState(t))
 		tasks := registered.adapterTasks(knows(test.known), waiting, nil)["m"]
 		if len(tasks) != len(test.tasks) || len(tasks) == 1 && tasks[0] != test.tasks[0] {
 			t.Errorf("%s: %v, wanted %v", test.name, tasks, test.tasks)
@@ -154,7 +154,7 @@
 // TestCacheFollowsRevisions: the state is read once for a revision, and what a
 // new one changed is seen at once.
 func TestCacheFollowsRevisions(t *testing.T) {
-	machine, cache := fleetState(t), RegisteredCache{}
+	machine, cache := fleetState(t), RegisteredFleetCache{}
 	first := cache.Read(machine)
 	if cache.Read(machine) != first {
 		t.Error("the same revision was read twice")
@@ -178,8 +178,8 @@
 
 // prefetchFleet is two engines with places for five adapters each; both hold "red", one
 // holds "blue" too.
-func prefetchFleet(adapters map[string][]string) (*Registered, []*adapterPlace) {
-	registered := &Registered{versions: map[versionKey]declaredVersion{}}
+func prefetchFleet(adapters map[string][]string) (*RegisteredFleet, []*adapterPlace) {
+	registered := &RegisteredFleet{versions: map[versionKey]declaredVersion{}}
 	for model, names := range adapters {
 		registered.versions[versionKey{"pool", model}] = declaredVersion{name: model + "@1", spec: &v1.ModelVersionSpec{Adapters: names}}
 	}
@@ -230,7 +230,7 @@
 		for number := range engines / 10 {
 			adapters = append(adapters, "a"+strconv.Itoa(number))
 		}
-		registered := &Registered{versions: map[versionKey]declaredVersion{
+		registered := &RegisteredFleet{versions: map[versionKey]declaredVersion{
 			{"pool", "red"}: {name: "red@1", spec: &v1.ModelVersionSpec{Adapters: adapters}},
 		}}
 		var places []*adapterPlace
@@ -279,7 +279,7 @@
 // TestAdaptersShareACommit: the decisions of a pass wait for no commit of changed adapters.
 func TestAdaptersShareACommit(t *testing.T) {
 	machine := fleetState(t)
-	registered := ReadRegistered(machine)
+	registered := ReadRegisteredFleet(machine)
 	held := knows(orders.State{Models: map[string][]string{"red": {"a1"}}})
 	if writes := registered.Adopt(held); len(writes) != 0 {
 		t.Errorf("adapters of a known replica are written apart: %v", writes)
@@ -296,7 +296,7 @@
 	if result := machine.Apply(data); result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
 		t.Error(result.GetMessage())
 	}
-	if writes = ReadRegistered(machine).WithAdapters(nil, held); len(writes) != 0 {
+	if writes = ReadRegisteredFleet(machine).WithAdapters(nil, held); len(writes) != 0 {
 		t.Errorf("written again: %v", writes)
 	}
 }
@@ -304,7 +304,7 @@
 // TestAdaptersWaitForTheDecision: two writes to one record would name the same revision of it,
 // and the log would refuse all writes of the pass.
 func TestAdaptersWaitForTheDecision(t *testing.T) {
-	registered := ReadRegistered(fleetState(t))
+	registered := ReadRegisteredFleet(fleetState(t))
 	unload := &wirepb.ObjectWrite{Object: &wirepb.Object{Kind: string(v1.KindReplica), Name: "record"}}
 	writes := registered.WithAdapters([]*wirepb.ObjectWrite{unload}, knows(orders.State{Models: map[string][]string{"red": {"a1"}}}))
 	if len(writes) != 1 {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// Take keeps a report unless a newer one is held. It returns whether the
+// Add keeps a report unless a newer one is held. It returns whether the
 // leader should look at once.
-func (t *ReportTable) Take(now time.Duration, report *wirepb.NodeReport) bool {
+func (t *ReportTable) Add(now time.Duration, report *wirepb.NodeReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	held := t.nodes[report.GetNode()].report
@@ -181,9 +181,9 @@
 	return changed
 }
 
-// TakeMachine keeps a report on a machine that the leader itself looked at. It
+// AddMachine keeps a report on a machine that the leader itself looked at. It
 // returns whether the controllers should look at once.
-func (t *ReportTable) TakeMachine(now time.Duration, report *wirepb.MachineReport) bool {
+func (t *ReportTable) AddMachine(now time.Duration, report *wirepb.MachineReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.takeMachine(report, now)
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -30,7 +30,7 @@
 		{report("a", 2, 1, 1), 12}, // The node started anew.
 		{report("a", 1, 9, 50), 12},
 	} {
-		table.Take(0, step.report)
+		table.Add(0, step.report)
 		if total := table.arrivalCounts()["v"]; total.arrivals != step.total {
 			t.Errorf("after %v: %d arrivals, expected %d", step.report, total, step.total)
 		}
@@ -51,7 +51,7 @@
 	} {
 		taken := report("a", step.incarnation, step.sequence, step.arrivals)
 		taken.Demand[0].Work = step.work
-		table.Take(0, taken)
+		table.Add(0, taken)
 		if total := table.arrivalCounts()["v"].work; total != step.total {
 			t.Errorf("after %v: work %d, expected %d", taken, total, step.total)
 		}
@@ -63,14 +63,14 @@
 	table := NewReportTable()
 	fresh := &wirepb.MachineReport{Machine: "m", Reachable: true, Incarnation: 2}
 	stale := &wirepb.MachineReport{Machine: "m", Reachable: true, Incarnation: 1, AgeMs: 5000}
-	table.Take(10*time.Second, report("a", 1, 1, 0, fresh))
-	table.Take(10*time.Second, report("b", 1, 1, 0, stale))
+	table.Add(10*time.Second, report("a", 1, 1, 0, fresh))
+	table.Add(10*time.Second, report("b", 1, 1, 0, stale))
 	_, machines := table.snapshot(10 * time.Second)
 	if incarnation := machines["m"].report.GetIncarnation(); incarnation != 2 {
 		t.Errorf("incarnation %d", incarnation)
 	}
 	silent := &wirepb.MachineReport{Machine: "m"}
-	table.Take(20*time.Second, report("a", 1, 2, 0, silent))
+	table.Add(20*time.Second, report("a", 1, 2, 0, silent))
 	_, machines = table.snapshot(20 * time.Second)
 	if held := machines["m"]; held.report.GetIncarnation() != 2 || held.lastReachable != 10*time.Second {
 		t.Errorf("a report without an answer replaced what the engine had said: %+v", held)
@@ -80,7 +80,7 @@
 // TestForgetsWhoIsLongGone bounds the tables.
 func TestForgetsWhoIsLongGone(t *testing.T) {
 	table := NewReportTable()
-	table.Take(0, report("a", 1, 1, 0, &wirepb.MachineReport{Machine: "m", Reachable: true}))
+	table.Add(0, report("a", 1, 1, 0, &wirepb.MachineReport{Machine: "m", Reachable: true}))
 	if nodes, machines := table.snapshot(forgetAfter); len(nodes) != 1 || len(machines) != 1 {
 		t.Errorf("forgotten too soon: %v, %v", nodes, machines)
 	}
@@ -98,7 +98,7 @@
 	table := NewReportTable()
 	now := time.Second
 	report := func(node string, incarnation, sequence, answered, errors uint64) {
-		table.Take(now, &wirepb.NodeReport{
+		table.Add(now, &wirepb.NodeReport{
 			Node: node, Incarnation: incarnation, Sequence: sequence, Router: true,
 			Answers: []*wirepb.MachineAnswers{{Machine: "m", Answered: answered, Errors: errors}},
 		})
--- a/internal/controller/roster_test.go
+++ b/internal/controller/roster_test.go
@@ -49,7 +49,7 @@
 		var digest *wirepb.ClusterDigest
 		for number := range 5 {
 			now := time.Duration(number+1) * digestInterval
-			reports.Take(now, &wirepb.NodeReport{Node: "node-" + strconv.Itoa(number), Incarnation: 1, Sequence: 1, Router: true})
+			reports.Add(now, &wirepb.NodeReport{Node: "node-" + strconv.Itoa(number), Incarnation: 1, Sequence: 1, Router: true})
 			digest = controller.Digest(now, 1)
 			rosters[digest.GetRosterSequence()] = true
 		}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -127,7 +127,7 @@
 	observed := make(map[string]machines.Observation, len(reports))
 	for name, entry := range reports {
 		observed[name] = machines.Observation{
-			Seen: true, Incarnation: entry.report.GetIncarnation(), SilentFor: now - entry.lastReachable,
+			Reported: true, Incarnation: entry.report.GetIncarnation(), SilentFor: now - entry.lastReachable,
 		}
 	}
 	return observed
--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -161,7 +161,7 @@
 func (w *Watcher) look(ctx context.Context, run quarantine.Run) quarantine.Sign {
 	sign := quarantine.Sign{}
 	if known, isKnown := w.options.View.Machine(run.Machine); isKnown {
-		sign.Replaced = w.options.View.Replaced(run.Machine, known.Spec.Endpoint) ||
+		sign.Replaced = w.options.View.IsReplaced(run.Machine, known.Spec.Endpoint) ||
 			quarantine.LifeOf(run.Machine, known.Status.Incarnation) != run.Life
 		sign.Leaving = known.Status.Phase == v1.MachineLeaving || known.Status.Phase == v1.MachineGone
 	}
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -227,7 +227,7 @@
 // take keeps a router's report. It reports whether the leader should act on it at once.
 func (c *controlNode) take(report *wirepb.NodeReport) (urgent bool) {
 	c.mergeLimits(report.GetLimits())
-	return c.reports.Take(c.clock(), report)
+	return c.reports.Add(c.clock(), report)
 }
 
 // pass runs the controllers, as the leader's loop does. The next pass waits
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -29,7 +29,7 @@
 	sequence    uint64
 	requests    uint64
 	view        *nodeview.View
-	news        *nodeview.DemandNews
+	news        *nodeview.DemandReporter
 	core        *dispatch.Core
 	waiting     map[uint64]*inference
 	watches     map[string]*machineWatch
@@ -68,7 +68,7 @@
 	r.incarnation++
 	r.sequence = 0
 	r.view = nodeview.New()
-	r.news = nodeview.NewDemandNews()
+	r.news = nodeview.NewDemandReporter()
 	r.core = dispatch.New(dispatch.Config{MaxWaiting: maxWaiting})
 	r.waiting = map[uint64]*inference{}
 	r.watches = map[string]*machineWatch{}
--- a/internal/feed/subsets.go
+++ b/internal/feed/subsets.go
@@ -138,7 +138,7 @@
 	raised := false
 	for _, demand := range demands {
 		if demand.GetWaiting() > 0 {
-			raised = w.chosen.Raise(demand.GetVersion(), demand.GetAdapter()) || raised
+			raised = w.chosen.RaiseLimits(demand.GetVersion(), demand.GetAdapter()) || raised
 		}
 	}
 	if !raised {
--- a/internal/ingress/warming.go
+++ b/internal/ingress/warming.go
@@ -39,7 +39,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.options.Now()
-	g.options.View.EachThatMayWarmUp(func(machine string, changed uint64) {
+	g.options.View.EachWarmUpCandidate(func(machine string, changed uint64) {
 		if g.state.Warms(now, machine, changed) {
 			found[machine] = true
 		}
--- a/internal/instances/condense.go
+++ b/internal/instances/condense.go
@@ -11,9 +11,9 @@
 // node hears of. Beyond, it begins anew, and the next reports go out whole.
 const maxCondensed = 4096
 
-// WithContent returns a report with the hash of its content. It is the report itself where that
+// WithContentHash returns a report with the hash of its content. It is the report itself where that
 // has one.
-func WithContent(report *wirepb.InstanceReport) *wirepb.InstanceReport {
+func WithContentHash(report *wirepb.InstanceReport) *wirepb.InstanceReport {
 	if report.GetContent() != 0 {
 		return report
 	}
@@ -28,21 +28,21 @@
 	return hashed
 }
 
-// Condenser leaves out of reports what the receiver at the other end of a connection has been
+// Deduplicator leaves out of reports what the receiver at the other end of a connection has been
 // sent: machines say every second or so that they are there, and seldom anything new about what
 // they hold. It belongs to one connection and is not safe for concurrent use.
-type Condenser struct {
+type Deduplicator struct {
 	// sent holds, by machine, the newest report; its content has been sent whole.
 	sent map[string]*wirepb.InstanceReport
 }
 
-// NewCondenser returns a Condenser of a new connection.
-func NewCondenser() *Condenser {
-	return &Condenser{sent: map[string]*wirepb.InstanceReport{}}
+// NewDeduplicator returns a Condenser of a new connection.
+func NewDeduplicator() *Deduplicator {
+	return &Deduplicator{sent: map[string]*wirepb.InstanceReport{}}
 }
 
-// Next returns a report as it is sent next.
-func (c *Condenser) Next(report *wirepb.InstanceReport) *wirepb.InstanceReport {
+// Encode returns a report as it is sent next.
+func (c *Deduplicator) Encode(report *wirepb.InstanceReport) *wirepb.InstanceReport {
 	last, known := c.sent[report.GetMachine()]
 	if !known && len(c.sent) >= maxCondensed {
 		clear(c.sent)
@@ -57,15 +57,15 @@
 	return report
 }
 
-// Whole returns a machine's newest report with all that it holds; nil if there is none.
-func (c *Condenser) Whole(machine string) *wirepb.InstanceReport {
+// Full returns a machine's newest report with all that it holds; nil if there is none.
+func (c *Deduplicator) Full(machine string) *wirepb.InstanceReport {
 	return c.sent[machine]
 }
 
-// Complete returns a report with what was left out of it, by the name of the machine's record; whole
+// Restore returns a report with what was left out of it, by the name of the machine's record; whole
 // is false where the table does not hold that. What it holds of another content, by way of another
 // control node, is no stand-in.
-func (t *Table) Complete(name string, report *wirepb.InstanceReport) (completed *wirepb.InstanceReport, whole bool) {
+func (t *Table) Restore(name string, report *wirepb.InstanceReport) (completed *wirepb.InstanceReport, whole bool) {
 	if !report.GetUnchanged() {
 		return report, true
 	}
--- a/internal/instances/condense_test.go
+++ b/internal/instances/condense_test.go
@@ -26,25 +26,25 @@
 
 // TestUnchangedReportsAreShort and mean the same.
 func TestUnchangedReportsAreShort(t *testing.T) {
-	sender, table := NewCondenser(), NewTable()
+	sender, table := NewDeduplicator(), NewTable()
 	for sequence := uint64(1); sequence <= 10; sequence++ {
-		report := WithContent(heartbeatOf(sequence, 5))
-		sent := sender.Next(report)
+		report := WithContentHash(heartbeatOf(sequence, 5))
+		sent := sender.Encode(report)
 		if sequence > 1 && proto.Size(sent) > 50 {
 			t.Errorf("report %d, without news, takes %d bytes of %d", sequence, proto.Size(sent), proto.Size(report))
 		}
-		completed, whole := table.Complete("m", sent)
+		completed, whole := table.Restore("m", sent)
 		if !whole || !proto.Equal(completed, report) {
 			t.Fatalf("report %d came as %v", sequence, completed)
 		}
-		table.Take(time.Duration(sequence), "m", completed)
+		table.Add(time.Duration(sequence), "m", completed)
 	}
-	if other := WithContent(heartbeatOf(11, 4)); sender.Next(other) != other {
+	if other := WithContentHash(heartbeatOf(11, 4)); sender.Encode(other) != other {
 		t.Error("a report with news is not whole")
 	}
 	leaving := heartbeatOf(12, 4)
 	leaving.Leaving = true
-	if leaving = WithContent(leaving); sender.Next(leaving) != leaving {
+	if leaving = WithContentHash(leaving); sender.Encode(leaving) != leaving {
 		t.Error("a machine that leaves is no news")
 	}
 }
@@ -52,22 +52,22 @@
 // TestNoOtherContentStandsIn: the table may hold what came by way of another control node, or
 // nothing.
 func TestNoOtherContentStandsIn(t *testing.T) {
-	sender, table := NewCondenser(), NewTable()
-	sender.Next(WithContent(heartbeatOf(1, 2)))
-	short := sender.Next(WithContent(heartbeatOf(2, 2)))
-	if completed, whole := table.Complete("m", short); whole {
+	sender, table := NewDeduplicator(), NewTable()
+	sender.Encode(WithContentHash(heartbeatOf(1, 2)))
+	short := sender.Encode(WithContentHash(heartbeatOf(2, 2)))
+	if completed, whole := table.Restore("m", short); whole {
 		t.Errorf("completed from nothing: %v", completed)
 	}
-	table.Take(0, "m", WithContent(heartbeatOf(1, 3)))
-	if completed, whole := table.Complete("m", short); whole {
+	table.Add(0, "m", WithContentHash(heartbeatOf(1, 3)))
+	if completed, whole := table.Restore("m", short); whole {
 		t.Errorf("completed from another content: %v", completed)
 	}
-	whole := sender.Whole("m")
+	whole := sender.Full("m")
 	if whole.GetSequence() != 2 || len(whole.GetModels()) != 2 {
 		t.Errorf("the whole report is %v", whole)
 	}
-	table.Take(0, "m", whole)
-	if _, held := table.Complete("m", sender.Next(WithContent(heartbeatOf(3, 2)))); !held {
+	table.Add(0, "m", whole)
+	if _, held := table.Restore("m", sender.Encode(WithContentHash(heartbeatOf(3, 2)))); !held {
 		t.Error("still lacking after the whole report")
 	}
 }
@@ -79,7 +79,7 @@
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		table, models := NewTable(), 1
-		senders := []*Condenser{NewCondenser(), NewCondenser(), NewCondenser()}
+		senders := []*Deduplicator{NewDeduplicator(), NewDeduplicator(), NewDeduplicator()}
 		for sequence := uint64(1); sequence <= 200; sequence++ {
 			if random.IntN(5) == 0 {
 				models = 1 + random.IntN(3)
@@ -87,20 +87,20 @@
 			way := random.IntN(len(senders))
 			switch random.IntN(20) {
 			case 0:
-				senders[way] = NewCondenser()
+				senders[way] = NewDeduplicator()
 			case 1:
 				table = NewTable()
 			}
-			report := WithContent(heartbeatOf(sequence, models))
-			sent := senders[way].Next(report)
-			completed, whole := table.Complete("m", sent)
+			report := WithContentHash(heartbeatOf(sequence, models))
+			sent := senders[way].Encode(report)
+			completed, whole := table.Restore("m", sent)
 			if !whole {
-				completed, whole = table.Complete("m", senders[way].Whole("m"))
+				completed, whole = table.Restore("m", senders[way].Full("m"))
 			}
 			if !whole {
 				t.Fatalf("seed %d: report %d is not whole when asked for", seed, sequence)
 			}
-			table.Take(time.Duration(sequence), "m", completed)
+			table.Add(time.Duration(sequence), "m", completed)
 			if held := table.Entries()["m"].Report; !proto.Equal(held, report) {
 				t.Fatalf("seed %d: the leader holds %v, the machine said %v", seed, held, report)
 			}
@@ -110,11 +110,11 @@
 
 // TestCondenserIsBounded where machines come and go.
 func TestCondenserIsBounded(t *testing.T) {
-	sender := NewCondenser()
+	sender := NewDeduplicator()
 	for number := range 3 * maxCondensed {
 		report := heartbeatOf(1, 0)
 		report.Machine = fmt.Sprint("m", number)
-		sender.Next(report)
+		sender.Encode(report)
 		if len(sender.sent) > maxCondensed {
 			t.Fatalf("%d machines are remembered", len(sender.sent))
 		}
@@ -132,10 +132,10 @@
 			t.Errorf("the report has no %s; fill it in here", name)
 		}
 	}
-	sender, table := NewCondenser(), NewTable()
-	report = WithContent(report)
-	table.Take(0, "m", sender.Next(report))
-	completed, whole := table.Complete("m", sender.Next(report))
+	sender, table := NewDeduplicator(), NewTable()
+	report = WithContentHash(report)
+	table.Add(0, "m", sender.Encode(report))
+	completed, whole := table.Restore("m", sender.Encode(report))
 	if !whole || !proto.Equal(completed, report) {
 		t.Errorf("%v came as %v", report, completed)
 	}
--- a/internal/instances/identity.go
+++ b/internal/instances/identity.go
@@ -11,8 +11,8 @@
 // start, in the name of its record.
 const startMark = ".start-"
 
-// Records finds the stored record of a machine by name; nil if there is none.
-type Records func(name string) *v1.MachineSpec
+// RecordLookup finds the stored record of a machine by name; nil if there is none.
+type RecordLookup func(name string) *v1.MachineSpec
 
 // IDOf returns the id by which a machine calls itself, from the name of its record.
 func IDOf(name string) string {
@@ -20,14 +20,14 @@
 	return id
 }
 
-// IsID reports whether an id can be told from names of records.
-func IsID(id string) bool {
+// IsValidID reports whether an id can be told from names of records.
+func IsValidID(id string) bool {
 	return id != "" && !strings.Contains(id, startMark)
 }
 
-// IsBefore reports whether a start is before that of a record under the same id whose machine is in
+// PrecedesActiveStart reports whether a start is before that of a record under the same id whose machine is in
 // use, by the phase of that.
-func IsBefore(startedMs int64, held *v1.MachineSpec, phase v1.MachinePhase) bool {
+func PrecedesActiveStart(startedMs int64, held *v1.MachineSpec, phase v1.MachinePhase) bool {
 	return startedBefore(startedMs, held) && (phase == v1.MachineLive || phase == v1.MachineLeaving)
 }
 
@@ -44,7 +44,7 @@
 // name, each later one a name of its own: whatever is kept by name (replicas, orders, grants,
 // evidence of crashes, warming, connections) then belongs to one start. A record that does not
 // tell when its machine started is that of whichever start is heard of first.
-func NameOf(id string, startedMs int64, records Records) string {
+func NameOf(id string, startedMs int64, records RecordLookup) string {
 	if startedMs == 0 {
 		return id
 	}
--- a/internal/instances/table.go
+++ b/internal/instances/table.go
@@ -50,9 +50,9 @@
 	return &Table{entries: map[string]Entry{}, goneSince: map[string]time.Duration{}, lostSince: map[string]time.Duration{}}
 }
 
-// Take keeps a report under the name of the machine's record unless a newer one is held, and
+// Add keeps a report under the name of the machine's record unless a newer one is held, and
 // returns whether it is news that the leader should act on at once.
-func (t *Table) Take(now time.Duration, name string, report *wirepb.InstanceReport) bool {
+func (t *Table) Add(now time.Duration, name string, report *wirepb.InstanceReport) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	held := t.entries[name].Report
@@ -164,11 +164,11 @@
 	return commands
 }
 
-// ReasonSaidSo is the reason for a phase that the machine itself reported: a planned end.
-const ReasonSaidSo = "said so"
+// ReasonAnnounced is the reason for a phase that the machine itself reported: a planned end.
+const ReasonAnnounced = "said so"
 
-// ReasonAnsweredSo is the reason for a phase that the machine stated in an answer to a router.
-const ReasonAnsweredSo = "said so in an answer"
+// ReasonAnnouncedInResponse is the reason for a phase that the machine stated in an answer to a router.
+const ReasonAnnouncedInResponse = "said so in an answer"
 
 // Registration returns the command that records a machine for the first time,
 // or nil while its pool is not declared: the room that it has is the pool's. The record tells when
@@ -230,7 +230,7 @@
 	if !recorded || !startedBefore(started, held.Spec) {
 		return false
 	}
-	return IsBefore(started, held.Spec, held.Status.Phase) || input.Now-entry.Received > input.Policy.LostAfter
+	return PrecedesActiveStart(started, held.Spec, held.Status.Phase) || input.Now-entry.Received > input.Policy.LostAfter
 }
 
 func (t *Table) follow(input Input, name string, declared Declared, entry Entry, heard bool, newest newestRecords) *wirepb.RegisterCommand {
@@ -257,9 +257,9 @@
 	case phase == v1.MachineLeaving:
 		return nil
 	case heard && entry.Report.GetLeaving():
-		return transition(name, v1.MachineLeaving, ReasonSaidSo)
+		return transition(name, v1.MachineLeaving, ReasonAnnounced)
 	case input.Leaving[name]:
-		return transition(name, v1.MachineLeaving, ReasonAnsweredSo)
+		return transition(name, v1.MachineLeaving, ReasonAnnouncedInResponse)
 	case phase == v1.MachineLost:
 		return t.recover(input, name, entry, heard && silent <= lostAfter)
 	case silent > lostAfter:
--- a/internal/instances/table_test.go
+++ b/internal/instances/table_test.go
@@ -84,7 +84,7 @@
 	if input.RecordStarts {
 		name = NameOf(report.GetMachine(), report.GetStartedMs(), func(name string) *v1.MachineSpec { return input.Declared[name].Spec })
 	}
-	return table.Take(input.Now, name, report)
+	return table.Add(input.Now, name, report)
 }
 
 func readBeat(t *testing.T, d *datadriven.TestData) *wirepb.InstanceReport {
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -26,8 +26,8 @@
 
 // Observation is what agents say of a machine.
 type Observation struct {
-	// Seen is set once any agent has reported on the machine.
-	Seen bool
+	// Reported is set once any agent has reported on the machine.
+	Reported bool
 	// Incarnation is the engine's, as last reported.
 	Incarnation uint64
 	// SilentFor is how long no agent has reached the engine.
@@ -112,7 +112,7 @@
 func nextStatus(declared Declared, entry platform.Machine, delisted bool, observed Observation, timeout time.Duration) v1.MachineStatus {
 	status := declared.Status
 	status.Reason = ""
-	silent := !observed.Seen || observed.SilentFor > timeout
+	silent := !observed.Reported || observed.SilentFor > timeout
 	if !silent {
 		status.Incarnation = observed.Incarnation
 	}
@@ -121,7 +121,7 @@
 		status.Phase, status.Reason = v1.MachineGone, "off the machine list and unreachable"
 	case status.Incarnation == 0:
 		status.Phase, status.Reason = v1.MachineLost, "not reached yet"
-	case silent && observed.Seen:
+	case silent && observed.Reported:
 		status.Phase, status.Reason = v1.MachineLost, "its engine can't be reached"
 	case silent:
 		// A new leader has not heard of it yet: nothing is known.
--- a/internal/machines/machines_test.go
+++ b/internal/machines/machines_test.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		input.Observed["m"] = Observation{Seen: true, Incarnation: 1, SilentFor: silent}
+		input.Observed["m"] = Observation{Reported: true, Incarnation: 1, SilentFor: silent}
 	case "not-seen":
 	default:
 		t.Fatalf("unknown line %v", fields)
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -31,12 +31,12 @@
 	reports *reporter
 
 	sequence uint64
-	demand   *nodeview.DemandNews
-	answers  *nodeview.AnswerNews
+	demand   *nodeview.DemandReporter
+	answers  *nodeview.AnswerReporter
 }
 
 func newIngressRole(node *Node) *ingressRole {
-	created := &ingressRole{node: node, view: nodeview.NewAt(node.settings.Position()), demand: nodeview.NewDemandNews(), answers: nodeview.NewAnswerNews()}
+	created := &ingressRole{node: node, view: nodeview.NewAt(node.settings.Position()), demand: nodeview.NewDemandReporter(), answers: nodeview.NewAnswerReporter()}
 	settings := node.settings
 	created.reports = newReporter(settings.Ingress.ReportInterval, created.nodeReport)
 	identity := node.identity()
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -24,11 +24,11 @@
 	reports *reporter
 
 	sequence uint64
-	demand   *nodeview.DemandNews
+	demand   *nodeview.DemandReporter
 }
 
 func newRouter(node *Node) *router {
-	created := &router{node: node, view: nodeview.NewAt(node.settings.Position()), demand: nodeview.NewDemandNews()}
+	created := &router{node: node, view: nodeview.NewAt(node.settings.Position()), demand: nodeview.NewDemandReporter()}
 	settings := node.settings
 	created.reports = newReporter(settings.Router.ReportInterval, created.nodeReport)
 	created.client = feed.NewClient(settings.Router.Upstreams, node.identity(), created.view, node.logger)
--- a/internal/nodeview/suspects.go
+++ b/internal/nodeview/suspects.go
@@ -43,8 +43,8 @@
 	return quarantine.LifeOf(machine, held.Spec.Incarnation)
 }
 
-// Replaced reports whether another live machine stands at the endpoint of a machine.
-func (v *View) Replaced(name, endpoint string) bool {
+// IsReplaced reports whether another live machine stands at the endpoint of a machine.
+func (v *View) IsReplaced(name, endpoint string) bool {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	for other, machine := range v.machines {
--- a/internal/nodeview/targets.go
+++ b/internal/nodeview/targets.go
@@ -115,19 +115,19 @@
 	return answers
 }
 
-// AnswerNews turns a router's counts of answers into report entries and leaves out
+// AnswerReporter turns a router's counts of answers into report entries and leaves out
 // machines that have not answered it since the last report.
-type AnswerNews struct {
+type AnswerReporter struct {
 	reported map[string]dispatch.Answers
 }
 
-// NewAnswerNews returns an AnswerNews that has reported nothing.
-func NewAnswerNews() *AnswerNews {
-	return &AnswerNews{reported: map[string]dispatch.Answers{}}
+// NewAnswerReporter returns an AnswerReporter that has reported nothing.
+func NewAnswerReporter() *AnswerReporter {
+	return &AnswerReporter{reported: map[string]dispatch.Answers{}}
 }
 
 // Messages returns the entries of the next report, by name.
-func (n *AnswerNews) Messages(counts map[string]dispatch.Answers) []*wirepb.MachineAnswers {
+func (n *AnswerReporter) Messages(counts map[string]dispatch.Answers) []*wirepb.MachineAnswers {
 	var messages []*wirepb.MachineAnswers
 	for machine, entry := range counts {
 		if n.reported[machine] == entry {
@@ -145,19 +145,19 @@
 // keySeparator stands between a version, an adapter and a constraint in keys; names have none.
 const keySeparator = "\x00"
 
-// DemandNews turns a router's demand into report entries and leaves out
+// DemandReporter turns a router's demand into report entries and leaves out
 // versions that nobody has asked for since the last report and nobody uses.
-type DemandNews struct {
+type DemandReporter struct {
 	reported map[string]uint64
 }
 
-// NewDemandNews returns a DemandNews that has reported nothing.
-func NewDemandNews() *DemandNews {
-	return &DemandNews{reported: map[string]uint64{}}
+// NewDemandReporter returns a DemandReporter that has reported nothing.
+func NewDemandReporter() *DemandReporter {
+	return &DemandReporter{reported: map[string]uint64{}}
 }
 
 // Messages returns the entries of the next report.
-func (n *DemandNews) Messages(demands []dispatch.Demand) []*wirepb.ModelDemand {
+func (n *DemandReporter) Messages(demands []dispatch.Demand) []*wirepb.ModelDemand {
 	var messages []*wirepb.ModelDemand
 	for _, demand := range demands {
 		key := demand.Version + keySeparator + demand.Adapter + keySeparator + demand.Allowed.Key()
--- a/internal/nodeview/view.go
+++ b/internal/nodeview/view.go
@@ -432,9 +432,9 @@
 	return replicas, v.revision
 }
 
-// DecidedFor returns the revision of the newest decision about a replica on a
+// DecisionRevision returns the revision of the newest decision about a replica on a
 // machine; 0 if there was none.
-func (v *View) DecidedFor(machine string) uint64 {
+func (v *View) DecisionRevision(machine string) uint64 {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.decidedFor[machine]
--- a/internal/nodeview/warming.go
+++ b/internal/nodeview/warming.go
@@ -22,8 +22,8 @@
 	return v.changedAt(record), true
 }
 
-// EachThatMayWarmUp calls visit for every machine of a pool whose machines warm up; see MayWarmUp.
-func (v *View) EachThatMayWarmUp(visit func(machine string, changed uint64)) {
+// EachWarmUpCandidate calls visit for every machine of a pool whose machines warm up; see MayWarmUp.
+func (v *View) EachWarmUpCandidate(visit func(machine string, changed uint64)) {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	if len(v.warmingPools) == 0 {
--- a/internal/nodeview/warming_bench_test.go
+++ b/internal/nodeview/warming_bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// BenchmarkEachThatMayWarmUp is asked with each digest and each rebuild, also where no pool's
+// BenchmarkEachWarmUpCandidate is asked with each digest and each rebuild, also where no pool's
 // machines warm up.
-func BenchmarkEachThatMayWarmUp(b *testing.B) {
+func BenchmarkEachWarmUpCandidate(b *testing.B) {
 	const machines, replicasOnEach = 3000, 3
 	for _, warming := range []*v1.WarmingSpec{nil, {RequestsPerSecond: 5}} {
 		var events []*wirepb.WatchEvent
@@ -31,7 +31,7 @@
 		view.Apply(feed.Changes{Events: events, Revision: 1, Reset: true})
 		b.Run(fmt.Sprintf("declared=%t", warming != nil), func(b *testing.B) {
 			for b.Loop() {
-				view.EachThatMayWarmUp(func(string, uint64) {})
+				view.EachWarmUpCandidate(func(string, uint64) {})
 			}
 		})
 	}
--- a/internal/nodeview/warming_test.go
+++ b/internal/nodeview/warming_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("%s: changed at %d, may warm up %t", step.what, changed, may)
 		}
 		visited := map[string]uint64{}
-		view.EachThatMayWarmUp(func(name string, at uint64) { visited[name] = at })
+		view.EachWarmUpCandidate(func(name string, at uint64) { visited[name] = at })
 		isListed := may && !(step.deleted && step.kind == v1.KindMachine)
 		if at, listed := visited["m"]; listed != isListed || listed && at != changed {
 			t.Errorf("%s: visited %v", step.what, visited)
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -35,8 +35,8 @@
 	conflictPause = 150 * time.Millisecond
 	// refusedPause is how long an order at fault is not repeated.
 	refusedPause = 2 * time.Second
-	// AdapterSettles is how long an adapter takes to be ready.
-	AdapterSettles = 60 * time.Millisecond
+	// AdapterLoadTime is how long an adapter takes to be ready.
+	AdapterLoadTime = 60 * time.Millisecond
 	// maxAdapterOrders is how many adapters may be on their way to an engine.
 	maxAdapterOrders = 4
 	// trustAfter is how long reports that may be older than an order of an
@@ -52,9 +52,9 @@
 	orderPatience = 30 * time.Second
 )
 
-// Core decides which orders to send. It belongs to one term of leadership and
+// Planner decides which orders to send. It belongs to one term of leadership and
 // is not safe for concurrent use.
-type Core struct {
+type Planner struct {
 	engines map[string]*engine
 	pacer   *Pacer
 	// assembled counts how often the state of an engine was put together, for tests of what a pass
@@ -62,19 +62,19 @@
 	assembled int
 }
 
-// NewCore returns a core that knows nothing of any engine.
-func NewCore(pacer *Pacer) *Core {
-	return &Core{engines: map[string]*engine{}, pacer: pacer}
+// NewPlanner returns a core that knows nothing of any engine.
+func NewPlanner(pacer *Pacer) *Planner {
+	return &Planner{engines: map[string]*engine{}, pacer: pacer}
 }
 
 // changing returns what is known of an engine, for a change of it.
-func (c *Core) changing(machine string) *engine {
+func (c *Planner) changing(machine string) *engine {
 	held := c.engine(machine)
 	held.state = nil
 	return held
 }
 
-func (c *Core) engine(machine string) *engine {
+func (c *Planner) engine(machine string) *engine {
 	held := c.engines[machine]
 	if held == nil {
 		held = &engine{
@@ -86,7 +86,7 @@
 }
 
 // Forget drops engines that are not listed.
-func (c *Core) Forget(listed map[string]bool) {
+func (c *Planner) Forget(listed map[string]bool) {
 	for name := range c.engines {
 		if !listed[name] {
 			delete(c.engines, name)
@@ -94,8 +94,8 @@
 	}
 }
 
-// Take takes an engine's report.
-func (c *Core) Take(now time.Duration, machine string, report Report) {
+// AddReport takes an engine's report.
+func (c *Planner) AddReport(now time.Duration, machine string, report Report) {
 	held := c.changing(machine)
 	if report.Polled {
 		held.polling = false
@@ -118,7 +118,7 @@
 }
 
 // PollFailed notes that an engine did not answer a poll.
-func (c *Core) PollFailed(now time.Duration, machine string) {
+func (c *Planner) PollFailed(now time.Duration, machine string) {
 	held := c.engine(machine)
 	held.polling = false
 	held.pollDue = now + pollRetry
@@ -136,7 +136,7 @@
 
 // Plan returns the orders and polls that are due. The caller must report the
 // outcome of each by Sent, Take or PollFailed.
-func (c *Core) Plan(now time.Duration, wanted []Wanted) Plan {
+func (c *Planner) Plan(now time.Duration, wanted []DesiredState) Plan {
 	var plan Plan
 	sortByWork(wanted)
 	firstPolls := c.firstPolls()
@@ -147,7 +147,7 @@
 			held.polling = true
 			plan.Polls = append(plan.Polls, entry.Machine)
 		}
-		if !held.heard || entry.Held || now < held.pauseUntil {
+		if !held.heard || entry.Blocked || now < held.pauseUntil {
 			continue
 		}
 		held.settleAdapters(now)
@@ -160,7 +160,7 @@
 		if !held.sequenceKnown {
 			continue
 		}
-		if hasModelOrder && (!modelOrder.FromStore || c.pacer.Take(now)) {
+		if hasModelOrder && (!modelOrder.FromStore || c.pacer.Allow(now)) {
 			modelOrder.Expected = held.sequence
 			held.sending, held.state = true, nil
 			plan.Orders = append(plan.Orders, modelOrder)
@@ -180,7 +180,7 @@
 }
 
 // firstPolls counts the engines that are being asked and were not heard of before.
-func (c *Core) firstPolls() int {
+func (c *Planner) firstPolls() int {
 	count := 0
 	for _, held := range c.engines {
 		if held.polling && !held.heard {
@@ -193,7 +193,7 @@
 // sortByWork puts the loads of each machine and the machines themselves in the
 // order of the work that waits for them: a slot of the weight store goes to what
 // serves most.
-func sortByWork(wanted []Wanted) {
+func sortByWork(wanted []DesiredState) {
 	for _, entry := range wanted {
 		sort.SliceStable(entry.Load, func(i, j int) bool { return entry.Load[i].Work > entry.Load[j].Work })
 	}
@@ -206,15 +206,15 @@
 	})
 }
 
-func (w Wanted) mostWork() float64 {
+func (w DesiredState) mostWork() float64 {
 	if len(w.Load) == 0 {
 		return 0
 	}
 	return w.Load[0].Work
 }
 
-// Sent takes the outcome of an order.
-func (c *Core) Sent(now time.Duration, order Order, outcome Outcome) {
+// RecordOutcome takes the outcome of an order.
+func (c *Planner) RecordOutcome(now time.Duration, order Order, outcome Outcome) {
 	held := c.changing(order.Machine)
 	held.sending = false
 	if outcome != Accepted {
@@ -224,7 +224,7 @@
 	case Accepted:
 		held.sequence++
 		held.accept(now, order)
-	case Holds:
+	case AlreadyDone:
 		// Whether such an answer counts as an order is for the engine to say.
 		held.sequenceKnown = order.Adapter != "" && order.Operation == Unload && held.sequenceKnown
 		held.hold(now, order)
@@ -232,7 +232,7 @@
 		held.sequenceKnown = false
 		held.pollDue = now
 		held.pauseUntil = now + conflictPause
-	case Elsewhere, Refused:
+	case WrongMachine, Refused:
 		held.sequenceKnown = false
 		held.pauseUntil = now + refusedPause
 	case NotSent:
@@ -244,8 +244,8 @@
 type State struct {
 	// Models maps each model to its adapters, sorted.
 	Models map[string][]string
-	// Coming are the adapters on their way, by model.
-	Coming map[string][]string
+	// LoadingAdapters are the adapters on their way, by model.
+	LoadingAdapters map[string][]string
 	// Loading is the model that an accepted order is loading.
 	Loading string
 	// Settled is set once the engine has been heard of often and long enough in
@@ -260,7 +260,7 @@
 // State returns what is known of an engine; false if nothing is. It is put together once for each
 // change of what is known, and must not be written to: a leader asks for all engines' several times in
 // each pass.
-func (c *Core) State(now time.Duration, machine string) (State, bool) {
+func (c *Planner) State(now time.Duration, machine string) (State, bool) {
 	held := c.engines[machine]
 	if held == nil || !held.heard {
 		return State{}, false
@@ -276,7 +276,7 @@
 // assemble puts together what is known of an engine.
 func (e *engine) assemble(settled bool) *State {
 	state := &State{
-		Models: map[string][]string{}, Coming: map[string][]string{}, Memory: e.memory, Disk: e.disk,
+		Models: map[string][]string{}, LoadingAdapters: map[string][]string{}, Memory: e.memory, Disk: e.disk,
 		Settled: settled,
 		Busy:    e.sending || e.underWay != nil,
 	}
@@ -289,7 +289,7 @@
 		state.Models[model] = names
 	}
 	for task := range e.adapters {
-		state.Coming[task.Model] = append(state.Coming[task.Model], task.Adapter)
+		state.LoadingAdapters[task.Model] = append(state.LoadingAdapters[task.Model], task.Adapter)
 	}
 	if e.underWay != nil && e.underWay.order.Operation == Load {
 		state.Loading = e.underWay.order.Model
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -19,9 +19,9 @@
 func TestCore(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		pacer := NewPacer()
-		core := NewCore(pacer)
+		core := NewPlanner(pacer)
 		now := time.Duration(0)
-		wanted := map[string]Wanted{}
+		wanted := map[string]DesiredState{}
 		var unanswered []Order
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
@@ -39,14 +39,14 @@
 				return ""
 			case "report":
 				machine, report := readReport(t, d)
-				core.Take(now, machine, report)
+				core.AddReport(now, machine, report)
 				return describe(now, core, machine)
 			case "want":
 				entry := readWanted(t, d)
 				wanted[entry.Machine] = entry
 				return ""
 			case "plan":
-				var all []Wanted
+				var all []DesiredState
 				for _, entry := range wanted {
 					all = append(all, entry)
 				}
@@ -57,7 +57,7 @@
 				var text string
 				d.ScanArgs(t, "outcome", &text)
 				for _, order := range unanswered {
-					core.Sent(now, order, outcomeNamed(t, text))
+					core.RecordOutcome(now, order, outcomeNamed(t, text))
 				}
 				unanswered = nil
 				return ""
@@ -93,8 +93,8 @@
 	return machine, report
 }
 
-func readWanted(t *testing.T, d *datadriven.TestData) Wanted {
-	entry := Wanted{}
+func readWanted(t *testing.T, d *datadriven.TestData) DesiredState {
+	entry := DesiredState{}
 	d.ScanArgs(t, "machine", &entry.Machine)
 	for _, line := range strings.Split(d.Input, "\n") {
 		words := strings.Fields(line)
@@ -119,7 +119,7 @@
 	return entry
 }
 
-func describe(now time.Duration, core *Core, machine string) string {
+func describe(now time.Duration, core *Planner, machine string) string {
 	state, known := core.State(now, machine)
 	if !known {
 		return "nothing known"
@@ -163,7 +163,7 @@
 		pacer := NewPacer()
 		pacer.Limit(rate)
 		for end := now + 7*time.Second; now < end; now += 10 * time.Millisecond {
-			if pacer.Take(now) {
+			if pacer.Allow(now) {
 				begun = append(begun, now)
 			}
 		}
@@ -189,10 +189,10 @@
 // processor left to keep its lease.
 func TestManyUnknownEnginesAreAskedInTurn(t *testing.T) {
 	const engines = 1000
-	core := NewCore(NewPacer())
-	var wanted []Wanted
+	core := NewPlanner(NewPacer())
+	var wanted []DesiredState
 	for number := range engines {
-		wanted = append(wanted, Wanted{Machine: fmt.Sprintf("m%04d", number)})
+		wanted = append(wanted, DesiredState{Machine: fmt.Sprintf("m%04d", number)})
 	}
 	asked := map[string]bool{}
 	asking := core.Plan(0, wanted).Polls
@@ -209,7 +209,7 @@
 				core.PollFailed(0, machine) // It is asked again later, and holds up nobody.
 				continue
 			}
-			core.Take(0, machine, Report{Polled: true})
+			core.AddReport(0, machine, Report{Polled: true})
 		}
 		asking = core.Plan(0, wanted).Polls
 	}
--- a/internal/orders/engine.go
+++ b/internal/orders/engine.go
@@ -131,7 +131,7 @@
 }
 
 // nextModelOrder returns the next model order: what makes room comes first.
-func (e *engine) nextModelOrder(wanted Wanted) (Order, bool) {
+func (e *engine) nextModelOrder(wanted DesiredState) (Order, bool) {
 	if e.sending || e.underWay != nil {
 		return Order{}, false
 	}
@@ -150,7 +150,7 @@
 	return Order{}, false
 }
 
-func (e *engine) nextAdapterOrders(wanted Wanted) []Order {
+func (e *engine) nextAdapterOrders(wanted DesiredState) []Order {
 	// An engine that is at an order for a model takes none for an adapter.
 	if e.underWay != nil || len(e.adapters) >= maxAdapterOrders {
 		return nil
@@ -203,7 +203,7 @@
 		e.pollDue = now + pollRetry
 		return
 	}
-	e.adapters[order.adapterTask()] = now + AdapterSettles
+	e.adapters[order.adapterTask()] = now + AdapterLoadTime
 }
 
 // hold notes that what an order asks for was so already.
--- a/internal/orders/grants.go
+++ b/internal/orders/grants.go
@@ -36,16 +36,16 @@
 	return &Grants{self: self, wait: wait, noted: map[string]time.Duration{}}
 }
 
-// Forget notes that grants may have been missed until now.
-func (g *Grants) Forget(now time.Duration) {
+// Reset notes that grants may have been missed until now.
+func (g *Grants) Reset(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.known = now
 	g.noted = map[string]time.Duration{}
 }
 
-// Note notes a grant that the log holds.
-func (g *Grants) Note(now time.Duration, machines []string) {
+// Record notes a grant that the log holds.
+func (g *Grants) Record(now time.Duration, machines []string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, machine := range machines {
@@ -58,10 +58,10 @@
 	}
 }
 
-// Free reports whether a machine may be given orders by this node, as leader that
+// MayOrder reports whether a machine may be given orders by this node, as leader that
 // holds its lease. Holder is whom the state names as the one who was granted orders
 // to it last, empty if nobody was.
-func (g *Grants) Free(now time.Duration, machine, holder string) bool {
+func (g *Grants) MayOrder(now time.Duration, machine, holder string) bool {
 	if holder == "" || holder == g.self {
 		return true
 	}
--- a/internal/orders/grants_test.go
+++ b/internal/orders/grants_test.go
@@ -39,12 +39,12 @@
 	}
 	for _, test := range tests {
 		if test.forget {
-			grants.Forget(test.at)
+			grants.Reset(test.at)
 		}
 		if test.noted {
-			grants.Note(test.at, []string{"m"})
+			grants.Record(test.at, []string{"m"})
 		}
-		if free := grants.Free(test.at, test.machine, test.holder); free != test.free {
+		if free := grants.MayOrder(test.at, test.machine, test.holder); free != test.free {
 			t.Errorf("at %s machine %s, granted to %q last, is free: %v", test.at, test.machine, test.holder, free)
 		}
 	}
@@ -80,17 +80,17 @@
 					grants[name], started[name] = NewGrants(name, grantLifetime+leaseTime), now
 				}
 			} else if random.IntN(3) == 0 {
-				grants[leader].Forget(now - started[leader])
+				grants[leader].Reset(now - started[leader])
 			}
 			for end := now + time.Duration(random.Int64N(int64(6*time.Second))); now < end; now += 100 * time.Millisecond {
-				if !grants[leader].Free(now-started[leader], "m", holder) {
+				if !grants[leader].MayOrder(now-started[leader], "m", holder) {
 					continue
 				}
 				// Committed a while later; the order follows within its time.
 				committed := now + time.Duration(random.Int64N(int64(200*time.Millisecond)))
 				holder = leader
 				for _, name := range nodes {
-					grants[name].Note(committed+time.Duration(random.Int64N(int64(50*time.Millisecond)))-started[name], []string{"m"})
+					grants[name].Record(committed+time.Duration(random.Int64N(int64(50*time.Millisecond)))-started[name], []string{"m"})
 				}
 				sent := now + time.Duration(random.Int64N(int64(grantLifetime)))
 				if last.holder != "" && last.holder != leader && sent-last.at < leaseTime {
--- a/internal/orders/pacer.go
+++ b/internal/orders/pacer.go
@@ -25,8 +25,8 @@
 	p.perSecond = perSecond
 }
 
-// Take reports whether a load may begin now, and counts it.
-func (p *Pacer) Take(now time.Duration) bool {
+// Allow reports whether a load may begin now, and counts it.
+func (p *Pacer) Allow(now time.Duration) bool {
 	if p.perSecond <= 0 {
 		return true
 	}
--- a/internal/orders/types.go
+++ b/internal/orders/types.go
@@ -35,11 +35,11 @@
 	// Accepted: the engine is carrying it out.
 	Accepted Outcome = iota
 	// Holds: it held already.
-	Holds
+	AlreadyDone
 	// Conflict: another order is under way, or the number differs.
 	Conflict
 	// Elsewhere: the engine at the address is another one.
-	Elsewhere
+	WrongMachine
 	// Refused: the order itself is at fault.
 	Refused
 	// NotSent: nothing was written to the engine.
@@ -66,8 +66,8 @@
 	Memory, Disk []string
 }
 
-// Wanted is what an engine should hold, by the records.
-type Wanted struct {
+// DesiredState is what an engine should hold, by the records.
+type DesiredState struct {
 	Machine  string
 	Endpoint string
 	// Load and Unload are models with a record in that phase, oldest first; of
@@ -75,8 +75,8 @@
 	Load, Unload []Task
 	// Adapters to load and to drop.
 	Adapters []AdapterTask
-	// Held is set while another node may still be giving orders.
-	Held bool
+	// Blocked is set while another node may still be giving orders.
+	Blocked bool
 }
 
 // Task is a model to load or unload.
--- a/internal/policysim/router.go
+++ b/internal/policysim/router.go
@@ -27,7 +27,7 @@
 	name       string
 	number     int
 	core       *dispatch.Core
-	news       *nodeview.DemandNews
+	news       *nodeview.DemandReporter
 	sequence   uint64
 	requests   map[uint64]*request
 	ticking    bool
@@ -55,7 +55,7 @@
 func (s *simulation) newRouter(number int) *router {
 	return &router{
 		simulation: s, name: numbered("router", number), number: number, core: dispatch.New(s.dispatchConfig()),
-		news: nodeview.NewDemandNews(), requests: map[uint64]*request{},
+		news: nodeview.NewDemandReporter(), requests: map[uint64]*request{},
 	}
 }
 
--- a/internal/policysim/simulation.go
+++ b/internal/policysim/simulation.go
@@ -188,7 +188,7 @@
 		router.deliver(router.core.SetTargets(s.wall(), targets))
 	}
 	for _, machine := range s.machines {
-		if revision := s.view.DecidedFor(machine.name); revision != machine.decided {
+		if revision := s.view.DecisionRevision(machine.name); revision != machine.decided {
 			machine.decided = revision
 			s.After(orderDelay, machine.followOrders)
 		}
@@ -219,7 +219,7 @@
 	}
 	s.passed = s.Now()
 	for _, router := range s.routers {
-		s.reports.Take(s.Now(), router.report())
+		s.reports.Add(s.Now(), router.report())
 	}
 	s.decider.Observe(s.state)
 	s.commit(s.decider.MachineWrites(s.Now(), nil))
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -190,10 +190,10 @@
 	})
 }
 
-// Raise doubles the bounds of a version, and of one of its adapters if that is named, where they
+// RaiseLimits doubles the bounds of a version, and of one of its adapters if that is named, where they
 // keep members from a node whose requests wait. It reports whether any was raised; the next
 // Update chooses.
-func (s *Subset) Raise(version, adapter string) bool {
+func (s *Subset) RaiseLimits(version, adapter string) bool {
 	raised := false
 	for region := range s.index.regions {
 		raised = s.raiseGroup(groupKey{kind: versionGroup, name: version, region: region}) || raised
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -141,7 +141,7 @@
 				node.take(nil)
 				return strings.Join(node.names(), " ")
 			case "raise":
-				return fmt.Sprint(node.subset.Raise(argument("version", ""), argument("adapter", "")))
+				return fmt.Sprint(node.subset.RaiseLimits(argument("version", ""), argument("adapter", "")))
 			case "take":
 				before := len(node.objects)
 				sent := pending
@@ -188,7 +188,7 @@
 					continue
 				}
 				if random.IntN(20) == 0 {
-					node.subset.Raise(fmt.Sprint("v", random.IntN(4)), "a1")
+					node.subset.RaiseLimits(fmt.Sprint("v", random.IntN(4)), "a1")
 				}
 				node.take(behind[position])
 				behind[position] = nil
