--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -87,7 +87,7 @@
 	t.answers.take(now, held, report)
 	t.noteAdapters(now, report)
 	if t.quotas != nil && report.GetRouter() {
-		t.quotas.Take(now, quotaReport(report))
+		t.quotas.ApplyReport(now, quotaReport(report))
 	}
 	urgent := held == nil || demandGrew(held, report) || len(report.GetUnreachable()) > len(held.GetUnreachable()) ||
 		len(report.GetLeaving()) > len(held.GetLeaving())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,8 +40,8 @@
 	Propose      feed.ProposeFunc
 	MaxWaiting   int
 	MaxBodyBytes int64
-	// Nudge asks for a demand report to the control plane soon.
-	Nudge func()
+	// RequestReport asks for a demand report to the control plane soon.
+	RequestReport func()
 }
 
 // Gateway is the callers' HTTP handler of one router.
@@ -87,7 +87,7 @@
 			DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true,
 		}},
 	}
-	gateway.dispatcher = dispatcher.New(dispatch.Config{MaxWaiting: options.MaxWaiting}, options.Nudge)
+	gateway.dispatcher = dispatcher.New(dispatch.Config{MaxWaiting: options.MaxWaiting}, options.RequestReport)
 	gateway.services = dispatcher.New(dispatch.Config{MaxWaiting: options.MaxWaiting}, func() {})
 	gateway.route()
 	return gateway
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -59,7 +59,7 @@
 	t.Cleanup(d.world.Close)
 	d.gateway = gateway.New(gateway.Options{
 		Node: "node", View: d.view, Logger: slog.New(slog.DiscardHandler), Metrics: gateway.NewMetrics(prometheus.NewRegistry()),
-		Propose: d.propose, MaxWaiting: 100, MaxBodyBytes: 1 << 20, Nudge: func() {},
+		Propose: d.propose, MaxWaiting: 100, MaxBodyBytes: 1 << 20, RequestReport: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -132,7 +132,7 @@
 		Method: j.request.Method, Target: j.request.RequestURI, Host: j.request.Host, Header: header, Body: j.body,
 		Prepare: func(header http.Header) error { return j.prepareWrite(header, grant) },
 		Matches: func(header http.Header) bool {
-			return j.ingress.options.Translator.Judge(0, header, j.attributes.ID).Own
+			return j.ingress.options.Translator.Interpret(0, header, j.attributes.ID).ForRequest
 		},
 	}
 }
@@ -148,7 +148,7 @@
 	}
 	j.permit = permit{} // It is good for one send.
 	j.ingress.options.Translator.Prepare(header, Attempt{
-		Machine: grant.Target.Machine, Remains: j.remaining(), Priority: j.priority(), Tenant: j.tenant.name,
+		Machine: grant.Target.Machine, Remaining: j.remaining(), Priority: j.priority(), Tenant: j.tenant.name,
 	})
 	if err := j.checkWithheld(grant); err != nil {
 		return err
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -57,7 +57,7 @@
 
 func (translator) Describe(header http.Header) ingress.Attributes {
 	wait, _ := time.ParseDuration(header.Get(headerWait))
-	return ingress.Attributes{ID: header.Get(headerID), Wait: wait, Model: header.Get(headerModel), Key: header.Get(headerKey)}
+	return ingress.Attributes{ID: header.Get(headerID), Timeout: wait, Model: header.Get(headerModel), Key: header.Get(headerKey)}
 }
 
 func (t translator) Prepare(header http.Header, attempt ingress.Attempt) {
@@ -67,17 +67,17 @@
 	header.Set(headerTarget, attempt.Machine)
 	header.Set(headerTenant, attempt.Tenant)
 	header.Set(headerRank, strconv.Itoa(int(attempt.Priority)))
-	header.Set(headerWait, attempt.Remains.String())
+	header.Set(headerWait, attempt.Remaining.String())
 }
 
-func (translator) Judge(status int, answer http.Header, id string) ingress.Verdict {
+func (translator) Interpret(status int, answer http.Header, id string) ingress.Verdict {
 	succeeded := status >= 200 && status < 300
 	return ingress.Verdict{
-		Own:       answer.Get(headerID) == "" || answer.Get(headerID) == id,
-		Genuine:   !succeeded || answer.Get(headerSeal) != "",
-		NotRun:    answer.Get(headerNotRun) != "",
-		Elsewhere: status == http.StatusMisdirectedRequest,
-		Stated:    ingress.Statement{Limit: limitOf(answer), Rest: restOf(answer), Leaving: answer.Get(headerLeaving) != ""},
+		ForRequest:   answer.Get(headerID) == "" || answer.Get(headerID) == id,
+		Genuine:      !succeeded || answer.Get(headerSeal) != "",
+		NotRun:       answer.Get(headerNotRun) != "",
+		WrongMachine: status == http.StatusMisdirectedRequest,
+		Statement:    ingress.Statement{Limit: limitOf(answer), BackOff: restOf(answer), Leaving: answer.Get(headerLeaving) != ""},
 	}
 }
 
@@ -170,10 +170,10 @@
 		Translator: translator{beforeSend: &created.beforeSend}, MaxWaiting: 100,
 		// A window of a nanosecond is over at once, so that the whole slack
 		// counts from the start.
-		Budget: retrybudget.Config{Ratio: 1, Slack: 1000, Window: time.Nanosecond}, Nudge: func() { created.waits <- struct{}{} },
+		Budget: retrybudget.Config{Ratio: 1, Slack: 1000, Window: time.Nanosecond}, RequestReport: func() { created.waits <- struct{}{} },
 		Quota: quota.Bound{Window: 8 * time.Second}, Sharing: quota.SharingEqual,
-		Slept: func() time.Duration { return time.Duration(created.slept.Load()) },
-		Now:   func() time.Duration { return clock.Now() + time.Duration(created.slept.Load()) },
+		Suspended: func() time.Duration { return time.Duration(created.slept.Load()) },
+		Now:       func() time.Duration { return clock.Now() + time.Duration(created.slept.Load()) },
 		Permit: func(ctx context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 			if permit := created.permit.Load(); permit != nil {
 				return (*permit)(ctx, request)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -52,8 +52,8 @@
 	// these.
 	Quota   quota.Bound
 	Sharing quota.Sharing
-	// Nudge asks for a report of demand to the control plane soon.
-	Nudge func()
+	// RequestReport asks for a report of demand to the control plane soon.
+	RequestReport func()
 	// Propose carries a command to the leader. An error leaves open whether it was carried out.
 	Propose feed.ProposeFunc
 	// Permit asks the leader whether one request may be sent to a machine that warms up, or that
@@ -61,9 +61,9 @@
 	Permit feed.PermitFunc
 	// Now is a clock that counts the sleep of the machine, clock.Now by default.
 	Now func() time.Duration
-	// Slept returns for how long the machine has slept in all, like clock.Slept, which it is by
+	// Suspended returns for how long the machine has slept in all, like clock.Slept, which it is by
 	// default.
-	Slept func() time.Duration
+	Suspended func() time.Duration
 }
 
 // Ingress is the callers' HTTP handler of one node.
@@ -98,14 +98,14 @@
 func New(options Options) *Ingress {
 	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, ByWork: true, Seed: rand.Uint64()}
 	ending, end := context.WithCancel(context.Background())
-	if options.Slept == nil {
-		options.Slept = clock.Slept
+	if options.Suspended == nil {
+		options.Suspended = clock.Slept
 	}
 	if options.Now == nil {
 		options.Now = clock.Now
 	}
 	pool := upstream.NewPool(upstream.Config{DialTimeout: dialTimeout, MaxIdle: maxIdle(options.View), IdleTimeout: idleTimeout})
-	routing := dispatcher.New(config, options.Nudge)
+	routing := dispatcher.New(config, options.RequestReport)
 	return &Ingress{
 		ending: ending, end: end, quotas: newQuotas(options.Quota, options.Sharing),
 		options: options, started: time.Now(), budgets: map[string]*retrybudget.Budget{},
@@ -130,7 +130,7 @@
 	workers.Go(func() { i.dispatcher.Tick(ctx) })
 	workers.Go(func() { i.dispatcher.FollowDigests(ctx, i.options.View) })
 	workers.Go(func() { i.followDigests(ctx) })
-	workers.Go(func() { i.quotas.follow(ctx, i.options.View, i.options.Nudge) })
+	workers.Go(func() { i.quotas.follow(ctx, i.options.View, i.options.RequestReport) })
 	workers.Go(func() { i.crashes.Run(ctx) })
 	workers.Go(func() { i.retainConnections(ctx) })
 	for {
@@ -211,32 +211,32 @@
 	return known
 }
 
-// Woke drops, after a sleep of this machine, the kept connections, as machines close such as have
+// Resumed drops, after a sleep of this machine, the kept connections, as machines close such as have
 // rested for longer than they allow, and what was known of machines that warm up.
-func (i *Ingress) Woke() {
+func (i *Ingress) Resumed() {
 	i.permits.warming.forget()
 	i.upstream.Retain(func(string) bool { return false })
 }
 
 // Ready reports whether callers should come here.
 func (i *Ingress) Ready() bool {
-	return !i.stopping.Load() && i.Serves()
+	return !i.stopping.Load() && i.IsConfigured()
 }
 
-// Serves reports whether the configuration is at least as new as any that was
+// IsConfigured reports whether the configuration is at least as new as any that was
 // accepted before this node started.
-func (i *Ingress) Serves() bool {
+func (i *Ingress) IsConfigured() bool {
 	return i.serving.Load()
 }
 
-// Stop makes every further answer ask its caller to use another connection.
-func (i *Ingress) Stop() {
+// Drain makes every further answer ask its caller to use another connection.
+func (i *Ingress) Drain() {
 	i.stopping.Store(true)
 }
 
-// End answers all that wait, and breaks off what runs: the node is about to be
+// Abort answers all that wait, and breaks off what runs: the node is about to be
 // gone, and an answer is better than a closed connection.
-func (i *Ingress) End() {
+func (i *Ingress) Abort() {
 	i.end()
 }
 
@@ -290,7 +290,7 @@
 func (i *Ingress) countFirst(pool string) {
 	i.budgetMutex.Lock()
 	defer i.budgetMutex.Unlock()
-	i.budget(pool).Sent(time.Since(i.started))
+	i.budget(pool).CountFirstSend(time.Since(i.started))
 }
 
 // maySendAgain reports whether a request may be sent to a pool once more.
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -325,7 +325,7 @@
 	answers := make(chan reply, 2)
 	go func() { answers <- d.ask(http.MethodPost, "/a/b", "running", "x") }()
 	<-reached
-	d.handler.End()
+	d.handler.Abort()
 	if got := <-answers; got.status != 504 || !strings.Contains(got.body, "unknown") {
 		t.Errorf("the one that may have run got %d %q", got.status, got.body)
 	}
@@ -334,7 +334,7 @@
 	empty.serve(v1.RouteUnrepeatable, 1, long)
 	go func() { answers <- empty.ask(http.MethodPost, "/a/b", "waiting", "x") }()
 	<-empty.waits
-	empty.handler.End()
+	empty.handler.Abort()
 	if got := <-answers; got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("the one that waited got %d %q", got.status, got.body)
 	}
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -77,7 +77,7 @@
 
 func (i *Ingress) newJob(writer http.ResponseWriter, request *http.Request) *job {
 	return &job{
-		ingress: i, writer: writer, request: request, arrived: time.Now(), sleptBefore: i.options.Slept(),
+		ingress: i, writer: writer, request: request, arrived: time.Now(), sleptBefore: i.options.Suspended(),
 		attributes: i.options.Translator.Describe(request.Header),
 	}
 }
@@ -123,8 +123,8 @@
 		return document, document.RetryAfter
 	}
 	wait := time.Duration(j.route.Spec.Timeout)
-	if j.attributes.Wait > 0 {
-		wait = min(wait, j.attributes.Wait)
+	if j.attributes.Timeout > 0 {
+		wait = min(wait, j.attributes.Timeout)
 	}
 	j.deadline = j.arrived.Add(wait)
 	j.pool = j.route.NextPool()
@@ -138,18 +138,18 @@
 // started mostly can within a second, and a caller who is turned away may have
 // no further try; but one who would wait too long does better elsewhere.
 func (j *job) awaitConfiguration() bool {
-	if j.ingress.Serves() {
+	if j.ingress.IsConfigured() {
 		return true
 	}
 	wait := maxStartWait
-	if j.attributes.Wait > 0 {
-		wait = min(wait, time.Duration(float64(j.attributes.Wait)*patienceShare))
+	if j.attributes.Timeout > 0 {
+		wait = min(wait, time.Duration(float64(j.attributes.Timeout)*patienceShare))
 	}
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
-	for !j.ingress.Serves() {
+	for !j.ingress.IsConfigured() {
 		changed := j.ingress.servingChange.Wait()
-		if j.ingress.Serves() {
+		if j.ingress.IsConfigured() {
 			break
 		}
 		select {
@@ -236,7 +236,7 @@
 		if end == endNotConnected {
 			failures++
 			j.ingress.permits.warming.noteFailure(grant.Target.Machine)
-			j.ingress.options.Nudge()
+			j.ingress.options.RequestReport()
 		}
 		if !j.mayTryAgain(ctx, end, failures) {
 			j.giveUp(ctx, end)
@@ -267,7 +267,7 @@
 // remaining is how much of the request's time is left. A sleep of the machine has used up some
 // of it, though the steady clock has not counted that.
 func (j *job) remaining() time.Duration {
-	return time.Until(j.deadline) - (j.ingress.options.Slept() - j.sleptBefore)
+	return time.Until(j.deadline) - (j.ingress.options.Suspended() - j.sleptBefore)
 }
 
 // patience is how long the request waits for a place: a part of its time, and
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -44,7 +44,7 @@
 func (q *quotas) learn(digest *wirepb.ClusterDigest) (report bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.enforcer.Learn(q.now(), digest.GetTerm(), int(digest.GetRouters()), nodeview.AllowancesOf(digest), digest.GetTenantsKnown())
+	return q.enforcer.ApplyDigest(q.now(), digest.GetTerm(), int(digest.GetRouters()), nodeview.AllowancesOf(digest), digest.GetTenantsKnown())
 }
 
 // admit lets a request through or says why not, and whether the leader should hear of it
@@ -60,7 +60,7 @@
 func (q *quotas) giveBack(tenant string, cost float64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.enforcer.GiveBack(q.now(), tenant, cost)
+	q.enforcer.Refund(q.now(), tenant, cost)
 }
 
 // TenantUses returns what tenants asked of this node, for reports, and whether that is all
@@ -86,7 +86,7 @@
 	cost := j.tenant.spec.Cost(j.attributes.PromptTokens + j.attributes.OutputTokens)
 	refusal, report := j.ingress.quotas.admit(j.tenant.name, j.tenant.spec, cost)
 	if report {
-		j.ingress.options.Nudge()
+		j.ingress.options.RequestReport()
 	}
 	j.ingress.options.Metrics.observeTenant(j.tenant.name, refusal == nil)
 	if refusal == nil {
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -22,11 +22,11 @@
 // pass passes a machine's answer on to the caller, unless it proves that the
 // request may go elsewhere.
 func (j *job) pass(ctx context.Context, answer *upstream.Answer, grant *dispatch.Grant) attemptEnd {
-	verdict := j.ingress.options.Translator.Judge(answer.Status, answer.Header, j.attributes.ID)
+	verdict := j.ingress.options.Translator.Interpret(answer.Status, answer.Header, j.attributes.ID)
 	j.noteStatement(grant, verdict)
 	if verdict.NotRun {
 		discard(answer)
-		if verdict.Elsewhere {
+		if verdict.WrongMachine {
 			return endElsewhere
 		}
 		return endNotRun
--- a/internal/ingress/statements.go
+++ b/internal/ingress/statements.go
@@ -11,24 +11,24 @@
 // noteStatement records what a machine states about itself in the head of an answer. It ignores answers of another
 // machine, or to another request.
 func (j *job) noteStatement(grant *dispatch.Grant, verdict Verdict) {
-	if !verdict.Own || verdict.Elsewhere || !verdict.Genuine && !verdict.NotRun {
+	if !verdict.ForRequest || verdict.WrongMachine || !verdict.Genuine && !verdict.NotRun {
 		return
 	}
-	machine, stated := grant.Target.Machine, verdict.Stated
+	machine, stated := grant.Target.Machine, verdict.Statement
 	for _, err := range stated.Invalid {
 		j.ingress.options.Metrics.invalidStatements.Inc()
 		j.log("invalid_statement", "machine", machine, "error", fault.Message(err))
 	}
 	if j.ingress.permits.limits.observe(machine, stated.Limit, j.written) {
-		j.ingress.options.Nudge() // The leader publishes the limit to the other routers.
+		j.ingress.options.RequestReport() // The leader publishes the limit to the other routers.
 	}
-	if stated.Rest > 0 {
-		j.ingress.dispatcher.Rest(machine, stated.Rest)
+	if stated.BackOff > 0 {
+		j.ingress.dispatcher.Rest(machine, stated.BackOff)
 		j.ingress.options.Metrics.rests.Inc()
-		j.log("rest_requested", "machine", machine, "rest_ms", stated.Rest.Milliseconds())
+		j.log("rest_requested", "machine", machine, "rest_ms", stated.BackOff.Milliseconds())
 	}
 	if stated.Leaving && j.ingress.dispatcher.Leave(machine) {
 		j.log("machine_leaving", "machine", machine)
-		j.ingress.options.Nudge() // The leader replaces what the machine holds.
+		j.ingress.options.RequestReport() // The leader replaces what the machine holds.
 	}
 }
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -99,7 +99,7 @@
 		}},
 		{"the router has slept", func(d *deployment) {
 			d.digest(1, 0)
-			d.handler.Woke()
+			d.handler.Resumed()
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -53,7 +53,7 @@
 			Ratio: settings.Ingress.RetryRatio, Slack: settings.Ingress.RetrySlack, Window: settings.Ingress.RetryWindow,
 		},
 		Quota: settings.Quota.Bound(), Sharing: quota.Sharing(settings.Quota.Sharing),
-		Nudge: created.reports.nudge, Propose: created.client.Propose,
+		RequestReport: created.reports.nudge, Propose: created.client.Propose,
 		Permit: created.client.Permit,
 	})
 	created.server = ingress.NewServer(created.ingress, created.view, node.logger)
@@ -92,7 +92,7 @@
 	limit := r.node.settings.Ingress.StopTimeout - stopReserve
 	leave := min(r.node.settings.Ingress.LeaveDelay, limit/leaveDelayShare)
 	r.node.logger.Info("ingress_draining", "in_flight", r.ingress.InFlight())
-	r.ingress.Stop()
+	r.ingress.Drain()
 	time.Sleep(leave)
 	r.server.StopAccepting()
 	for r.ingress.InFlight() > 0 && time.Since(started) < limit {
@@ -103,7 +103,7 @@
 		return
 	}
 	r.node.logger.Warn("drain_timed_out", "in_flight", left)
-	r.ingress.End()
+	r.ingress.Abort()
 	for r.ingress.InFlight() > 0 && time.Since(started) < limit+stopReserve/2 {
 		time.Sleep(stopPollPeriod)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -216,7 +216,7 @@
 func (n *Node) woke(time.Duration) {
 	if n.ingress != nil {
 		n.ingress.client.Woke()
-		n.ingress.ingress.Woke()
+		n.ingress.ingress.Resumed()
 	}
 	if n.router != nil {
 		n.router.client.Woke()
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -36,7 +36,7 @@
 	created.gateway = gateway.New(gateway.Options{
 		Node: settings.Node, View: created.view, Logger: node.logger, Metrics: gateway.NewMetrics(node.registry),
 		Propose: created.client.Propose, MaxWaiting: settings.Router.MaxWaiting,
-		MaxBodyBytes: settings.Router.MaxBodyBytes, Nudge: created.reports.nudge,
+		MaxBodyBytes: settings.Router.MaxBodyBytes, RequestReport: created.reports.nudge,
 	})
 	created.agent = agent.New(settings.Node, settings.Zone, created.view, node.logger, settings.Router.PollInterval, created.reports.nudge)
 	return created
--- a/internal/quota/enforcer.go
+++ b/internal/quota/enforcer.go
@@ -101,10 +101,10 @@
 	}
 }
 
-// Learn takes what a leader says of a term: how many routers there are and, where it knows,
+// ApplyDigest takes what a leader says of a term: how many routers there are and, where it knows,
 // the allowances of tenants near their limits.
 // It returns whether to report at once: a new leader waits for it.
-func (e *Enforcer) Learn(now time.Duration, term uint64, routers int, allowances []Allowance, known bool) (report bool) {
+func (e *Enforcer) ApplyDigest(now time.Duration, term uint64, routers int, allowances []Allowance, known bool) (report bool) {
 	if term != e.term {
 		e.term, e.termSince = term, now
 		report = true
@@ -151,8 +151,8 @@
 	return refusal
 }
 
-// GiveBack returns the cost of a request that proved not to have run.
-func (e *Enforcer) GiveBack(now time.Duration, tenant string, cost float64) {
+// Refund returns the cost of a request that proved not to have run.
+func (e *Enforcer) Refund(now time.Duration, tenant string, cost float64) {
 	if use := e.tenants[tenant]; use != nil {
 		use.take(now, e.bound, -cost)
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -94,8 +94,8 @@
 	return &Ledger{bound: bound, expected: routers, began: now, updated: now, nodes: map[string]*nodeUse{}, accounts: map[string]*account{}}
 }
 
-// Take takes a router's report, the newest of it so far.
-func (l *Ledger) Take(now time.Duration, report Report) {
+// ApplyReport takes a router's report, the newest of it so far.
+func (l *Ledger) ApplyReport(now time.Duration, report Report) {
 	node := l.nodes[report.Node]
 	if node == nil {
 		// The first report over a new connection may come before the router has heard of
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -38,8 +38,8 @@
 	return b.Overage*(limit.Rate*b.Window.Seconds()+limit.Burst) + b.Slack
 }
 
-// Most is the most that may be let through in any window.
-func (b Bound) Most(limit Limit) float64 {
+// MaxAdmitted is the most that may be let through in any window.
+func (b Bound) MaxAdmitted(limit Limit) float64 {
 	return limit.Rate*b.Window.Seconds() + limit.Burst + b.tolerance(limit)
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -75,7 +75,7 @@
 		if refusal := enforcer.Admit(0, "a", limit, 900); refusal != nil {
 			t.Fatalf("refused: %+v", refusal)
 		}
-		enforcer.GiveBack(0, "a", 900)
+		enforcer.Refund(0, "a", 900)
 	}
 	if uses, _ := enforcer.Uses(0); len(uses) != 1 || uses[0].Admitted != 0 || uses[0].Recent[0] != 0 {
 		t.Errorf("%+v", uses)
@@ -113,7 +113,7 @@
 			sum += event.cost
 		}
 	}
-	if sum > simBound.Most(low) || sum < low.Rate*simBound.Window.Seconds()/2 {
-		t.Errorf("%.0f were let through in a window under a limit that allows %.0f", sum, simBound.Most(low))
+	if sum > simBound.MaxAdmitted(low) || sum < low.Rate*simBound.Window.Seconds()/2 {
+		t.Errorf("%.0f were let through in a window under a limit that allows %.0f", sum, simBound.MaxAdmitted(low))
 	}
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -192,7 +192,7 @@
 	for router := range s.enforcers {
 		if s.reaches(router) {
 			s.send(func() {
-				if s.enforcers[router].Learn(s.now, term, simRouters, allowances, known) {
+				if s.enforcers[router].ApplyDigest(s.now, term, simRouters, allowances, known) {
 					s.report(router)
 				}
 			})
@@ -212,7 +212,7 @@
 	}
 	report := Report{Node: fmt.Sprint(router), Incarnation: s.lives[router], Uptime: s.now - s.started[router], Uses: uses, Full: full}
 	ledger := s.ledger
-	s.send(func() { ledger.Take(s.now, report) })
+	s.send(func() { ledger.ApplyReport(s.now, report) })
 }
 
 func (s *simulation) traffic() {
@@ -291,7 +291,7 @@
 			sum -= events[first].cost
 			first++
 		}
-		worst = max(worst, sum/simBound.Most(limit))
+		worst = max(worst, sum/simBound.MaxAdmitted(limit))
 	}
 	return worst
 }
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Sent counts a request that is sent for the first time.
-func (b *Budget) Sent(now time.Duration) {
+// CountFirstSend counts a request that is sent for the first time.
+func (b *Budget) CountFirstSend(now time.Duration) {
 	b.advance(now)
 	b.first[b.current%buckets]++
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -27,7 +27,7 @@
 			for range rate {
 				budget := budgets[random.IntN(routers)]
 				if random.IntN(4) == 0 {
-					budget.Sent(now)
+					budget.CountFirstSend(now)
 					first = append(first, now)
 				}
 				if failing && budget.Spend(now, routers) {
