--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -25,13 +25,13 @@
 	StepMismatch
 )
 
-// SendEnd is how the sending of a claimed request ended.
-type SendEnd int
+// SendOutcome is how the sending of a claimed request ended.
+type SendOutcome int
 
 // The ends of a sending.
 const (
 	// SendAnswered: the whole answer has come.
-	SendAnswered SendEnd = iota
+	SendAnswered SendOutcome = iota
 	// SendNotRun: nothing was sent, or the back end said that it did not run.
 	SendNotRun
 	// SendUnknown: it was sent, and no answer came.
@@ -77,7 +77,7 @@
 }
 
 // Sent takes the end of a sending.
-func (a *Attempt) Sent(end SendEnd) Step {
+func (a *Attempt) Sent(end SendOutcome) Step {
 	switch end {
 	case SendAnswered:
 		return StepAnswer
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -38,8 +38,8 @@
 	retryDelay     = 50 * time.Millisecond
 )
 
-// Keeper proposes claims in batches.
-type Keeper struct {
+// Client proposes claims in batches.
+type Client struct {
 	propose feed.ProposeFunc
 	queue   chan *call
 }
@@ -54,13 +54,13 @@
 	err    error
 }
 
-// NewKeeper returns a keeper; Run must be running for it to work.
-func NewKeeper(propose feed.ProposeFunc) *Keeper {
-	return &Keeper{propose: propose, queue: make(chan *call, batchLimit)}
+// NewClient returns a keeper; Run must be running for it to work.
+func NewClient(propose feed.ProposeFunc) *Client {
+	return &Client{propose: propose, queue: make(chan *call, batchLimit)}
 }
 
 // Run sends batches until ctx ends. While one is on its way, the next fills.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Client) Run(ctx context.Context) {
 	var flights sync.WaitGroup
 	defer flights.Wait()
 	for {
@@ -74,7 +74,7 @@
 	}
 }
 
-func (k *Keeper) gather(first *call) []*call {
+func (k *Client) gather(first *call) []*call {
 	batch := []*call{first}
 	for len(batch) < batchLimit {
 		select {
@@ -87,7 +87,7 @@
 	return batch
 }
 
-func (k *Keeper) send(ctx context.Context, batch []*call) {
+func (k *Client) send(ctx context.Context, batch []*call) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	claims := &wirepb.ClaimBatch{}
@@ -108,7 +108,7 @@
 }
 
 // apply proposes one operation until it is answered or ctx ends.
-func (k *Keeper) apply(ctx context.Context, claim *wirepb.ClaimCommand) (*wirepb.ClaimResult, error) {
+func (k *Client) apply(ctx context.Context, claim *wirepb.ClaimCommand) (*wirepb.ClaimResult, error) {
 	for {
 		entry := &call{claim: claim, reply: make(chan callReply, 1)}
 		select {
@@ -134,7 +134,7 @@
 
 // Open asks for the claim. While another owner holds it, Open waits for the
 // outcome until ctx ends; the state is then still open.
-func (k *Keeper) Open(ctx context.Context, key string, fingerprint uint64, owner string, deadline time.Time) (*wirepb.ClaimResult, error) {
+func (k *Client) Open(ctx context.Context, key string, fingerprint uint64, owner string, deadline time.Time) (*wirepb.ClaimResult, error) {
 	claim := &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_OPEN, Key: key, Fingerprint: fingerprint,
 		Owner: owner, DeadlineUnixMs: deadline.UnixMilli(),
@@ -153,7 +153,7 @@
 }
 
 // Complete records the answer.
-func (k *Keeper) Complete(ctx context.Context, key, owner string, answer *wirepb.RecordedAnswer) error {
+func (k *Client) Complete(ctx context.Context, key, owner string, answer *wirepb.RecordedAnswer) error {
 	return k.resolve(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_COMPLETE, Key: key, Owner: owner, Answer: answer,
 	}, wirepb.ClaimState_CLAIM_STATE_COMPLETED)
@@ -161,20 +161,20 @@
 
 // CloseNotRun closes the attempt as not run. Only after it has returned
 // without an error may a caller be told so.
-func (k *Keeper) CloseNotRun(ctx context.Context, key, owner string) error {
+func (k *Client) CloseNotRun(ctx context.Context, key, owner string) error {
 	return k.resolve(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_NOT_RUN, Key: key, Owner: owner,
 	}, wirepb.ClaimState_CLAIM_STATE_NOT_RUN)
 }
 
 // CloseUnknown closes the key: the request may have run.
-func (k *Keeper) CloseUnknown(ctx context.Context, key, owner string) error {
+func (k *Client) CloseUnknown(ctx context.Context, key, owner string) error {
 	return k.resolve(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_UNKNOWN, Key: key, Owner: owner,
 	}, wirepb.ClaimState_CLAIM_STATE_UNKNOWN)
 }
 
-func (k *Keeper) resolve(ctx context.Context, claim *wirepb.ClaimCommand, wanted wirepb.ClaimState) error {
+func (k *Client) resolve(ctx context.Context, claim *wirepb.ClaimCommand, wanted wirepb.ClaimState) error {
 	result, err := k.apply(ctx, claim)
 	if err != nil {
 		return err
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -86,7 +86,7 @@
 	formation := n.settings.Formation
 	return membership.Policy{
 		Voters: formation.Voters(), Zones: formation.TolerateZones, Regions: formation.TolerateRegions,
-		Places: n.settings.Position().Map, ReplaceAfter: n.settings.Control.ReplaceAfter, RemoveLearnerAfter: removeLearnerAfter,
+		Places: n.settings.Position().Zones, ReplaceAfter: n.settings.Control.ReplaceAfter, RemoveLearnerAfter: removeLearnerAfter,
 	}
 }
 
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -61,7 +61,7 @@
 				continue
 			}
 			demand := whole
-			if allowed := places.Only(reported.GetRegions()...); allowed.IsBound() {
+			if allowed := places.RestrictTo(reported.GetRegions()...); allowed.IsRestrictive() {
 				key := boundUse{use, allowed.Key()}
 				if total[key] == nil {
 					total[key] = &AdapterDemand{Version: use.version, Adapter: use.adapter, Allowed: allowed, LastUsed: whole.LastUsed, Now: now}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,7 +57,7 @@
 	// Quota is by how much tenants may exceed their limits.
 	Quota quota.Bound
 	// Places tells in which regions machines and routers stand.
-	Places places.Map
+	Places places.ZoneMap
 	// Routers is how many the term before had, as far as that is known.
 	Routers int
 }
@@ -167,7 +167,7 @@
 
 // Work returns the averaged rate of work of each version, in tokens per second.
 func (c *Controller) Work() map[string]float64 {
-	return c.planner.Work()
+	return c.planner.WorkRates()
 }
 
 // SweepDue reports whether abandoned claims should be looked for. It stands
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -37,7 +37,7 @@
 		drainZone(t, machine, "elsewhere", true)
 		view := &clusterView{storedView: readState(machine), reports: map[string]machineEntry{"m": {report: &wirepb.MachineReport{}}}}
 		listed := view.placementMachines()["m"]
-		if listed.Accepts == drained || listed.Drained != drained || listed.Lost {
+		if listed.Schedulable == drained || listed.Drained != drained || listed.Lost {
 			t.Errorf("drained is %t, and the machine is %+v", drained, listed)
 		}
 	}
--- a/internal/controller/loadcrash.go
+++ b/internal/controller/loadcrash.go
@@ -36,9 +36,9 @@
 		}
 		spec := action.Replica.Spec
 		switch {
-		case action.EndedUnderLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonAnnounced:
+		case action.CrashedDuringLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonAnnounced:
 			// A planned end.
-		case action.EndedUnderLoad:
+		case action.CrashedDuringLoad:
 			run := quarantine.Run{
 				Machine: spec.Machine, Life: quarantine.LifeOf(spec.Machine, spec.Incarnation),
 				Identity: quarantine.LoadIdentity(spec.Version), Route: loadRoute + spec.Version,
--- a/internal/controller/loadcrash_test.go
+++ b/internal/controller/loadcrash_test.go
@@ -35,7 +35,7 @@
 	machine := fleetState(t)
 	declareDefault(t, machine, "blue")
 	gone := func(name string) placement.Action {
-		return placement.Action{Kind: placement.ActionRemove, Replica: loading(name), Reason: "machine-gone", EndedUnderLoad: true}
+		return placement.Action{Kind: placement.ActionRemove, Replica: loading(name), Reason: "machine-gone", CrashedDuringLoad: true}
 	}
 	view := readState(machine)
 	commands := view.loadCommands([]placement.Action{gone("i-1"), gone("i-2"), {Kind: placement.ActionUnload, Replica: loading("i-3")}})
--- a/internal/controller/near_test.go
+++ b/internal/controller/near_test.go
@@ -12,7 +12,7 @@
 
 func viewOf(t *testing.T, reports *ReportTable) *clusterView {
 	t.Helper()
-	leader := New(0, Config{Places: places.NewMap(map[string]string{"z": "north", "y": "south"})}, reports)
+	leader := New(0, Config{Places: places.NewZoneMap(map[string]string{"z": "north", "y": "south"})}, reports)
 	leader.Observe(fleetState(t))
 	return leader.view(time.Second)
 }
@@ -21,7 +21,7 @@
 // disk would load from the store what is there.
 func TestNewLeaderLearnsDisksBeforeItLoads(t *testing.T) {
 	reports := NewReportTable()
-	if machine := viewOf(t, reports).placementMachines()["m"]; machine.Accepts {
+	if machine := viewOf(t, reports).placementMachines()["m"]; machine.Schedulable {
 		t.Error("a machine that was not heard of in this term gets loads")
 	}
 	known := knows(orders.State{Disk: []string{"blue"}, Memory: []string{"red"}})
@@ -29,8 +29,8 @@
 		reports.AddMachine(time.Second, report)
 	}
 	machine := viewOf(t, reports).placementMachines()["m"]
-	if !machine.Accepts || machine.Tiers["blue"] != placement.TierDisk || machine.Tiers["red"] != placement.TierMemory {
-		t.Errorf("accepts: %v, tiers: %v", machine.Accepts, machine.Tiers)
+	if !machine.Schedulable || machine.Tiers["blue"] != placement.TierDisk || machine.Tiers["red"] != placement.TierMemory {
+		t.Errorf("accepts: %v, tiers: %v", machine.Schedulable, machine.Tiers)
 	}
 	if machine.Region != "north" {
 		t.Errorf("in region %q", machine.Region)
--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -33,15 +33,15 @@
 		t.Errorf("%+v", demand)
 	}
 	found := map[string]int{}
-	for _, bound := range demand.Bound {
+	for _, bound := range demand.Constrained {
 		found[bound.Allowed.Key()] = bound.Waiting
-		if bound.Allowed.Key() == places.Only("a", "b").Key() {
+		if bound.Allowed.Key() == places.RestrictTo("a", "b").Key() {
 			if bound.Waiting != 4 || bound.Running != 2 || bound.OldestWait != 1500*time.Millisecond || bound.Priority != 9 {
 				t.Errorf("%+v", bound)
 			}
 		}
 	}
-	if len(found) != 2 || found[places.Only("c").Key()] != 2 {
+	if len(found) != 2 || found[places.RestrictTo("c").Key()] != 2 {
 		t.Errorf("%v", found)
 	}
 }
@@ -94,7 +94,7 @@
 
 // TestAdapterPlacesStandInRegions: by the table that the cache was given.
 func TestAdapterPlacesStandInRegions(t *testing.T) {
-	cache := RegisteredFleetCache{Places: places.NewMap(map[string]string{"z": "a"})}
+	cache := RegisteredFleetCache{Places: places.NewZoneMap(map[string]string{"z": "a"})}
 	known := orders.State{Models: map[string][]string{"red": {}}}
 	found := cache.Read(fleetState(t)).adapterPlaces(func(string) (orders.State, bool) { return known, true })
 	if len(found) != 1 || found[0].region != "a" {
--- a/internal/controller/registered.go
+++ b/internal/controller/registered.go
@@ -38,7 +38,7 @@
 	// replicas are the records, by machine.
 	replicas map[string][]storedReplica
 	// places tells in which regions the machines stand.
-	places places.Map
+	places places.ZoneMap
 	// engines are the machines with engines that are not gone, sorted; see names.
 	engines     []string
 	listEngines sync.Once
@@ -72,7 +72,7 @@
 // an object has a revision of its own, and what was read is never written to.
 type RegisteredFleetCache struct {
 	// Places tells in which regions machines stand.
-	Places places.Map
+	Places places.ZoneMap
 	mutex  sync.Mutex
 	held   *RegisteredFleet
 }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -59,7 +59,7 @@
 // reports beside them.
 type clusterView struct {
 	*storedView
-	places   places.Map
+	places   places.ZoneMap
 	now      time.Duration
 	nodes    map[string]nodeEntry
 	reports  map[string]machineEntry
@@ -189,15 +189,15 @@
 			Name: name, Zone: declared.Spec.Zone, Region: v.places.Region(declared.Spec.Zone),
 			Accelerators: declared.Spec.Accelerators, AcceleratorBytes: declared.Spec.AcceleratorBytes,
 			Incarnation: declared.Status.Incarnation, Fence: report.GetFence(),
-			Accepts: live && !drained,
-			Drained: live && drained,
-			Lost:    declared.Status.Phase == v1.MachineLost,
-			Pool:    declared.Spec.Pool,
-			Tiers:   map[string]placement.Tier{},
+			Schedulable: live && !drained,
+			Drained:     live && drained,
+			Lost:        declared.Status.Phase == v1.MachineLost,
+			Pool:        declared.Spec.Pool,
+			Tiers:       map[string]placement.Tier{},
 		}
 		if machine.Pool != "" && report == nil {
 			// What a registered machine holds is not known yet.
-			machine.Accepts = false
+			machine.Schedulable = false
 		}
 		for _, checkpoint := range report.GetCheckpoints() {
 			machine.Tiers[checkpoint.GetCheckpoint()] = placement.Tier(checkpoint.GetTier())
@@ -270,7 +270,7 @@
 func (v *clusterView) demand() map[string]*placement.Demand {
 	total := make(map[string]*placement.Demand, len(v.arrivals))
 	for version, counts := range v.arrivals {
-		total[version] = &placement.Demand{Arrivals: counts.arrivals, Work: counts.work, Target: time.Duration(counts.targetMs) * time.Millisecond}
+		total[version] = &placement.Demand{Arrivals: counts.arrivals, Work: counts.work, FirstTokenTarget: time.Duration(counts.targetMs) * time.Millisecond}
 	}
 	for _, entry := range v.nodes {
 		age := v.now - entry.received
@@ -318,7 +318,7 @@
 			if len(reported.GetRegions()) == 0 || reported.GetAdapter() != "" || demand == nil {
 				continue
 			}
-			bound := boundBy(demand, places.Only(reported.GetRegions()...))
+			bound := boundBy(demand, places.RestrictTo(reported.GetRegions()...))
 			bound.Waiting += int(reported.GetWaiting())
 			bound.Running += int(reported.GetRunning())
 			bound.Priority = max(bound.Priority, reported.GetPriority())
@@ -328,14 +328,14 @@
 }
 
 // boundBy returns a version's demand under a constraint, which is added if there is none.
-func boundBy(demand *placement.Demand, allowed places.Constraint) *placement.BoundDemand {
-	for position := range demand.Bound {
-		if demand.Bound[position].Allowed.Key() == allowed.Key() {
-			return &demand.Bound[position]
+func boundBy(demand *placement.Demand, allowed places.Constraint) *placement.ConstrainedDemand {
+	for position := range demand.Constrained {
+		if demand.Constrained[position].Allowed.Key() == allowed.Key() {
+			return &demand.Constrained[position]
 		}
 	}
-	demand.Bound = append(demand.Bound, placement.BoundDemand{Allowed: allowed})
-	return &demand.Bound[len(demand.Bound)-1]
+	demand.Constrained = append(demand.Constrained, placement.ConstrainedDemand{Allowed: allowed})
+	return &demand.Constrained[len(demand.Constrained)-1]
 }
 
 // addRegion counts requests by where they come from, as far as that is known.
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -17,7 +17,7 @@
 // boundBy returns what is asked under a request's constraint; nil for a request that may go
 // anywhere, which costs nothing more.
 func (v *versionState) boundBy(request *Request) *boundDemand {
-	if !request.Allowed.IsBound() {
+	if !request.Allowed.IsRestrictive() {
 		return nil
 	}
 	if v.bound == nil {
@@ -120,7 +120,7 @@
 			continue
 		}
 		demand.addWaiting(now, entry.request)
-		if !entry.request.Allowed.IsBound() {
+		if !entry.request.Allowed.IsRestrictive() {
 			continue
 		}
 		both := boundAdapter{entry.request.Adapter, entry.request.Allowed.Key()}
--- a/internal/dispatch/drained.go
+++ b/internal/dispatch/drained.go
@@ -62,7 +62,7 @@
 		return Refusal{}, false // The leader has not been heard on this yet.
 	case estimate.Refused:
 		return refusalByLeader(request, estimate), true
-	case !request.Allowed.IsBound() && estimate.EarliestAt.After(request.Deadline):
+	case !request.Allowed.IsRestrictive() && estimate.EarliestAt.After(request.Deadline):
 		refusal.Detail = "the model will not be loaded elsewhere before the deadline"
 		refusal.RetryAfter = estimate.ReadyAt.Sub(now)
 	default:
--- a/internal/dispatch/near_test.go
+++ b/internal/dispatch/near_test.go
@@ -9,7 +9,7 @@
 )
 
 // placedCore is a router's core with one target in each of the given places.
-func placedCore(config Config, near ...places.Nearness) (*Core, time.Time) {
+func placedCore(config Config, near ...places.Proximity) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	config.MaxWaiting, config.SharedSlots, config.ByWork = 100, true, true
 	core := New(config)
@@ -39,7 +39,7 @@
 		{"all busy", 5000, 5000, 4500, "m2"},
 	}
 	for _, test := range tests {
-		core, now := placedCore(Config{}, places.Further, places.SameRegion, places.SameZone)
+		core, now := placedCore(Config{}, places.OtherRegion, places.SameRegion, places.SameZone)
 		core.SetWork(now, map[string]float64{"m0": test.further, "m1": test.region, "m2": test.zone})
 		asked := request(now, 1000, 0, 0)
 		asked.Detour = detour
@@ -53,10 +53,10 @@
 // its requests to another region.
 func TestHomesAreInTheRegion(t *testing.T) {
 	for prefix := uint64(1); prefix <= 20; prefix++ {
-		core, now := placedCore(Config{}, places.Further, places.Further, places.Further, places.SameRegion, places.SameRegion)
+		core, now := placedCore(Config{}, places.OtherRegion, places.OtherRegion, places.OtherRegion, places.SameRegion, places.SameRegion)
 		asked := request(now, 1000, 900, prefix)
 		asked.Detour = 1
-		if granted := grantOf(t, core.Submit(now, asked)); granted.Target.Nearness == places.Further {
+		if granted := grantOf(t, core.Submit(now, asked)); granted.Target.Nearness == places.OtherRegion {
 			t.Errorf("the beginning %d has its home in another region", prefix)
 		}
 	}
@@ -65,18 +65,18 @@
 // TestUnknownPlacesAreAlike: a router that does not know its region takes all other zones to be
 // far, and would send everything to the machines of its own.
 func TestUnknownPlacesAreAlike(t *testing.T) {
-	core, now := placedCore(Config{}, places.Further, places.SameZone)
+	core, now := placedCore(Config{}, places.OtherRegion, places.SameZone)
 	core.SetWork(now, map[string]float64{"m1": 100})
-	homes := map[places.Nearness]bool{}
+	homes := map[places.Proximity]bool{}
 	for prefix := uint64(1); prefix <= 20; prefix++ {
 		granted := grantOf(t, core.Submit(now, request(now, 1000, 900, prefix)))
 		homes[granted.Target.Nearness] = true
 		core.Release(now, granted, ResultOK)
 	}
-	if !homes[places.Further] || !homes[places.SameZone] {
+	if !homes[places.OtherRegion] || !homes[places.SameZone] {
 		t.Errorf("all beginnings have their homes on one side: %v", homes)
 	}
-	if granted := grantOf(t, core.Submit(now, request(now, 1000, 0, 0))); granted.Target.Nearness != places.Further {
+	if granted := grantOf(t, core.Submit(now, request(now, 1000, 0, 0))); granted.Target.Nearness != places.OtherRegion {
 		t.Error("the busier machine is preferred for its place")
 	}
 }
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -128,7 +128,7 @@
 // hasChoice reports whether a version has more than one target in the regions that a request
 // may be served in.
 func (v *versionState) hasChoice(request *Request) bool {
-	if !request.Allowed.IsBound() {
+	if !request.Allowed.IsRestrictive() {
 		return len(v.targets) > 1
 	}
 	allowed := 0
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refuse.go
@@ -26,7 +26,7 @@
 	}
 	// When a replica is ready is said of the version as a whole: one in the request's regions may
 	// be ready sooner, so nobody who is bound to some is refused for it.
-	if !request.Allowed.IsBound() && estimate.EarliestAt.After(request.Deadline) {
+	if !request.Allowed.IsRestrictive() && estimate.EarliestAt.After(request.Deadline) {
 		return Refusal{
 			Request: request, Reason: RefusedDeadline, Detail: "the model will not be loaded before the deadline",
 			RetryAfter: estimate.ReadyAt.Sub(now),
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -62,7 +62,7 @@
 }
 
 func (r *regionTrial) constraint(label string) places.Constraint {
-	return places.Only(rapid.SliceOfN(rapid.SampledFrom(regionNames[:3]), 0, 2).Draw(r.t, label)...)
+	return places.RestrictTo(rapid.SliceOfN(rapid.SampledFrom(regionNames[:3]), 0, 2).Draw(r.t, label)...)
 }
 
 func (r *regionTrial) targets() {
@@ -80,7 +80,7 @@
 	r.nextID++
 	request := &Request{
 		ID: r.nextID, Version: "v", Priority: int32(r.nextID % 2), Arrived: r.now, Deadline: r.now.Add(time.Minute), Work: 100,
-		Prefix: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").And(r.constraint("tenant")),
+		Prefix: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").Intersect(r.constraint("tenant")),
 	}
 	r.waiting[request.ID] = request
 	r.take(r.core.Submit(r.now, request))
@@ -103,7 +103,7 @@
 	if rapid.Bool().Draw(r.t, "tried") {
 		request.Tried = append(request.Tried, ended.Target.Machine)
 	}
-	request.Allowed = request.Allowed.And(r.constraint("narrower"))
+	request.Allowed = request.Allowed.Intersect(r.constraint("narrower"))
 	r.waiting[request.ID] = request
 	r.take(r.core.Resubmit(r.now, request))
 }
@@ -135,7 +135,7 @@
 // placed adapters the first that waits may hold up the others, but not if it waits for its region.
 func (r *regionTrial) checkNobodyWaits() {
 	first := r.core.version("v").queue.first()
-	if first == nil || !r.core.config.PlacedAdapters && !first.Allowed.IsBound() {
+	if first == nil || !r.core.config.PlacedAdapters && !first.Allowed.IsRestrictive() {
 		return
 	}
 	for _, request := range r.waiting {
@@ -175,7 +175,7 @@
 }
 
 func bound(id uint64, regions ...string) *Request {
-	return &Request{ID: id, Version: "v", Arrived: beginning, Deadline: beginning.Add(time.Minute), Allowed: places.Only(regions...)}
+	return &Request{ID: id, Version: "v", Arrived: beginning, Deadline: beginning.Add(time.Minute), Allowed: places.RestrictTo(regions...)}
 }
 
 // TestOnlyAllowedTargetIsTriedThoughEjected, as the only target at all is.
@@ -256,7 +256,7 @@
 	}
 	core.Cancel(&Request{ID: 3, Version: "v"})
 	core.Release(beginning, running, ResultNotRun)
-	running.Request.Allowed = places.Only("b")
+	running.Request.Allowed = places.RestrictTo("b")
 	core.Resubmit(beginning, running.Request)
 	const after = "v[]: 2 waiting, 0 running, 3 so far, oldest 1s\nv[a b]: 0 waiting, 0 running, 1 so far, oldest 0s\n" +
 		"v[b]: 1 waiting, 0 running, 0 so far, oldest 1s\nv[c]: 1 waiting, 0 running, 1 so far, oldest 1s"
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -71,7 +71,7 @@
 	if first == nil {
 		return nil, nil
 	}
-	if chosen := c.pick(now, version, first); chosen != nil || !c.config.PlacedAdapters && !first.Allowed.IsBound() {
+	if chosen := c.pick(now, version, first); chosen != nil || !c.config.PlacedAdapters && !first.Allowed.IsRestrictive() {
 		return first, chosen
 	}
 	for _, request := range version.queue.sorted() {
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -54,7 +54,7 @@
 	// Region is where the target is served from; empty where that is not known.
 	Region string
 	// Nearness is how near the target is to the router.
-	Nearness places.Nearness
+	Nearness places.Proximity
 	// Fixed is set for a machine that serves by itself: no replica of it can be loaded elsewhere.
 	Fixed bool
 	// Suspect targets get requests only if there are no others: their machine
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -111,7 +111,7 @@
 }
 
 // crossing is the work that a further target must have less before it.
-func (r *Request) crossing(nearness places.Nearness) float64 {
+func (r *Request) crossing(nearness places.Proximity) float64 {
 	switch nearness {
 	case places.SameZone:
 		return 0
@@ -129,7 +129,7 @@
 	}
 	var near []*target
 	for _, candidate := range targets {
-		if candidate.Nearness < places.Further {
+		if candidate.Nearness < places.OtherRegion {
 			near = append(near, candidate)
 		}
 	}
--- a/internal/faultsim/requests.go
+++ b/internal/faultsim/requests.go
@@ -217,7 +217,7 @@
 }
 
 // hold places a hold, unless the ledger says that it did not.
-func (l *ledger) hold(key, owner string, reply func(claims.SendEnd)) {
+func (l *ledger) hold(key, owner string, reply func(claims.SendOutcome)) {
 	if l.world.random.IntN(10) == 0 {
 		reply(claims.SendNotRun)
 		return
@@ -358,9 +358,9 @@
 		return
 	}
 	ledger := r.world.ledger
-	call(&r.process, &ledger.process, left, func(reply func(claims.SendEnd)) {
+	call(&r.process, &ledger.process, left, func(reply func(claims.SendOutcome)) {
 		ledger.hold(h.key, h.owner, reply)
-	}, func(end claims.SendEnd, answered bool) {
+	}, func(end claims.SendOutcome, answered bool) {
 		if !answered {
 			end = claims.SendUnknown
 		}
@@ -373,7 +373,7 @@
 		h.tell(verdictNotRun)
 		ledger := h.router.world.ledger
 		h.router.world.send(&h.router.process, &ledger.process, func() {
-			ledger.hold(h.key, h.owner, func(claims.SendEnd) {})
+			ledger.hold(h.key, h.owner, func(claims.SendOutcome) {})
 		})
 		return
 	}
--- a/internal/feed/balance_test.go
+++ b/internal/feed/balance_test.go
@@ -67,13 +67,13 @@
 			t.Fatal(err)
 		}
 		backend := &digestBackend{changed: signal.New(), sequence: 1}
-		server := NewServer(backend, identityOf("server-"+strconv.Itoa(number)), places.Map{}, slog.New(slog.DiscardHandler), nil)
+		server := NewServer(backend, identityOf("server-"+strconv.Itoa(number)), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 		workers.Go(func() { _ = server.Serve(ctx, listener) })
 		backends[listener.Addr().String()] = backend
 		addresses = append(addresses, listener.Addr().String())
 	}
 	var order []string
-	for _, server := range byPreference("client", places.Position{}, Upstreams(addresses)) {
+	for _, server := range byPreference("client", places.Location{}, Upstreams(addresses)) {
 		order = append(order, server.Address)
 	}
 	backends[order[0]].stands = true
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	backend := &digestBackend{changed: signal.New(), sequence: 7}
-	server := NewServer(backend, identityOf("server"), places.Map{}, slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	client := NewClient([]string{"127.0.0.1:1"}, identityOf("client"), nullSink{}, slog.New(slog.DiscardHandler))
 	if _, ok := client.prove(ctx, listener.Addr().String()); ok {
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	backend := &digestBackend{changed: signal.New(), sequence: 7}
-	server := NewServer(backend, identityOf("server"), places.Map{}, slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	address := listener.Addr().String()
 	follower, err := wire.Dial(ctx, address, identityOf("follower"))
@@ -235,7 +235,7 @@
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer cancel()
-	zones := places.NewMap(map[string]string{"far": "r", "near": "r"})
+	zones := places.NewZoneMap(map[string]string{"far": "r", "near": "r"})
 	roster := &wirepb.Roster{}
 	backends := map[string]*zonedBackend{}
 	for _, zone := range []string{"far", "near"} {
@@ -255,7 +255,7 @@
 	sink := &zonedSink{sinkOf: sinkOf{changed: signal.New()}}
 	client := NewClient(roster.GetControl()[:1], identityOf("client"), sink, slog.New(slog.DiscardHandler))
 	client.Discover(func() []Upstream { return UpstreamsOf(sink.digest.Load().GetRoster()) })
-	client.Prefer(places.Position{Zone: "near", Map: zones})
+	client.Prefer(places.Location{Zone: "near", Zones: zones})
 	workers.Go(func() { client.Run(ctx) })
 	sink.await(t, "the state", func() bool { return sink.Revision() == 100 })
 	if backends["far"].lists != 0 || backends["near"].lists == 0 {
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -30,7 +30,7 @@
 	name      string
 	upstreams []string
 	// position decides which servers are near.
-	position places.Position
+	position places.Location
 	// rebalanceAfter is how long the client stays with a server while it prefers another.
 	rebalanceAfter time.Duration
 	// discover returns further servers that are known by now; may be nil.
@@ -69,7 +69,7 @@
 		if connected, err := c.connect(ctx); err == nil {
 			c.last = connected.address
 			c.logger.Info("upstream_connected", "address", connected.address, "zone", connected.conn.Peer.GetZone(),
-				"nearness", c.position.To(connected.conn.Peer.GetZone()).String())
+				"nearness", c.position.ProximityOf(connected.conn.Peer.GetZone()).String())
 			since := time.Now()
 			c.follow(ctx, connected)
 			c.leave(connected, since)
@@ -104,7 +104,7 @@
 }
 
 // Prefer makes the client prefer servers that are near a position; call it before Run.
-func (c *Client) Prefer(position places.Position) {
+func (c *Client) Prefer(position places.Location) {
 	c.position = position
 }
 
@@ -115,7 +115,7 @@
 	c.mutex.Lock()
 	handover := c.handover
 	c.handover = nil
-	servers = c.left.inTurn(c.position.Map, servers)
+	servers = c.left.inTurn(c.position.Zones, servers)
 	c.mutex.Unlock()
 	if handover != nil {
 		return *handover, nil
--- a/internal/feed/harness_test.go
+++ b/internal/feed/harness_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	server := NewServer(backend, identityOf(name), places.Map{}, slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf(name), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 	r.run(func(ctx context.Context) { _ = server.Serve(ctx, listener) })
 	return listener.Addr().String()
 }
--- a/internal/feed/liveness_test.go
+++ b/internal/feed/liveness_test.go
@@ -16,7 +16,7 @@
 	grown := Upstreams([]string{"a", "b", "c", "d"})
 	now := time.Unix(1000, 0)
 	for _, last := range grown {
-		order := departures{last.Address: {at: now}}.inTurn(places.Map{}, grown)
+		order := departures{last.Address: {at: now}}.inTurn(places.ZoneMap{}, grown)
 		if order[0] == last || order[len(order)-1] != last || len(order) != len(grown) {
 			t.Errorf("after %s come %v", last, order)
 		}
@@ -24,17 +24,17 @@
 	visited, left := map[string]bool{}, departures{"c": {at: now}}
 	for range seeds {
 		now = now.Add(time.Second)
-		next := left.inTurn(places.Map{}, seeds)[0].Address
+		next := left.inTurn(places.ZoneMap{}, seeds)[0].Address
 		left.note(now, next, departure{at: now})
 		visited[next] = true
 	}
 	if len(visited) != len(seeds) {
 		t.Errorf("visited %v of %v", visited, seeds)
 	}
-	if next := left.inTurn(places.Map{}, grown)[0].Address; next != "d" {
+	if next := left.inTurn(places.ZoneMap{}, grown)[0].Address; next != "d" {
 		t.Errorf("once all seeds were left, %s comes before the one learned of", next)
 	}
-	if next := (departures{"unknown": {at: now}}).inTurn(places.Map{}, seeds)[0].Address; next != "a" {
+	if next := (departures{"unknown": {at: now}}).inTurn(places.ZoneMap{}, seeds)[0].Address; next != "a" {
 		t.Errorf("after a server that is no longer listed comes %s", next)
 	}
 }
--- a/internal/feed/nearer.go
+++ b/internal/feed/nearer.go
@@ -27,7 +27,7 @@
 // listsNearer reports whether the client, which holds nothing, should look for a nearer server
 // before it lists.
 func (c *Client) listsNearer(connected connection) bool {
-	return c.discover != nil && c.sink.Revision() == 0 && c.position.To(connected.conn.Peer.GetZone()) != places.SameZone
+	return c.discover != nil && c.sink.Revision() == 0 && c.position.ProximityOf(connected.conn.Peer.GetZone()) != places.SameZone
 }
 
 // watchUnlessNearer changes over to a nearer server that the first digest names, or asks the present
@@ -52,9 +52,9 @@
 
 // connectNearer connects to one of the first servers that stand nearer than the present one.
 func (c *Client) connectNearer(ctx context.Context, connected connection) (connection, bool) {
-	present := c.position.To(connected.conn.Peer.GetZone())
+	present := c.position.ProximityOf(connected.conn.Peer.GetZone())
 	nearer := slices.DeleteFunc(c.preferredTo(connected.address), func(server Upstream) bool {
-		return server.Zone == "" || c.position.To(server.Zone) >= present
+		return server.Zone == "" || c.position.ProximityOf(server.Zone) >= present
 	})
 	if len(nearer) == 0 {
 		return connection{}, false
--- a/internal/feed/preference.go
+++ b/internal/feed/preference.go
@@ -43,12 +43,12 @@
 // (rendezvous hashing), so that clients spread evenly and those of a server that is lost spread
 // over all that are next. With one order for all clients, a single server that is cut off would
 // leave all of them without digests, and they would move on to the same next one.
-func byPreference(client string, position places.Position, servers []Upstream) []Upstream {
+func byPreference(client string, position places.Location, servers []Upstream) []Upstream {
 	ordered := slices.Clone(servers)
 	weight := func(server Upstream) uint64 { return xxhash.Sum64String(client + "\x00" + server.Address) }
 	slices.SortStableFunc(ordered, func(left, right Upstream) int {
 		return cmp.Or(
-			cmp.Compare(position.To(left.Zone), position.To(right.Zone)),
+			cmp.Compare(position.ProximityOf(left.Zone), position.ProximityOf(right.Zone)),
 			cmp.Compare(weight(right), weight(left)),
 		)
 	})
@@ -99,7 +99,7 @@
 // end, the one that was left last behind all others; before them those that stand near one that
 // was cut off, the nearest last. So a client whose near servers are all cut off reaches one that
 // is not as soon as it can: fresh state goes before nearness.
-func (d departures) inTurn(regions places.Map, servers []Upstream) []Upstream {
+func (d departures) inTurn(regions places.ZoneMap, servers []Upstream) []Upstream {
 	ordered := slices.Clone(servers)
 	slices.SortStableFunc(ordered, func(left, right Upstream) int {
 		return cmp.Or(
@@ -111,11 +111,11 @@
 }
 
 // sharedFate is how near a zone is to a server that was cut off: 0 if it is far from all.
-func (d departures) sharedFate(regions places.Map, zone string) int {
+func (d departures) sharedFate(regions places.ZoneMap, zone string) int {
 	shared := 0
 	for _, left := range d {
 		if left.cutOff {
-			shared = max(shared, int(places.Further-regions.Between(zone, left.zone)))
+			shared = max(shared, int(places.OtherRegion-regions.Proximity(zone, left.zone)))
 		}
 	}
 	return shared
--- a/internal/feed/preference_test.go
+++ b/internal/feed/preference_test.go
@@ -21,7 +21,7 @@
 	}
 	first, next := map[string]int{}, map[string]map[string]int{}
 	for number := range clients {
-		order := byPreference("node-"+strconv.Itoa(number), places.Position{}, known)
+		order := byPreference("node-"+strconv.Itoa(number), places.Location{}, known)
 		if len(order) != servers {
 			t.Fatalf("%v", order)
 		}
@@ -31,7 +31,7 @@
 			next[lost] = map[string]int{}
 		}
 		left := departures{lost: {at: time.Unix(100, 0)}}
-		next[lost][left.inTurn(places.Map{}, order)[0].Address]++
+		next[lost][left.inTurn(places.ZoneMap{}, order)[0].Address]++
 	}
 	for _, server := range known {
 		if first[server.Address] < clients/servers/2 || first[server.Address] > 2*clients/servers {
@@ -44,25 +44,25 @@
 }
 
 // fourZones are two control nodes in each of four zones, two to a region, and their map.
-func fourZones() (places.Map, []Upstream) {
+func fourZones() (places.ZoneMap, []Upstream) {
 	var servers []Upstream
 	for number := range 8 {
 		zone := "zone-" + strconv.Itoa(number%4)
 		servers = append(servers, Upstream{Address: "10.0.0." + strconv.Itoa(number) + ":7400", Zone: zone})
 	}
-	return places.NewMap(map[string]string{"zone-0": "east", "zone-1": "east", "zone-2": "west", "zone-3": "west"}), servers
+	return places.NewZoneMap(map[string]string{"zone-0": "east", "zone-1": "east", "zone-2": "west", "zone-3": "west"}), servers
 }
 
 // TestNearestServersComeFirst: each stream that leaves a zone is paid for. Clients of a zone still
 // spread over its servers, and those of one that is lost over the next nearest.
 func TestNearestServersComeFirst(t *testing.T) {
 	regions, servers := fourZones()
-	position := places.Position{Zone: "zone-1", Map: regions}
+	position := places.Location{Zone: "zone-1", Zones: regions}
 	first, third := map[string]int{}, map[string]int{}
 	for number := range 200 {
 		order := byPreference("node-"+strconv.Itoa(number), position, servers)
 		for step, server := range order {
-			if wanted := []places.Nearness{0, 0, 1, 1, 2, 2, 2, 2}[step]; position.To(server.Zone) != wanted {
+			if wanted := []places.Proximity{0, 0, 1, 1, 2, 2, 2, 2}[step]; position.ProximityOf(server.Zone) != wanted {
 				t.Fatalf("choice %d stands in %s", step, server.Zone)
 			}
 		}
@@ -85,21 +85,21 @@
 // it, reaches a further one instead of changing to and fro between the near ones.
 func TestNoServerIsTriedAgainBeforeTheOthers(t *testing.T) {
 	regions, servers := fourZones()
-	order := byPreference("node", places.Position{Zone: "zone-3", Map: regions}, servers)
+	order := byPreference("node", places.Location{Zone: "zone-3", Zones: regions}, servers)
 	left, now := departures{}, time.Unix(100, 0)
 	for step := range order {
-		next := left.inTurn(places.Map{}, order)[0]
+		next := left.inTurn(places.ZoneMap{}, order)[0]
 		if next != order[step] {
 			t.Fatalf("after %d servers the client turns to %v, not to %v", step, next, order[step])
 		}
 		left.note(now, next.Address, departure{at: now.Add(settledAfter / 2)})
 		now = now.Add(settledAfter)
 	}
-	if again := left.inTurn(places.Map{}, order)[0]; again != order[0] {
+	if again := left.inTurn(places.ZoneMap{}, order)[0]; again != order[0] {
 		t.Errorf("once all were left, the client turns to %v", again)
 	}
 	left.note(now, order[4].Address, departure{at: now.Add(settledAfter)})
-	if next := left.inTurn(places.Map{}, order); next[0] != order[0] || next[len(next)-1] != order[4] {
+	if next := left.inTurn(places.ZoneMap{}, order); next[0] != order[0] || next[len(next)-1] != order[4] {
 		t.Errorf("a client that had settled with a further server turns to %v", next)
 	}
 }
@@ -108,7 +108,7 @@
 // of the zone are without news, and each takes a client most of a second to find out about.
 func TestServersThatShareAFateComeLater(t *testing.T) {
 	regions, servers := fourZones()
-	position := places.Position{Zone: "zone-3", Map: regions}
+	position := places.Location{Zone: "zone-3", Zones: regions}
 	order := byPreference("node", position, servers)
 	now := time.Unix(100, 0)
 	for _, test := range []struct {
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -116,7 +116,7 @@
 
 // NewServer returns a server in a place whose zones are known. The peer function takes over
 // connections whose hello carries a control id.
-func NewServer(backend Backend, self wire.Identity, zones places.Map, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
+func NewServer(backend Backend, self wire.Identity, zones places.ZoneMap, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
 	refuse := self.Refuse
 	self.Refuse = func(hello *wirepb.Hello) string {
 		if hello.GetControlId() == 0 && !backend.Serves() {
--- a/internal/feed/server_test.go
+++ b/internal/feed/server_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	backend := &changingBackend{changed: signal.New()}
-	server := NewServer(backend, identityOf("server"), places.Map{}, slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.ZoneMap{}, slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	conn, err := wire.Dial(ctx, listener.Addr().String(), identityOf("client"))
 	if err != nil {
--- a/internal/feed/subsets.go
+++ b/internal/feed/subsets.go
@@ -22,7 +22,7 @@
 // package subset.
 type subsets struct {
 	backend Backend
-	places  places.Map
+	places  places.ZoneMap
 
 	mutex sync.Mutex
 	index *subset.Index
@@ -42,7 +42,7 @@
 	chosen *subset.Subset
 }
 
-func newSubsets(backend Backend, zones places.Map) *subsets {
+func newSubsets(backend Backend, zones places.ZoneMap) *subsets {
 	return &subsets{backend: backend, places: zones, index: subset.NewIndex(zones), lists: map[string]*subsetList{}}
 }
 
@@ -80,7 +80,7 @@
 		return nil, nil
 	}
 	s.catchUp(listed.Revision)
-	chosen := s.index.Subset(places.Position{Map: s.places, Zone: zone})
+	chosen := s.index.Subset(places.Location{Zones: s.places, Zone: zone})
 	events := append(subset.Common(listed.Events), chosen.Update()...)
 	parts, err := pack(Changes{Events: events, Revision: listed.Revision})
 	if err != nil {
--- a/internal/feed/subsets_test.go
+++ b/internal/feed/subsets_test.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewServer(backend, identityOf("server"), places.NewMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.NewZoneMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	follow := func(name string, part bool) (*sinkOf, *Client) {
 		identity := identityOf(name)
@@ -196,7 +196,7 @@
 func TestSubsetListsAreMadeOnceForAZone(t *testing.T) {
 	backend := &listBackend{}
 	backend.put(100)
-	lists := newSubsets(backend, places.Map{})
+	lists := newSubsets(backend, places.ZoneMap{})
 	first, err := lists.list("z", 0)
 	if err != nil {
 		t.Fatal(err)
@@ -217,7 +217,7 @@
 // TestDigestsAreCutToWhatANodeKnows: the numbers of its machines stay theirs, the roster travels
 // when it or the subset has changed, and the whole digest is left alone.
 func TestDigestsAreCutToWhatANodeKnows(t *testing.T) {
-	index := subset.NewIndex(places.Map{})
+	index := subset.NewIndex(places.ZoneMap{})
 	var events []*wirepb.WatchEvent
 	backend := &fleetBackend{changed: signal.New()}
 	for _, number := range []int{1, 3, 4} {
@@ -226,7 +226,7 @@
 	}
 	events = append(events, backend.events...)
 	index.Apply(events, backend.revision, true)
-	chosen := index.Subset(places.Position{Zone: "z"})
+	chosen := index.Subset(places.Location{Zone: "z"})
 	chosen.Update()
 	whole := &wirepb.ClusterDigest{
 		Term: 1, Sequence: 7, RosterSequence: 5, Roster: &wirepb.Roster{Machines: []string{"m-0", "m-1", "m-2", "m-3", "m-4"}, Control: []string{"c"}},
@@ -321,7 +321,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewServer(backend, identityOf("server"), places.NewMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
+	server := NewServer(backend, identityOf("server"), places.NewZoneMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
 	identity := identityOf("part")
 	identity.Hello.Subset, identity.Hello.Zone = true, "z"
@@ -388,7 +388,7 @@
 func TestOneWatcherFarBehindListsAlone(t *testing.T) {
 	backend := &listBackend{}
 	backend.put(10)
-	lists := newSubsets(backend, places.Map{})
+	lists := newSubsets(backend, places.ZoneMap{})
 	sessions := map[string]*subsetSession{}
 	for _, name := range []string{"behind", "in step"} {
 		list, err := lists.list("z", 0)
@@ -417,9 +417,9 @@
 		backend := &fleetBackend{changed: signal.New()}
 		backend.machine(number, v1.MachineLive)
 		backend.replica(number)
-		index := subset.NewIndex(places.Map{})
+		index := subset.NewIndex(places.ZoneMap{})
 		index.Apply(backend.events, backend.revision, true)
-		chosen := index.Subset(places.Position{Zone: "z"})
+		chosen := index.Subset(places.Location{Zone: "z"})
 		chosen.Update()
 		return chosen
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,7 +51,7 @@
 	dispatcher *dispatcher.Dispatcher
 	services   *dispatcher.Dispatcher
 	limits     *limits.Enforcer
-	claims     *claims.Keeper
+	claims     *claims.Client
 	budget     *retryBudget
 	crashes    *crashwatch.Watcher
 	drains     *drainlog.Log
@@ -72,7 +72,7 @@
 	gateway := &Gateway{
 		options: options, router: mux.NewRouter(), limits: limits.New(),
 		drains: drainlog.New(options.Logger, options.Metrics.drained),
-		claims: claims.NewKeeper(options.Propose), budget: newRetryBudget(),
+		claims: claims.NewClient(options.Propose), budget: newRetryBudget(),
 		crashes: crashwatch.New(crashwatch.Options{
 			View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeBy(
 				func(ctx context.Context, _, address string) (net.Conn, error) {
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -202,7 +202,7 @@
 	}
 }
 
-func sendEnd(end attemptEnd) claims.SendEnd {
+func sendEnd(end attemptEnd) claims.SendOutcome {
 	switch end {
 	case endAnswered:
 		return claims.SendAnswered
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -157,12 +157,12 @@
 
 func newDeploymentWith(t *testing.T, logger *slog.Logger) *deployment {
 	t.Helper()
-	position := places.Position{Zone: "z", Map: places.NewMap(map[string]string{"z": "north", "far": "south"})}
+	position := places.Location{Zone: "z", Zones: places.NewZoneMap(map[string]string{"z": "north", "far": "south"})}
 	return newDeploymentAt(t, position, func(options *ingress.Options) { options.Logger = logger })
 }
 
 // newDeploymentAt is a deployment whose router stands somewhere, with options of the test's own.
-func newDeploymentAt(t *testing.T, position places.Position, change func(options *ingress.Options)) *deployment {
+func newDeploymentAt(t *testing.T, position places.Location, change func(options *ingress.Options)) *deployment {
 	t.Helper()
 	created := &deployment{t: t, view: nodeview.NewAt(position), waits: make(chan struct{}, 100)}
 	options := ingress.Options{
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -122,7 +122,7 @@
 }
 
 // observeSent counts a request that goes to a machine.
-func (m *Metrics) observeSent(nearness places.Nearness) {
+func (m *Metrics) observeSent(nearness places.Proximity) {
 	m.sends.WithLabelValues(nearness.String()).Inc()
 }
 
--- a/internal/ingress/regions.go
+++ b/internal/ingress/regions.go
@@ -29,11 +29,11 @@
 
 // constraint returns the regions that both allow.
 func (b boundBy) constraint() places.Constraint {
-	allowed := places.Only(b.route.AllowedRegions...)
+	allowed := places.RestrictTo(b.route.AllowedRegions...)
 	if b.tenant == nil {
 		return allowed
 	}
-	return allowed.And(places.Only(b.tenant.AllowedRegions...))
+	return allowed.Intersect(places.RestrictTo(b.tenant.AllowedRegions...))
 }
 
 // constraints remembers the constraint of each pair of route and tenant that bind requests: it is
@@ -106,7 +106,7 @@
 // pool; nil for any other. To let it wait would only use up the time in which its caller may turn
 // elsewhere.
 func (j *job) withoutMachine(allowed places.Constraint) *problem.Document {
-	if !allowed.IsBound() || j.ingress.options.View.HasMachineIn(j.pool, allowed) {
+	if !allowed.IsRestrictive() || j.ingress.options.View.HasMachineIn(j.pool, allowed) {
 		return nil
 	}
 	detail := fmt.Sprintf("pool %s has no machine in the allowed regions %s", j.pool, strings.Join(allowed.Regions(), ", "))
--- a/internal/ingress/regions_test.go
+++ b/internal/ingress/regions_test.go
@@ -14,7 +14,7 @@
 )
 
 // threeRegions has a zone in each of three regions; the router stands in the first.
-var threeRegions = places.Position{Zone: "za", Map: places.NewMap(map[string]string{"za": "a", "zb": "b", "zc": "c"})}
+var threeRegions = places.Location{Zone: "za", Zones: places.NewZoneMap(map[string]string{"za": "a", "zb": "b", "zc": "c"})}
 
 // regional is a deployment with a machine in each of some zones.
 type regional struct {
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -224,7 +224,7 @@
 // TestUnsentRequestEarnsNoRetries: retries are a share of the requests that were sent. One that was
 // tried three times, and sent once, counts once.
 func TestUnsentRequestEarnsNoRetries(t *testing.T) {
-	deployment := newDeploymentAt(t, places.Position{}, func(options *ingress.Options) {
+	deployment := newDeploymentAt(t, places.Location{}, func(options *ingress.Options) {
 		options.Budget = retrybudget.Config{Ratio: 1, Window: time.Hour}
 	})
 	failing := func(_ seenRequest, _ int, connection net.Conn) bool { return reset(connection) }
--- a/internal/keepalive/adaptive.go
+++ b/internal/keepalive/adaptive.go
@@ -40,8 +40,8 @@
 // Name implements Policy.
 func (a *Adaptive) Name() string { return "adaptive" }
 
-// Used implements Policy.
-func (a *Adaptive) Used(version string, now time.Time) {
+// RecordUse implements Policy.
+func (a *Adaptive) RecordUse(version string, now time.Time) {
 	held := a.histories[version]
 	if held == nil {
 		held = &history{lastUsed: now}
@@ -64,7 +64,7 @@
 }
 
 // Index implements Policy.
-func (a *Adaptive) Index(subject Subject, idle time.Duration, now time.Time) float64 {
+func (a *Adaptive) Index(subject VersionProfile, idle time.Duration, now time.Time) float64 {
 	idle = max(idle, shortestIdle)
 	unknown := subject.coldCost() / idle.Seconds()
 	held := a.histories[subject.Version]
@@ -76,9 +76,9 @@
 	return max(byGaps, held.daily.rate(now)*subject.coldCost())
 }
 
-// Prewarm implements Policy: what loading now would be worth is the rate of
+// PrewarmIndex implements Policy: what loading now would be worth is the rate of
 // uses at the time when the load will be done.
-func (a *Adaptive) Prewarm(subject Subject, now time.Time) float64 {
+func (a *Adaptive) PrewarmIndex(subject VersionProfile, now time.Time) float64 {
 	held := a.histories[subject.Version]
 	if held == nil {
 		return 0
--- a/internal/keepalive/adaptive_test.go
+++ b/internal/keepalive/adaptive_test.go
@@ -13,7 +13,7 @@
 // The subject has one accelerator and a cold start of 10 s, weighed 60: alone
 // it is worth keeping while its index is at least 1.
 func TestAdaptive(t *testing.T) {
-	subject := Subject{Version: "model", Accelerators: 1, LoadTime: 10 * time.Second, ColdStartWeight: 60}
+	subject := VersionProfile{Version: "model", Accelerators: 1, LoadTime: 10 * time.Second, ColdStartWeight: 60}
 	begin := time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
 	var policy *Adaptive
 	datadriven.RunTest(t, "testdata/adaptive", func(t *testing.T, d *datadriven.TestData) string {
@@ -36,7 +36,7 @@
 			for day := range days {
 				for number := range count {
 					offset := time.Duration(day)*24*time.Hour + at("from") + time.Duration(number)*at("every")
-					policy.Used(subject.Version, begin.Add(offset))
+					policy.RecordUse(subject.Version, begin.Add(offset))
 				}
 			}
 		case "index":
@@ -50,7 +50,7 @@
 			}
 			return out.String()
 		case "prewarm":
-			return fmt.Sprintf("%.2f\n", policy.Prewarm(subject, begin.Add(at("at"))))
+			return fmt.Sprintf("%.2f\n", policy.PrewarmIndex(subject, begin.Add(at("at"))))
 		}
 		return ""
 	})
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -29,8 +29,8 @@
 	"time"
 )
 
-// Subject is the version that a question is about.
-type Subject struct {
+// VersionProfile is the version that a question is about.
+type VersionProfile struct {
 	Version string
 	// Accelerators that a replica occupies.
 	Accelerators int
@@ -41,12 +41,12 @@
 }
 
 // coldCost is what a cold start costs, in accelerator-seconds.
-func (s Subject) coldCost() float64 {
+func (s VersionProfile) coldCost() float64 {
 	return s.ColdStartWeight * s.LoadTime.Seconds()
 }
 
-// Rent is for how long idling alone costs as much as one cold start.
-func (s Subject) Rent() time.Duration {
+// BreakEven is for how long idling alone costs as much as one cold start.
+func (s VersionProfile) BreakEven() time.Duration {
 	return time.Duration(s.coldCost() / float64(max(1, s.Accelerators)) * float64(time.Second))
 }
 
@@ -63,14 +63,14 @@
 type Policy interface {
 	// Name is the policy's name in settings and reports.
 	Name() string
-	// Used records that a version was in use at a time.
-	Used(version string, now time.Time)
+	// RecordUse records that a version was in use at a time.
+	RecordUse(version string, now time.Time)
 	// Index returns what a replica that has idled for so long is worth, in
 	// accelerators, or Always or Never.
-	Index(subject Subject, idle time.Duration, now time.Time) float64
-	// Prewarm returns what loading a version that nobody asks for is worth,
+	Index(subject VersionProfile, idle time.Duration, now time.Time) float64
+	// PrewarmIndex returns what loading a version that nobody asks for is worth,
 	// in accelerators.
-	Prewarm(subject Subject, now time.Time) float64
+	PrewarmIndex(subject VersionProfile, now time.Time) float64
 }
 
 // Names lists the policies that New knows.
@@ -116,19 +116,19 @@
 	prewarm float64
 }
 
-func (f fixed) Name() string                       { return f.name }
-func (f fixed) Used(string, time.Time)             {}
-func (f fixed) Prewarm(Subject, time.Time) float64 { return f.prewarm }
-func (f fixed) Index(_ Subject, idle time.Duration, _ time.Time) float64 {
+func (f fixed) Name() string                                   { return f.name }
+func (f fixed) RecordUse(string, time.Time)                    {}
+func (f fixed) PrewarmIndex(VersionProfile, time.Time) float64 { return f.prewarm }
+func (f fixed) Index(_ VersionProfile, idle time.Duration, _ time.Time) float64 {
 	return KeepIf(idle <= f.timeout)
 }
 
 // skiRental idles as long as a cold start is worth.
 type skiRental struct{}
 
-func (skiRental) Name() string                       { return "ski-rental" }
-func (skiRental) Used(string, time.Time)             {}
-func (skiRental) Prewarm(Subject, time.Time) float64 { return 0 }
-func (skiRental) Index(subject Subject, idle time.Duration, _ time.Time) float64 {
-	return KeepIf(idle <= subject.Rent())
+func (skiRental) Name() string                                   { return "ski-rental" }
+func (skiRental) RecordUse(string, time.Time)                    {}
+func (skiRental) PrewarmIndex(VersionProfile, time.Time) float64 { return 0 }
+func (skiRental) Index(subject VersionProfile, idle time.Duration, _ time.Time) float64 {
+	return KeepIf(idle <= subject.BreakEven())
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -29,7 +29,7 @@
 	// Zones and Regions are how many of each may be lost at the same time.
 	Zones, Regions int
 	// Places maps zones to regions.
-	Places places.Map
+	Places places.ZoneMap
 	// ReplaceAfter is how long a voter may be unresponsive before a learner replaces it.
 	ReplaceAfter time.Duration
 	// RemoveLearnerAfter is how long a learner may be unresponsive before it is removed.
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	policy.Places = places.NewMap(regions)
+	policy.Places = places.NewZoneMap(regions)
 	created.input = membership.Input{Current: current, Policy: policy, Status: raft.Status{ID: current.GetVoters()[0], Last: 9}}
 	return created
 }
--- a/internal/nodeview/regions.go
+++ b/internal/nodeview/regions.go
@@ -22,7 +22,7 @@
 // countMachine adds a machine to the count of its pool's regions, or takes it out.
 func (v *View) countMachine(machine Machine, change int) {
 	if machine.Status.Phase.IsInUse() {
-		v.regions.add(machine.Spec.Pool, v.position.Map.Region(machine.Spec.Zone), change)
+		v.regions.add(machine.Spec.Pool, v.position.Zones.Region(machine.Spec.Zone), change)
 	}
 }
 
@@ -41,20 +41,20 @@
 // MayServe reports whether a constraint allows what stands at a machine's endpoint, as far as is
 // known now. Addresses are used again: where another live machine has it too, both must be allowed.
 func (v *View) MayServe(name, endpoint string, allowed places.Constraint) bool {
-	if !allowed.IsBound() {
+	if !allowed.IsRestrictive() {
 		return true
 	}
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	machine, known := v.machines[name]
-	if !known || !allowed.Allows(v.position.Map.Region(machine.Spec.Zone)) {
+	if !known || !allowed.Allows(v.position.Zones.Region(machine.Spec.Zone)) {
 		return false
 	}
 	for other, candidate := range v.atEndpoint[endpoint] {
 		if other == name || candidate.Status.Phase != v1.MachineLive {
 			continue
 		}
-		if !allowed.Allows(v.position.Map.Region(candidate.Spec.Zone)) {
+		if !allowed.Allows(v.position.Zones.Region(candidate.Spec.Zone)) {
 			return false
 		}
 	}
--- a/internal/nodeview/regions_bench_test.go
+++ b/internal/nodeview/regions_bench_test.go
@@ -24,8 +24,8 @@
 		}
 		view := NewAt(testPosition)
 		view.Apply(feed.Changes{Events: events, Revision: 1, Reset: true})
-		for _, allowed := range []places.Constraint{{}, places.Only("a")} {
-			b.Run(fmt.Sprintf("machines=%d/bound=%t", machines, allowed.IsBound()), func(b *testing.B) {
+		for _, allowed := range []places.Constraint{{}, places.RestrictTo("a")} {
+			b.Run(fmt.Sprintf("machines=%d/bound=%t", machines, allowed.IsRestrictive()), func(b *testing.B) {
 				for b.Loop() {
 					if !view.MayServe("m-0", "http://10.1.0.0:8080", allowed) {
 						b.Fatal("an allowed machine is not")
--- a/internal/nodeview/regions_test.go
+++ b/internal/nodeview/regions_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-var testPosition = places.Position{Zone: "za", Map: places.NewMap(map[string]string{"za": "a", "zb": "b"})}
+var testPosition = places.Location{Zone: "za", Zones: places.NewZoneMap(map[string]string{"za": "a", "zb": "b"})}
 
 // TestHasMachineInFollowsMachines: whatever comes, moves, leaves and goes, the counts by region
 // say what the machines say.
@@ -51,10 +51,10 @@
 			object := &wirepb.Object{Kind: string(v1.KindMachine), Name: name, Revision: revision + 1, Spec: encodedSpec, Status: encodedStatus}
 			view.Apply(feed.Changes{Revision: revision + 1, Events: []*wirepb.WatchEvent{{Object: object, Deleted: deleted}}})
 			for _, pool := range []string{"p", "q"} {
-				for _, allowed := range []places.Constraint{{}, places.Only("a"), places.Only("b"), places.Only("a", "b")} {
+				for _, allowed := range []places.Constraint{{}, places.RestrictTo("a"), places.RestrictTo("b"), places.RestrictTo("a", "b")} {
 					wanted := false
 					for machine := range maps.Values(present) {
-						wanted = wanted || machine.Pool == pool && allowed.Allows(testPosition.Map.Region(machine.Zone))
+						wanted = wanted || machine.Pool == pool && allowed.Allows(testPosition.Zones.Region(machine.Zone))
 					}
 					if view.HasMachineIn(pool, allowed) != wanted {
 						t.Fatalf("pool %s, constraint %q: %t", pool, allowed.Key(), !wanted)
@@ -90,13 +90,13 @@
 			encodedStatus, _ := json.Marshal(status)
 			object := &wirepb.Object{Kind: string(v1.KindMachine), Name: name, Revision: revision + 1, Spec: encodedSpec, Status: encodedStatus}
 			view.Apply(feed.Changes{Revision: revision + 1, Events: []*wirepb.WatchEvent{{Object: object, Deleted: deleted}}})
-			allowed := places.Only("a")
+			allowed := places.RestrictTo("a")
 			for asked, own := range present {
 				for _, endpoint := range endpoints {
-					wanted := allowed.Allows(testPosition.Map.Region(own.Zone))
+					wanted := allowed.Allows(testPosition.Zones.Region(own.Zone))
 					for other, machine := range present {
 						stands := other != asked && live[other] && machine.Endpoint == endpoint
-						wanted = wanted && (!stands || allowed.Allows(testPosition.Map.Region(machine.Zone)))
+						wanted = wanted && (!stands || allowed.Allows(testPosition.Zones.Region(machine.Zone)))
 					}
 					if view.MayServe(asked, endpoint, allowed) != wanted {
 						t.Fatalf("machine %s at %s: %t", asked, endpoint, !wanted)
--- a/internal/nodeview/routing.go
+++ b/internal/nodeview/routing.go
@@ -179,7 +179,7 @@
 // targetOn returns what a target has from its machine.
 func (v *View) targetOn(name string, machine Machine) dispatch.Target {
 	return dispatch.Target{
-		Zone: machine.Spec.Zone, Region: v.position.Map.Region(machine.Spec.Zone), Nearness: v.position.To(machine.Spec.Zone),
+		Zone: machine.Spec.Zone, Region: v.position.Zones.Region(machine.Spec.Zone), Nearness: v.position.ProximityOf(machine.Spec.Zone),
 		Machine: name, Endpoint: machine.Spec.Endpoint, Max: max(1, machine.Spec.Slots),
 		Suspect: machine.Status.Phase == v1.MachineLost,
 	}
--- a/internal/nodeview/subset_bench_test.go
+++ b/internal/nodeview/subset_bench_test.go
@@ -45,10 +45,10 @@
 	for number := range 6 {
 		zones[fmt.Sprint("zone-", number)] = "region"
 	}
-	position := places.Position{Zone: "zone-1", Map: places.NewMap(zones)}
+	position := places.Location{Zone: "zone-1", Zones: places.NewZoneMap(zones)}
 	for _, machines := range []int{1000, 10_000, 20_000} {
 		whole := fleetEvents(machines)
-		index := subset.NewIndex(position.Map)
+		index := subset.NewIndex(position.Zones)
 		index.Apply(whole, uint64(len(whole)), true)
 		part := index.Subset(position).Update()
 		for _, way := range []struct {
--- a/internal/nodeview/view.go
+++ b/internal/nodeview/view.go
@@ -47,7 +47,7 @@
 // View implements feed.Sink.
 type View struct {
 	// position is where the node stands.
-	position places.Position
+	position places.Location
 	mutex    sync.RWMutex
 	revision uint64
 	objects  map[state.Key]*wirepb.Object
@@ -95,16 +95,16 @@
 
 // New returns an empty view of a node that knows of no zones.
 func New() *View {
-	return NewAt(places.Position{})
+	return NewAt(places.Location{})
 }
 
 // Region is where the node stands; empty where that is not known.
 func (v *View) Region() string {
-	return v.position.Map.Region(v.position.Zone)
+	return v.position.Zones.Region(v.position.Zone)
 }
 
 // NewAt returns an empty view of a node.
-func NewAt(position places.Position) *View {
+func NewAt(position places.Location) *View {
 	view := &View{position: position, changed: signal.New(), digestChanged: signal.New()}
 	view.clear()
 	return view
--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -33,7 +33,7 @@
 func (p *pass) mayServeBound(version *Version, demand *Demand) bool {
 	for _, entry := range p.boundWants(version, demand) {
 		for _, candidate := range p.machines {
-			if candidate.machine.Accepts && entry.mayUse(candidate) {
+			if candidate.machine.Schedulable && entry.mayUse(candidate) {
 				return true
 			}
 		}
--- a/internal/placement/drain_test.go
+++ b/internal/placement/drain_test.go
@@ -10,7 +10,7 @@
 // drainMachines puts the zone of machines under a drain.
 func drainMachines(input *Input, names ...string) {
 	for _, name := range names {
-		input.Machines[name].Accepts, input.Machines[name].Drained = false, true
+		input.Machines[name].Schedulable, input.Machines[name].Drained = false, true
 	}
 }
 
@@ -72,7 +72,7 @@
 		input.Now = input.Now.Add(time.Hour)
 		expect(t, describe(planner.Decide(input)))
 	}
-	input.Machines["fast"].Accepts, input.Machines["fast"].Drained = true, false
+	input.Machines["fast"].Schedulable, input.Machines["fast"].Drained = true, false
 	input.Now = input.Now.Add(29 * time.Minute)
 	expect(t, describe(planner.Decide(input)))
 	input.Now = input.Now.Add(2 * time.Minute)
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -89,7 +89,7 @@
 		return false
 	}
 	target := p.machines[made.machine]
-	if target == nil || !target.machine.Accepts || !entry.mayUse(target) {
+	if target == nil || !target.machine.Schedulable || !entry.mayUse(target) {
 		return false
 	}
 	bytes := entry.version.Spec.BytesPerAccelerator()
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -177,7 +177,7 @@
 	}
 	names := []string{}
 	for name, machine := range p.input.Machines {
-		if machine.Accepts {
+		if machine.Schedulable {
 			names = append(names, name)
 		}
 	}
--- a/internal/placement/fleet_bench_test.go
+++ b/internal/placement/fleet_bench_test.go
@@ -32,7 +32,7 @@
 				Model: name(number), Checkpoint: name(number), Accelerators: 1, WeightBytes: weights, MaxConcurrent: 32, Pool: "pool",
 			},
 		}
-		demand := &Demand{Running: 4, Arrivals: 100, Work: uint64(busiestWork / float64(number+1)), Target: 3 * time.Second}
+		demand := &Demand{Running: 4, Arrivals: 100, Work: uint64(busiestWork / float64(number+1)), FirstTokenTarget: 3 * time.Second}
 		if number%waitingEvery == 0 {
 			demand.Waiting, demand.OldestWait = 2, 300*time.Millisecond
 		}
@@ -41,7 +41,7 @@
 	for number := range machines {
 		machine := &Machine{
 			Name: fmt.Sprintf("machine-%04d", number), Zone: fmt.Sprintf("zone-%d", number%4), Accelerators: 1, AcceleratorBytes: machineMemory,
-			Incarnation: 1, Accepts: true, Tiers: map[string]Tier{}, Pool: "pool",
+			Incarnation: 1, Schedulable: true, Tiers: map[string]Tier{}, Pool: "pool",
 		}
 		for cached := range cachedOnDisk {
 			machine.Tiers[name(number*cachedOnDisk+cached)] = TierDisk
--- a/internal/placement/loadcrash.go
+++ b/internal/placement/loadcrash.go
@@ -57,6 +57,6 @@
 func (p *pass) removeEnded(replica *Replica, reason string) Action {
 	return Action{
 		Kind: ActionRemove, Replica: replica, Reason: reason,
-		EndedUnderLoad: replica.Spec.Phase == v1.ReplicaLoading && p.planner.loadsSeen[replica.Name],
+		CrashedDuringLoad: replica.Spec.Phase == v1.ReplicaLoading && p.planner.loadsSeen[replica.Name],
 	}
 }
--- a/internal/placement/loadcrash_test.go
+++ b/internal/placement/loadcrash_test.go
@@ -23,7 +23,7 @@
 	input.Machines = map[string]*Machine{}
 	for number := range machines {
 		name := fmt.Sprintf("m-%02d", number)
-		input.Machines[name] = &Machine{Name: name, Accelerators: 1, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Accepts: true, Tiers: map[string]Tier{}}
+		input.Machines[name] = &Machine{Name: name, Accelerators: 1, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Schedulable: true, Tiers: map[string]Tier{}}
 	}
 	input.LoadCrashes = map[string]LoadCrashes{}
 	began := map[string]time.Time{}
@@ -33,7 +33,7 @@
 		for name, at := range began {
 			machine := input.Machines[name]
 			if machine != nil && input.Now.Sub(at) >= lostIn {
-				machine.Lost, machine.Accepts = true, false
+				machine.Lost, machine.Schedulable = true, false
 			}
 			if machine != nil && input.Now.Sub(at) >= goneIn {
 				delete(input.Machines, name)
@@ -46,7 +46,7 @@
 				input.Replicas = append(input.Replicas, &Replica{
 					Name: "r-" + action.Spec.Machine, Spec: action.Spec, Observed: true, EnginePhase: EngineLoading,
 				})
-			case action.EndedUnderLoad && remembers:
+			case action.CrashedDuringLoad && remembers:
 				crashes := input.LoadCrashes["wanted"]
 				input.LoadCrashes["wanted"] = LoadCrashes{Count: crashes.Count + 1, Last: input.Now}
 			}
@@ -115,7 +115,7 @@
 			counted, removed := false, false
 			for _, action := range planner.Decide(input).Actions {
 				if action.Kind == ActionRemove && action.Replica == replica {
-					counted, removed = action.EndedUnderLoad, true
+					counted, removed = action.CrashedDuringLoad, true
 				}
 			}
 			if !removed || counted != test.counts {
--- a/internal/placement/near.go
+++ b/internal/placement/near.go
@@ -53,7 +53,7 @@
 func (p *pass) replicasByRegion(version *Version) map[string]int {
 	held := map[string]int{}
 	for _, replica := range p.byVersion[version.Name] {
-		if machine := p.input.Machines[replica.Spec.Machine]; machine.Accepts {
+		if machine := p.input.Machines[replica.Spec.Machine]; machine.Schedulable {
 			held[machine.Region]++
 		}
 	}
--- a/internal/placement/near_test.go
+++ b/internal/placement/near_test.go
@@ -48,7 +48,7 @@
 			delete(input.Machines["m1"].Tiers, "rare")
 		}, "m2"},
 		{"the region is lost", map[string]float64{"south": 2}, func(input *Input) {
-			input.Machines["m1"].Accepts, input.Machines["m1"].Lost = false, true
+			input.Machines["m1"].Schedulable, input.Machines["m1"].Lost = false, true
 		}, "m0"},
 	}
 	for _, test := range tests {
@@ -67,7 +67,7 @@
 func TestFurtherReplicaGoesToAnotherRegion(t *testing.T) {
 	input := regionsInput("busy")
 	input.Machines["m3"] = &Machine{
-		Name: "m3", Region: "north", Accelerators: 1, AcceleratorBytes: 100, Incarnation: 1, Accepts: true, Pool: "pool",
+		Name: "m3", Region: "north", Accelerators: 1, AcceleratorBytes: 100, Incarnation: 1, Schedulable: true, Pool: "pool",
 		Tiers: map[string]Tier{"busy": TierDisk},
 	}
 	poolReplica(input, "busy", "m0")
@@ -97,8 +97,8 @@
 	input.Machines["m2"].Tiers["asked-little"] = TierDisk
 	poolReplica(input, "asked-little", "m0")
 	poolReplica(input, "asked-much", "m0")
-	input.Machines["m0"].Accepts, input.Machines["m0"].Lost = false, true
-	input.Machines["m1"].Accepts = false
+	input.Machines["m0"].Schedulable, input.Machines["m0"].Lost = false, true
+	input.Machines["m1"].Schedulable = false
 	input.Machines["m2"].AcceleratorBytes = 50
 	wait(input, "asked-little", 1)
 	wait(input, "asked-much", 5)
--- a/internal/placement/place_test.go
+++ b/internal/placement/place_test.go
@@ -26,7 +26,7 @@
 	}
 	for name, tier := range map[string]Tier{"fast": TierMemory, "slow": TierDisk} {
 		input.Machines[name] = &Machine{
-			Name: name, Accelerators: 1, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Accepts: true,
+			Name: name, Accelerators: 1, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Schedulable: true,
 			Tiers: map[string]Tier{"wanted": tier, "other": TierMemory},
 		}
 	}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -142,7 +142,7 @@
 	for name, machine := range p.input.Machines {
 		p.machines[name] = newRoom(machine)
 		p.largestAccelerator = max(p.largestAccelerator, machine.AcceleratorBytes)
-		if machine.Accepts || machine.Drained {
+		if machine.Schedulable || machine.Drained {
 			delete(p.planner.leavingSince, name)
 		} else if _, known := p.planner.leavingSince[name]; !known {
 			p.planner.leavingSince[name] = p.input.Now
@@ -207,7 +207,7 @@
 		grew := demand.Arrivals > p.planner.arrivals[version]
 		p.planner.arrivals[version] = demand.Arrivals
 		if grew || demand.Waiting > 0 || demand.Running > 0 {
-			p.planner.config.KeepAlive.Used(version, p.input.Now)
+			p.planner.config.KeepAlive.RecordUse(version, p.input.Now)
 			p.planner.lastAsked[version] = p.input.Now
 		}
 		if grew || demand.Waiting > 0 {
@@ -275,13 +275,13 @@
 	}
 }
 
-// Work returns the averaged rate of work of each version, in tokens per second.
-func (p *Planner) Work() map[string]float64 {
+// WorkRates returns the averaged rate of work of each version, in tokens per second.
+func (p *Planner) WorkRates() map[string]float64 {
 	return maps.Clone(p.work.rates)
 }
 
-func (p *Planner) subject(version *Version) keepalive.Subject {
-	return keepalive.Subject{
+func (p *Planner) subject(version *Version) keepalive.VersionProfile {
+	return keepalive.VersionProfile{
 		Version:         version.Name,
 		Accelerators:    version.Spec.Accelerators,
 		LoadTime:        p.speeds.versionLoadTime(version.Spec, TierDisk),
--- a/internal/placement/planner_bench_test.go
+++ b/internal/placement/planner_bench_test.go
@@ -22,7 +22,7 @@
 		name := fmt.Sprintf("machine-%04d", number)
 		input.Machines[name] = &Machine{
 			Name: name, Zone: fmt.Sprintf("zone-%02d", number%24), Accelerators: 8, AcceleratorBytes: 80 * gibibyte,
-			Incarnation: 1, Accepts: true, Tiers: map[string]Tier{},
+			Incarnation: 1, Schedulable: true, Tiers: map[string]Tier{},
 		}
 	}
 	for number := range models {
@@ -69,7 +69,7 @@
 	input := targetInput()
 	policy := keepalive.NewAdaptive()
 	for version := range input.Versions {
-		policy.Used(version, input.Now.Add(-24*time.Hour))
+		policy.RecordUse(version, input.Now.Add(-24*time.Hour))
 	}
 	planner := NewPlanner(Config{
 		Speeds: DefaultTierSpeeds, StoreLoadsPerSecond: 100, StoreConcurrentLoads: 100, KeepAlive: policy,
--- a/internal/placement/regions.go
+++ b/internal/placement/regions.go
@@ -17,8 +17,8 @@
 // asked for under it: as long as past demand is handed on to the next leader.
 const boundLately = historyHorizon
 
-// BoundDemand is what is asked of a version under one constraint. It is part of the version's.
-type BoundDemand struct {
+// ConstrainedDemand is what is asked of a version under one constraint. It is part of the version's.
+type ConstrainedDemand struct {
 	Allowed places.Constraint
 	Waiting int
 	Running int
@@ -38,7 +38,7 @@
 func (p *pass) observeBound() {
 	bound := p.planner.bound
 	for version, demand := range p.input.Demand {
-		for _, entry := range demand.Bound {
+		for _, entry := range demand.Constrained {
 			if bound[version] == nil {
 				bound[version] = map[string]askedUnder{}
 			}
@@ -77,10 +77,10 @@
 // boundWants lists the replicas that requests wait for which no replica may serve, loading ones
 // included. The narrowest constraints come first: a replica for one often serves others, too.
 func (p *pass) boundWants(version *Version, demand *Demand) []want {
-	if demand == nil || len(demand.Bound) == 0 {
+	if demand == nil || len(demand.Constrained) == 0 {
 		return nil // So it is for most versions.
 	}
-	waiting := slices.DeleteFunc(slices.Clone(demand.Bound), func(entry BoundDemand) bool {
+	waiting := slices.DeleteFunc(slices.Clone(demand.Constrained), func(entry ConstrainedDemand) bool {
 		return entry.Waiting == 0 || p.hasReplicaIn(version, entry.Allowed, nil)
 	})
 	sort.Slice(waiting, func(i, j int) bool {
@@ -106,7 +106,7 @@
 
 // boundGain is what a replica for a constraint is worth, on the scale of replicaWorth: those that
 // wait for it, and their share of what is asked of the version.
-func (p *pass) boundGain(version *Version, demand *Demand, entry BoundDemand) float64 {
+func (p *pass) boundGain(version *Version, demand *Demand, entry ConstrainedDemand) float64 {
 	share := float64(entry.Waiting) / float64(max(entry.Waiting, demand.Waiting+demand.Running))
 	return float64(entry.Waiting) + share*p.planner.work.rates[version.Name]/minimumRate
 }
@@ -126,7 +126,7 @@
 func (p *pass) hasReplicaIn(version *Version, allowed places.Constraint, leftOut *Replica) bool {
 	for _, replica := range p.byVersion[version.Name] {
 		machine := p.input.Machines[replica.Spec.Machine]
-		if replica != leftOut && machine.Accepts && allowed.Allows(machine.Region) {
+		if replica != leftOut && machine.Schedulable && allowed.Allows(machine.Region) {
 			return true
 		}
 	}
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -25,7 +25,7 @@
 func waitBound(input *Input, version string, requests int, regions ...string) {
 	wait(input, version, requests)
 	demand := input.Demand[version]
-	demand.Bound = append(demand.Bound, BoundDemand{Allowed: places.Only(regions...), Waiting: requests, OldestWait: time.Second})
+	demand.Constrained = append(demand.Constrained, ConstrainedDemand{Allowed: places.RestrictTo(regions...), Waiting: requests, OldestWait: time.Second})
 }
 
 // dropFrom takes all replicas off a machine.
@@ -108,11 +108,11 @@
 			input.Machines["m1"].AcceleratorBytes = 50
 			planner := newPoolPlanner()
 			if test.asked {
-				input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.Only("b"), Running: 1}}}
+				input.Demand["v0"] = &Demand{Constrained: []ConstrainedDemand{{Allowed: places.RestrictTo("b"), Running: 1}}}
 			}
 			planner.Decide(input)
 			if test.asked && !test.stillAsked {
-				input.Demand["v0"].Bound = nil
+				input.Demand["v0"].Constrained = nil
 			}
 			for range 20 {
 				ask(input, test.span/20, map[string]uint64{"v1": 900})
@@ -149,7 +149,7 @@
 		input.Replicas = slices.DeleteFunc(input.Replicas, func(replica *Replica) bool { return replica.Name == "v0.m0" })
 		planner := newPoolPlanner()
 		if bound {
-			input.Demand["v0"] = &Demand{Bound: []BoundDemand{{Allowed: places.Only("b"), Running: 1}}}
+			input.Demand["v0"] = &Demand{Constrained: []ConstrainedDemand{{Allowed: places.RestrictTo("b"), Running: 1}}}
 		}
 		planner.Decide(input)
 		evicted := false
@@ -179,7 +179,7 @@
 			name := "m" + strconv.Itoa(position)
 			input.Machines[name] = &Machine{
 				Name: name, Accelerators: 1, AcceleratorBytes: 100, Incarnation: 1, Pool: "pool", Tiers: map[string]Tier{},
-				Accepts: rapid.IntRange(0, 4).Draw(t, "accepts") > 0, Region: rapid.SampledFrom(regions).Draw(t, "region"),
+				Schedulable: rapid.IntRange(0, 4).Draw(t, "accepts") > 0, Region: rapid.SampledFrom(regions).Draw(t, "region"),
 			}
 		}
 		for number := range 3 {
@@ -191,7 +191,7 @@
 				}
 			}
 		}
-		allowed := places.Only(rapid.SliceOfNDistinct(rapid.SampledFrom(regions[:3]), 1, 2, rapid.ID[string]).Draw(t, "allowed")...)
+		allowed := places.RestrictTo(rapid.SliceOfNDistinct(rapid.SampledFrom(regions[:3]), 1, 2, rapid.ID[string]).Draw(t, "allowed")...)
 		waitBound(input, "v0", rapid.IntRange(1, 5).Draw(t, "waiting"), allowed.Regions()...)
 		served, room := false, false
 		for name, machine := range input.Machines {
@@ -202,7 +202,7 @@
 					holds = holds || replica.Spec.Version == "v0"
 				}
 			}
-			if machine.Accepts && allowed.Allows(machine.Region) {
+			if machine.Schedulable && allowed.Allows(machine.Region) {
 				served, room = served || holds, room || held < 2
 			}
 		}
--- a/internal/placement/retire.go
+++ b/internal/placement/retire.go
@@ -37,7 +37,7 @@
 	switch {
 	case machine.Drained:
 		return p.drainedReason(replica, version)
-	case machine.Pool != "" && !machine.Accepts:
+	case machine.Pool != "" && !machine.Schedulable:
 		// A registered machine that leaves takes its models with it, and one
 		// that is silent may still serve: nothing is unloaded there.
 		return ""
@@ -45,7 +45,7 @@
 		return "machine-lost"
 	case version == nil:
 		return "not-declared"
-	case !machine.Accepts:
+	case !machine.Schedulable:
 		return p.leaveReason(replica)
 	case replica.Spec.Phase == v1.ReplicaReady && p.isWorthless(replica, version):
 		return "idle"
@@ -64,7 +64,7 @@
 func (p *pass) readyElsewhere(replica *Replica) bool {
 	for _, other := range p.byVersion[replica.Spec.Version] {
 		machine := p.input.Machines[other.Spec.Machine]
-		if other != replica && other.Spec.Phase == v1.ReplicaReady && machine.Accepts {
+		if other != replica && other.Spec.Phase == v1.ReplicaReady && machine.Schedulable {
 			return true
 		}
 	}
--- a/internal/placement/retire_test.go
+++ b/internal/placement/retire_test.go
@@ -11,10 +11,10 @@
 // indexed is a policy whose indices a test sets.
 type indexed map[string]float64
 
-func (i indexed) Name() string                                 { return "indexed" }
-func (i indexed) Used(string, time.Time)                       {}
-func (i indexed) Prewarm(keepalive.Subject, time.Time) float64 { return 0 }
-func (i indexed) Index(subject keepalive.Subject, _ time.Duration, _ time.Time) float64 {
+func (i indexed) Name() string                                             { return "indexed" }
+func (i indexed) RecordUse(string, time.Time)                              {}
+func (i indexed) PrewarmIndex(keepalive.VersionProfile, time.Time) float64 { return 0 }
+func (i indexed) Index(subject keepalive.VersionProfile, _ time.Duration, _ time.Time) float64 {
 	return i[subject.Version]
 }
 
@@ -38,7 +38,7 @@
 			input := &Input{
 				Now: time.Unix(1000, 0), Versions: map[string]*Version{}, Demand: map[string]*Demand{},
 				Machines: map[string]*Machine{"m": {
-					Name: "m", Accelerators: 2, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Accepts: true,
+					Name: "m", Accelerators: 2, AcceleratorBytes: 80 * gibibyte, Incarnation: 1, Schedulable: true,
 				}},
 			}
 			for position, name := range []string{"a", "b", "c"} {
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -92,7 +92,7 @@
 		opened.total[version.Spec.Pool] += p.planner.work.rates[name]
 	}
 	for _, machine := range p.input.Machines {
-		if machine.Accepts {
+		if machine.Schedulable {
 			opened.machines[machine.Pool]++
 		}
 	}
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -18,7 +18,7 @@
 	for position := range machines {
 		name := "m" + strconv.Itoa(position)
 		input.Machines[name] = &Machine{
-			Name: name, Accelerators: 1, AcceleratorBytes: 100, Incarnation: 1, Accepts: true, Pool: "pool", Tiers: map[string]Tier{},
+			Name: name, Accelerators: 1, AcceleratorBytes: 100, Incarnation: 1, Schedulable: true, Pool: "pool", Tiers: map[string]Tier{},
 		}
 		for place := range 2 {
 			version := "v" + strconv.Itoa(2*position+place)
@@ -160,8 +160,8 @@
 	input := poolInput(2)
 	planner := newPoolPlanner()
 	planner.Decide(input)
-	input.Machines["m0"].Accepts, input.Machines["m0"].Lost = false, true
-	input.Machines["m1"].Accepts = false
+	input.Machines["m0"].Schedulable, input.Machines["m0"].Lost = false, true
+	input.Machines["m1"].Schedulable = false
 	input.Now = input.Now.Add(time.Minute)
 	if decision := planner.Decide(input); len(decision.Actions) != 0 {
 		t.Errorf("%v", describe(decision))
--- a/internal/placement/swap.go
+++ b/internal/placement/swap.go
@@ -162,7 +162,7 @@
 	if p.atHand == nil {
 		p.atHand = map[poolCheckpoint][]Tier{}
 		for _, machine := range p.input.Machines {
-			if machine.Accepts {
+			if machine.Schedulable {
 				p.noteAtHand(machine)
 			}
 		}
--- a/internal/placement/swap_reference_test.go
+++ b/internal/placement/swap_reference_test.go
@@ -79,7 +79,7 @@
 	unserved := func(region string) float64 {
 		served := 1.0
 		for _, replica := range p.byVersion[entry.version.Name] {
-			if machine := p.input.Machines[replica.Spec.Machine]; machine.Accepts && machine.Region == region {
+			if machine := p.input.Machines[replica.Spec.Machine]; machine.Schedulable && machine.Region == region {
 				served++
 			}
 		}
@@ -97,7 +97,7 @@
 
 func referenceIsAtHand(p *pass, version *Version) bool {
 	for _, machine := range p.input.Machines {
-		if machine.Accepts && machine.Pool == version.Spec.Pool && machine.tierOf(version.Spec.Checkpoint) != TierRemote {
+		if machine.Schedulable && machine.Pool == version.Spec.Pool && machine.tierOf(version.Spec.Checkpoint) != TierRemote {
 			return true
 		}
 	}
@@ -107,7 +107,7 @@
 func referenceBestLoadTime(p *pass, version *Version) time.Duration {
 	best := p.loadTime(version, TierRemote)
 	for _, machine := range p.input.Machines {
-		if machine.Accepts && machine.Pool == version.Spec.Pool {
+		if machine.Schedulable && machine.Pool == version.Spec.Pool {
 			best = min(best, p.loadTime(version, machine.tierOf(version.Spec.Checkpoint)))
 		}
 	}
@@ -153,7 +153,7 @@
 		if rapid.Bool().Draw(t, "asked") {
 			input.Demand[name(number)] = &Demand{
 				Waiting: rapid.IntRange(0, 4).Draw(t, "waiting"), Running: rapid.IntRange(0, 20).Draw(t, "running"), Arrivals: 5,
-				Work: uint64(rapid.IntRange(0, 50_000).Draw(t, "work")), Target: time.Second, OldestWait: time.Second / 4,
+				Work: uint64(rapid.IntRange(0, 50_000).Draw(t, "work")), FirstTokenTarget: time.Second, OldestWait: time.Second / 4,
 				Regions: drawRegions(t),
 			}
 		}
@@ -162,7 +162,7 @@
 	for number := range machines {
 		machine := &Machine{
 			Name: fmt.Sprintf("machine-%02d", number), Accelerators: 1, AcceleratorBytes: int64(rapid.IntRange(1, 3).Draw(t, "places")) * weights,
-			Incarnation: 1, Accepts: rapid.IntRange(0, 5).Draw(t, "accepts") > 0, Tiers: map[string]Tier{}, Pool: pool(number),
+			Incarnation: 1, Schedulable: rapid.IntRange(0, 5).Draw(t, "accepts") > 0, Tiers: map[string]Tier{}, Pool: pool(number),
 			Region: rapid.SampledFrom([]string{"", "region-0", "region-1"}).Draw(t, "region"),
 		}
 		input.Machines[machine.Name] = machine
--- a/internal/placement/swap_test.go
+++ b/internal/placement/swap_test.go
@@ -153,7 +153,7 @@
 		ask(input, 100*time.Millisecond, map[string]uint64{"v0": 400, "v2": 400, "v4": 400})
 		carryOut(input, planner.Decide(input))
 	}
-	input.Machines["m0"].Accepts = false
+	input.Machines["m0"].Schedulable = false
 	decision := planner.Decide(input)
 	if len(unloadedVersions(decision)) != 1 {
 		t.Errorf("no room is made for v0, whose only machine leaves: %v", describe(decision))
@@ -280,7 +280,7 @@
 	c.requests++
 	c.queued[version] = append(c.queued[version], c.input.Now)
 	ask(c.input, 0, map[string]uint64{version: 800})
-	c.input.Demand[version].Target = 2 * time.Second
+	c.input.Demand[version].FirstTokenTarget = 2 * time.Second
 }
 
 // finish ends what has run for long enough, and serves what waits.
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -61,8 +61,8 @@
 	Accelerators     int
 	AcceleratorBytes int64
 	Incarnation      uint64
-	// Accepts is set for a live machine that may get new replicas.
-	Accepts bool
+	// Schedulable is set for a live machine that may get new replicas.
+	Schedulable bool
 	// Drained is set for a live machine whose zone is drained: it accepts nothing, and keeps
 	// what it holds for the end of the drain.
 	Drained bool
@@ -111,13 +111,13 @@
 	Arrivals uint64
 	// Work is what all requests so far asked of machines, in tokens.
 	Work uint64
-	// Target is the shortest time within which a request wanted its answer to
+	// FirstTokenTarget is the shortest time within which a request wanted its answer to
 	// begin; 0 if none said.
-	Target     time.Duration
-	OldestWait time.Duration
-	Priority   int32
-	// Bound is the part of it that is bound to regions, by constraint.
-	Bound []BoundDemand
+	FirstTokenTarget time.Duration
+	OldestWait       time.Duration
+	Priority         int32
+	// Constrained is the part of it that is bound to regions, by constraint.
+	Constrained []ConstrainedDemand
 	// Regions are the requests that wait or run, by the region of their routers; nil where no
 	// region is known.
 	Regions map[string]float64
@@ -162,8 +162,8 @@
 	Spec *v1.ReplicaSpec
 	// Reason says why, for logs and metrics.
 	Reason string
-	// EndedUnderLoad is set where the replica's machine ended while it loaded the version.
-	EndedUnderLoad bool
+	// CrashedDuringLoad is set where the replica's machine ended while it loaded the version.
+	CrashedDuringLoad bool
 }
 
 // Estimate tells routers when a version that they wait for may be ready.
--- a/internal/placement/want.go
+++ b/internal/placement/want.go
@@ -25,7 +25,7 @@
 	// its work.
 	further bool
 	// bound is what waits for the replica where that is bound to regions, else nil.
-	bound *BoundDemand
+	bound *ConstrainedDemand
 	// gain is what the replica of a pool's version would be worth.
 	gain     float64
 	priority int32
@@ -133,7 +133,7 @@
 func (p *pass) usable(version *Version) int {
 	count := 0
 	for _, replica := range p.byVersion[version.Name] {
-		if p.input.Machines[replica.Spec.Machine].Accepts {
+		if p.input.Machines[replica.Spec.Machine].Schedulable {
 			count++
 		}
 	}
@@ -144,7 +144,7 @@
 // part of an accelerator that it would take: replicas that are loaded ahead
 // share accelerators.
 func (p *pass) isWorthLoading(version *Version) bool {
-	worth := p.planner.config.KeepAlive.Prewarm(p.planner.subject(version), p.input.Now)
+	worth := p.planner.config.KeepAlive.PrewarmIndex(p.planner.subject(version), p.input.Now)
 	if worth <= 0 {
 		return false
 	}
@@ -173,7 +173,7 @@
 // drained.
 func (p *pass) mustReplace(name string) bool {
 	for _, replica := range p.byVersion[name] {
-		leaving := !p.input.Machines[replica.Spec.Machine].Accepts
+		leaving := !p.input.Machines[replica.Spec.Machine].Schedulable
 		if leaving && replica.Spec.Phase == v1.ReplicaReady && replica.Running > 0 {
 			return true
 		}
--- a/internal/placement/worth.go
+++ b/internal/placement/worth.go
@@ -47,7 +47,7 @@
 func (p *pass) ready(version *Version) int {
 	count := 0
 	for _, replica := range p.byVersion[version.Name] {
-		if replica.Spec.Phase == v1.ReplicaReady && p.input.Machines[replica.Spec.Machine].Accepts {
+		if replica.Spec.Phase == v1.ReplicaReady && p.input.Machines[replica.Spec.Machine].Schedulable {
 			count++
 		}
 	}
@@ -72,10 +72,10 @@
 // known.
 func (p *pass) urgency(version *Version) float64 {
 	demand := p.input.Demand[version.Name]
-	if demand == nil || demand.Target == 0 {
+	if demand == nil || demand.FirstTokenTarget == 0 {
 		return 1
 	}
-	missed := p.loadTime(version, TierDisk).Seconds() / demand.Target.Seconds()
+	missed := p.loadTime(version, TierDisk).Seconds() / demand.FirstTokenTarget.Seconds()
 	return min(1, missed*missed)
 }
 
--- a/internal/places/constraint.go
+++ b/internal/places/constraint.go
@@ -12,9 +12,9 @@
 	regions []string
 }
 
-// Only returns the constraint that allows the named regions; with none named it allows all, as
+// RestrictTo returns the constraint that allows the named regions; with none named it allows all, as
 // a declaration without regions does.
-func Only(regions ...string) Constraint {
+func RestrictTo(regions ...string) Constraint {
 	if len(regions) == 0 {
 		return Constraint{}
 	}
@@ -23,8 +23,8 @@
 	return Constraint{bound: true, regions: slices.Compact(sorted)}
 }
 
-// And returns the constraint that allows what both allow.
-func (c Constraint) And(other Constraint) Constraint {
+// Intersect returns the constraint that allows what both allow.
+func (c Constraint) Intersect(other Constraint) Constraint {
 	switch {
 	case !c.bound:
 		return other
@@ -46,8 +46,8 @@
 	return !c.bound || region != "" && slices.Contains(c.regions, region)
 }
 
-// IsBound reports whether any region is excluded.
-func (c Constraint) IsBound() bool {
+// IsRestrictive reports whether any region is excluded.
+func (c Constraint) IsRestrictive() bool {
 	return c.bound
 }
 
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -6,34 +6,34 @@
 	"pgregory.net/rapid"
 )
 
-var table = NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b", "nowhere": ""})
+var table = NewZoneMap(map[string]string{"a1": "a", "a2": "a", "b1": "b", "nowhere": ""})
 
 func TestBetween(t *testing.T) {
 	for _, check := range []struct {
 		left, right string
-		want        Nearness
+		want        Proximity
 	}{
 		{"a1", "a1", SameZone},
 		{"a1", "a2", SameRegion},
-		{"a1", "b1", Further},
+		{"a1", "b1", OtherRegion},
 		{"unknown", "unknown", SameZone},
-		{"unknown", "a1", Further},
-		{"nowhere", "other", Further},
+		{"unknown", "a1", OtherRegion},
+		{"nowhere", "other", OtherRegion},
 	} {
-		if got := table.Between(check.left, check.right); got != check.want {
+		if got := table.Proximity(check.left, check.right); got != check.want {
 			t.Errorf("from %s to %s: %s, want %s", check.left, check.right, got, check.want)
 		}
-		if got := table.Between(check.right, check.left); got != check.want {
+		if got := table.Proximity(check.right, check.left); got != check.want {
 			t.Errorf("from %s to %s: %s, want %s", check.right, check.left, got, check.want)
 		}
 	}
 }
 
 func TestConstraintOfUnknownRegion(t *testing.T) {
-	if Only("a").Allows(table.Region("unknown")) {
+	if RestrictTo("a").Allows(table.Region("unknown")) {
 		t.Error("a zone whose region is not known is allowed by a constraint")
 	}
-	if !Only().Allows(table.Region("unknown")) {
+	if !RestrictTo().Allows(table.Region("unknown")) {
 		t.Error("without a constraint a zone is refused")
 	}
 }
@@ -43,10 +43,10 @@
 	regions := []string{"a", "b", "c", ""}
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) Constraint {
-			return Only(rapid.SliceOfN(rapid.SampledFrom(regions[:3]), 0, 3).Draw(t, label)...)
+			return RestrictTo(rapid.SliceOfN(rapid.SampledFrom(regions[:3]), 0, 3).Draw(t, label)...)
 		}
 		left, right := draw("left"), draw("right")
-		both, turned := left.And(right), right.And(left)
+		both, turned := left.Intersect(right), right.Intersect(left)
 		if both.Key() != turned.Key() {
 			t.Fatalf("%q one way and %q the other", both.Key(), turned.Key())
 		}
--- a/internal/policysim/policy.go
+++ b/internal/policysim/policy.go
@@ -63,16 +63,16 @@
 // Name implements keepalive.Policy.
 func (c *clairvoyant) Name() string { return "clairvoyant" }
 
-// Used implements keepalive.Policy.
-func (c *clairvoyant) Used(string, time.Time) {}
+// RecordUse implements keepalive.Policy.
+func (c *clairvoyant) RecordUse(string, time.Time) {}
 
 // Index implements keepalive.Policy.
-func (c *clairvoyant) Index(subject keepalive.Subject, idle time.Duration, now time.Time) float64 {
+func (c *clairvoyant) Index(subject keepalive.VersionProfile, idle time.Duration, now time.Time) float64 {
 	uses := c.uses[subject.Version]
 	next := sort.Search(len(uses), func(i int) bool { return !uses[i].Before(now) })
 	// The whole gap counts: idling that is past was decided on, too.
-	return keepalive.KeepIf(next < len(uses) && uses[next].Sub(now)+idle <= subject.Rent())
+	return keepalive.KeepIf(next < len(uses) && uses[next].Sub(now)+idle <= subject.BreakEven())
 }
 
-// Prewarm implements keepalive.Policy.
-func (c *clairvoyant) Prewarm(keepalive.Subject, time.Time) float64 { return 0 }
+// PrewarmIndex implements keepalive.Policy.
+func (c *clairvoyant) PrewarmIndex(keepalive.VersionProfile, time.Time) float64 { return 0 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -75,8 +75,8 @@
 }
 
 // Position returns where the node stands.
-func (s *Settings) Position() places.Position {
-	return places.Position{Zone: s.Zone, Map: places.NewMap(s.Zones)}
+func (s *Settings) Position() places.Location {
+	return places.Location{Zone: s.Zone, Zones: places.NewZoneMap(s.Zones)}
 }
 
 // WarmingSettings bound by how much all routers together may exceed what a pool declares that a
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -12,7 +12,7 @@
 // kept returns a history that breaks nothing.
 func kept() *History {
 	history := NewHistory()
-	history.Requests["once"] = Request{ID: "once", Router: "r1", Allowed: places.Only("north")}
+	history.Requests["once"] = Request{ID: "once", Router: "r1", Allowed: places.RestrictTo("north")}
 	history.Requests["again"] = Request{ID: "again", Router: "r1", Repeatable: true}
 	history.Requests["refused"] = Request{ID: "refused", Router: "r2"}
 	history.Requests["plain"] = Request{ID: "plain", Router: "r2", Plain: true, Sent: 2 * time.Second}
--- a/internal/subset/index.go
+++ b/internal/subset/index.go
@@ -69,7 +69,7 @@
 
 // Index holds the machines and replicas of a state, by what requests may ask for.
 type Index struct {
-	places   places.Map
+	places   places.ZoneMap
 	revision uint64
 	machines map[string]*machine
 	replicas map[string]*replica
@@ -87,7 +87,7 @@
 }
 
 // NewIndex returns an index of nothing.
-func NewIndex(zones places.Map) *Index {
+func NewIndex(zones places.ZoneMap) *Index {
 	index := &Index{places: zones}
 	index.clear()
 	return index
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -44,7 +44,7 @@
 type Subset struct {
 	index      *Index
 	generation uint64
-	position   places.Position
+	position   places.Location
 	// known are the machines and replicas that the node has learnt of and that were not deleted.
 	known map[state.Key]struct{}
 	// chosen are the members of each group that were chosen, also those that are no longer.
@@ -60,7 +60,7 @@
 }
 
 // Subset returns a subset of a node that knows nothing yet.
-func (x *Index) Subset(position places.Position) *Subset {
+func (x *Index) Subset(position places.Location) *Subset {
 	return &Subset{
 		index: x, generation: x.generation, position: position, known: map[state.Key]struct{}{},
 		chosen: map[*group][]string{}, limits: map[*group]int{}, seen: -1,
@@ -220,7 +220,7 @@
 		return raised
 	}
 	limit := firstLimits[of.key.kind]
-	if of.key.region != s.position.Map.Region(s.position.Zone) {
+	if of.key.region != s.position.Zones.Region(s.position.Zone) {
 		limit = max(1, limit/elsewhereShare)
 	}
 	return limit
@@ -282,7 +282,7 @@
 type candidate struct {
 	name     string
 	usable   bool
-	nearness places.Nearness
+	nearness places.Proximity
 	weight   uint64
 }
 
@@ -297,7 +297,7 @@
 	for member, on := range of.members {
 		if !isChosen[member] {
 			candidates = append(candidates, candidate{
-				name: member, usable: s.index.isUsable(on), nearness: s.position.To(on.spec.Zone),
+				name: member, usable: s.index.isUsable(on), nearness: s.position.ProximityOf(on.spec.Zone),
 				weight: xxhash.Sum64String(s.position.Zone + "\x00" + member),
 			})
 		}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -16,7 +16,7 @@
 )
 
 // twoRegions has the zones a1 and a2 in one region and b1 in another.
-var twoRegions = places.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
+var twoRegions = places.NewZoneMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 
 // fleet makes the changes of machines and replicas.
 type fleet struct {
@@ -61,7 +61,7 @@
 }
 
 func newWatcher(index *Index, zone string) *watcher {
-	return &watcher{subset: index.Subset(places.Position{Map: index.places, Zone: zone}), objects: map[state.Key]*wirepb.Object{}}
+	return &watcher{subset: index.Subset(places.Location{Zones: index.places, Zone: zone}), objects: map[state.Key]*wirepb.Object{}}
 }
 
 func (w *watcher) take(events []*wirepb.WatchEvent) {
--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -129,14 +129,14 @@
 // TestTrafficIsCountedByNearness: bytes between zones and regions are paid for, so both sides
 // count where they go.
 func TestTrafficIsCountedByNearness(t *testing.T) {
-	regions := places.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
-	for zone, wanted := range map[string]places.Nearness{
-		"a1": places.SameZone, "a2": places.SameRegion, "b1": places.Further, "unknown": places.Further,
+	regions := places.NewZoneMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
+	for zone, wanted := range map[string]places.Proximity{
+		"a1": places.SameZone, "a2": places.SameRegion, "b1": places.OtherRegion, "unknown": places.OtherRegion,
 	} {
 		server, client := identity(t, "server", nil), identity(t, "client", nil)
 		server.Hello.Zone, client.Hello.Zone = "a1", zone
-		server.Counters = wire.NewCounters(places.Position{Zone: "a1", Map: regions})
-		client.Counters = wire.NewCounters(places.Position{Zone: zone, Map: regions})
+		server.Counters = wire.NewCounters(places.Location{Zone: "a1", Zones: regions})
+		client.Counters = wire.NewCounters(places.Location{Zone: zone, Zones: regions})
 		if serverErr, clientErr := connect(t, server, client); serverErr != nil || clientErr != nil {
 			t.Fatal(serverErr, clientErr)
 		}
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -16,21 +16,21 @@
 	// maxRaftTypes is more than the largest type of a raft message.
 	maxRaftTypes = 16
 	maxKinds     = maxBodies + maxRaftTypes
-	nearnesses   = int(places.Further) + 1
+	nearnesses   = int(places.OtherRegion) + 1
 )
 
 // Counters counts traffic by kind of message and by how near the other side is: bytes between
 // zones and regions are paid for. One may be shared by many connections; the zero value is a
 // process's that knows of no zones.
 type Counters struct {
-	position places.Position
+	position places.Location
 	near     [nearnesses]placeCounters
 	// compressors counts the compressed streams that go out at present.
 	compressors atomic.Int64
 }
 
 // NewCounters returns the counters of a process at a position, which are all zero.
-func NewCounters(position places.Position) *Counters {
+func NewCounters(position places.Location) *Counters {
 	return &Counters{position: position}
 }
 
@@ -49,7 +49,7 @@
 // NetworkTraffic is how many bytes went over the network, compressed, to and from processes of
 // one nearness since the start.
 type NetworkTraffic struct {
-	Nearness       places.Nearness
+	Nearness       places.Proximity
 	Sent, Received uint64
 }
 
@@ -59,7 +59,7 @@
 	for nearness := range c.near {
 		counters := &c.near[nearness]
 		listed = append(listed, NetworkTraffic{
-			Nearness: places.Nearness(nearness),
+			Nearness: places.Proximity(nearness),
 			Sent:     counters.networkSent.Load(), Received: counters.networkReceived.Load(),
 		})
 	}
@@ -72,7 +72,7 @@
 	// Kind is the name of the envelope's body, such as "node_report"; messages of the log are
 	// told apart by their type, such as "raft_heartbeat".
 	Kind                           string
-	Nearness                       places.Nearness
+	Nearness                       places.Proximity
 	BytesSent, BytesReceived       uint64
 	MessagesSent, MessagesReceived uint64
 }
@@ -81,7 +81,7 @@
 
 // with returns the counters for connections to a zone.
 func (c *Counters) with(zone string) *placeCounters {
-	return &c.near[c.position.To(zone)]
+	return &c.near[c.position.ProximityOf(zone)]
 }
 
 func (c *placeCounters) of(envelope *wirepb.Envelope) *kindCounters {
@@ -116,7 +116,7 @@
 			if traffic.MessagesSent+traffic.MessagesReceived == 0 {
 				continue
 			}
-			traffic.Kind, traffic.Nearness = kindName(number), places.Nearness(nearness)
+			traffic.Kind, traffic.Nearness = kindName(number), places.Proximity(nearness)
 			listed = append(listed, traffic)
 		}
 	}
