--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -24,7 +24,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, drainOrderTimeout)
 	defer cancel()
-	sleepContext(ctx, drains.SettleTime)
+	sleepContext(ctx, drains.SettleDelay)
 	for {
 		written, err := order.attempt(ctx)
 		if err != nil {
@@ -59,10 +59,10 @@
 // write proposes the order against the revision that was read.
 func (o *drainOrder) write(ctx context.Context, zone *wirepb.Object) (written bool, err error) {
 	// Checked after the read, since the process may have been suspended before it.
-	if ctx.Err() != nil || o.node.now()-o.receivedAt > drains.LookTime {
+	if ctx.Err() != nil || o.node.now()-o.receivedAt > drains.ReadWindow {
 		return false, fault.Unavailable.New("the order could not be processed in time")
 	}
-	write, err := drains.Write(o.zone, o.drained, zone.GetRevision(), time.Now())
+	write, err := drains.NewWrite(o.zone, o.drained, zone.GetRevision(), time.Now())
 	if err != nil {
 		return false, err
 	}
@@ -84,7 +84,7 @@
 // catchUp waits until this node has applied everything committed when the order arrived. Its
 // deadline is shorter than the order's, so that without a leader the operator can try another node.
 func (o *drainOrder) catchUp(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, drains.LookTime-(o.node.now()-o.receivedAt))
+	ctx, cancel := context.WithTimeout(ctx, drains.ReadWindow-(o.node.now()-o.receivedAt))
 	defer cancel()
 	return o.node.Barrier(ctx)
 }
@@ -92,15 +92,15 @@
 // readZone returns the zone's object, nil if there is none.
 func (o *drainOrder) readZone() (*wirepb.Object, error) {
 	var held *wirepb.Object
-	knowledge := drains.Unknown
+	knowledge := drains.ZoneUnknown
 	o.node.Read(func(machine *state.Machine) {
 		held = machine.Get(v1.KindZoneDrain, o.zone)
-		knowledge = drains.KnowledgeOf(machine, o.node.settings.Position().Zones.Zones(), o.zone)
+		knowledge = drains.ZoneStatusOf(machine, o.node.settings.Position().Zones.Zones(), o.zone)
 	})
 	switch {
-	case held != nil || knowledge == drains.Known:
+	case held != nil || knowledge == drains.ZoneKnown:
 		return held, nil
-	case knowledge == drains.NotToldYet:
+	case knowledge == drains.ZonesNotReported:
 		return nil, fault.Unavailable.New("no zones are known yet")
 	}
 	return nil, fault.InvalidField("zone", "%q is not a zone of this cluster", o.zone)
@@ -121,16 +121,16 @@
 	}
 }
 
-// stallDetector is a drains.StallWatch for concurrent use.
+// stallDetector is a drains.StallDetector for concurrent use.
 type stallDetector struct {
 	mutex sync.Mutex
-	watch drains.StallWatch
+	watch drains.StallDetector
 }
 
 func (g *stallDetector) observe(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch.Run(now)
+	g.watch.Tick(now)
 }
 
 func (g *stallDetector) stalled(now time.Duration) bool {
@@ -141,7 +141,7 @@
 
 // watchStalls has a goroutine of its own, since the raft loop blocks on disk writes.
 func (n *Node) watchStalls(ctx context.Context) {
-	ticker := time.NewTicker(drains.StallLook)
+	ticker := time.NewTicker(drains.StallCheckInterval)
 	defer ticker.Stop()
 	for {
 		n.stallDetector.observe(n.now())
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -104,16 +104,16 @@
 func (g *stallDetector) assumeStalled(node *Node) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch.Run(node.now() + time.Hour)
+	g.watch.Tick(node.now() + time.Hour)
 }
 
 // assumeRunning makes the detector report no stall.
 func (g *stallDetector) assumeRunning(node *Node) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch = drains.StallWatch{}
-	for now := node.now() - time.Minute; now <= node.now(); now += drains.StallLook {
-		g.watch.Run(now)
+	g.watch = drains.StallDetector{}
+	for now := node.now() - time.Minute; now <= node.now(); now += drains.StallCheckInterval {
+		g.watch.Tick(now)
 	}
 }
 
@@ -147,7 +147,7 @@
 	for _, late := range []struct {
 		ctx context.Context
 		age time.Duration
-	}{{left, 0}, {t.Context(), drains.LookTime + time.Minute}} {
+	}{{left, 0}, {t.Context(), drains.ReadWindow + time.Minute}} {
 		order := &drainOrder{node: node, zone: "z", receivedAt: node.now() - late.age}
 		held, err := order.readZone()
 		if err != nil {
@@ -167,7 +167,7 @@
 func TestDrainOrderIsIdempotent(t *testing.T) {
 	cluster := startCluster(t)
 	leader, follower := cluster.leaderAndFollower()
-	write, err := drains.Write("z", true, 0, time.Now())
+	write, err := drains.NewWrite("z", true, 0, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -175,7 +175,7 @@
 
 func (l *leader) observeWarming() {
 	news := l.controller.ObserveWarming(l.node.now(), l.node.instances.Entries)
-	l.permits.empty(l.node.now(), news.Doubted)
+	l.permits.empty(l.node.now(), news.LeftWarm)
 	for _, change := range news.Changes {
 		l.node.logger.Info("machine_warming", "machine", change.Machine, "remaining_ms", change.Remaining.Milliseconds())
 	}
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -32,7 +32,7 @@
 func (m *machineLimits) of(machine string) ratelimit.Limit {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.limits.Of(machine)
+	return m.limits.Get(machine)
 }
 
 // snapshot returns the observations of the listed machines, and forgets the others.
--- a/internal/control/limits_test.go
+++ b/internal/control/limits_test.go
@@ -79,7 +79,7 @@
 			return isAnswered && isGranted
 		})
 	}
-	if limits := node.limitSnapshot(); len(limits) != 1 || limits[0].Limit.IsSet || limits[0].HeardAge < 2*time.Second {
+	if limits := node.limitSnapshot(); len(limits) != 1 || limits[0].Limit.IsSet || limits[0].ReceivedAge < 2*time.Second {
 		t.Errorf("the digest has limits %v", limits)
 	}
 }
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -16,14 +16,14 @@
 type termPermits struct {
 	term    uint64
 	mutex   sync.Mutex
-	buckets *permits.Permits
+	buckets *permits.Buckets
 }
 
 func newTermPermits(term uint64, now time.Duration) *termPermits {
 	return &termPermits{term: term, buckets: permits.New(now)}
 }
 
-func (t *termPermits) take(now time.Duration, machine string, pace permits.Pace) permits.Decision {
+func (t *termPermits) take(now time.Duration, machine string, pace permits.BucketConfig) permits.Decision {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.buckets.Take(now, machine, pace)
@@ -76,18 +76,18 @@
 
 // paceOf returns the pace at which the machine may be sent requests. isPaced is false if the permit
 // was requested only for a limit, and that limit has ended.
-func (n *Node) paceOf(request *wirepb.PermitRequest) (pace permits.Pace, isPaced bool) {
+func (n *Node) paceOf(request *wirepb.PermitRequest) (pace permits.BucketConfig, isPaced bool) {
 	machine := request.GetMachine()
 	if limit := request.GetLimit(); limit != nil {
 		n.mergeLimits([]*wirepb.MachineLimit{limit}, "permit")
 	}
 	limit := n.limits.of(machine)
 	if request.GetLimitOnly() {
-		return limit.Pace(), limit.IsSet
+		return limit.BucketConfig(), limit.IsSet
 	}
-	pace = n.settings.Warming.Bound().Pace(n.rateWhileWarming(machine))
+	pace = n.settings.Warming.Bound().BucketConfig(n.rateWhileWarming(machine))
 	if limit.IsSet {
-		pace = pace.And(limit.Pace())
+		pace = pace.Min(limit.BucketConfig())
 	}
 	return pace, true
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -70,7 +70,7 @@
 	planner   *placement.Planner
 	estimates []placement.Estimate
 	stored    *storedView
-	warming   *warming.Watch
+	warming   *warming.Tracker
 	// limits are those that machines name, as digests tell of them; limited are those in force.
 	limits  []ratelimit.Observation
 	limited map[string]ratelimit.Limit
@@ -95,7 +95,7 @@
 func New(now time.Duration, config Config, reports *ReportTable) *Controller {
 	reports.BeginQuotas(quota.NewLedger(now, config.Quota, config.Routers))
 	return &Controller{
-		config: config, since: now, reports: reports, lastSweep: now, warming: warming.NewWatch(now),
+		config: config, since: now, reports: reports, lastSweep: now, warming: warming.NewTracker(now),
 		planner: placement.NewPlanner(config.Planner),
 	}
 }
@@ -213,7 +213,7 @@
 	digest.Roster, digest.RosterSequence = c.roster, c.rosterSequence
 	digest.MachineLoads = packed(c.roster, loads)
 	digest.MachineWork = packed(c.roster, workOf(now, nodes))
-	digest.MachineWarming = packed(c.roster, c.warming.Units(now))
+	digest.MachineWarming = packed(c.roster, c.warming.DigestUnits(now))
 	digest.Limits = nodeview.LimitMessages(c.limits)
 	digest.History = c.history(now)
 	digest.Tenants, digest.TenantsKnown = c.reports.allowances(now, limits)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -21,11 +21,11 @@
 		warms time.Duration
 		rate  float64
 	}{
-		{ratelimit.Of(2), 0, 2},
-		{ratelimit.Of(7), 0, 7},
-		{ratelimit.Of(7), time.Second, 5},
-		{ratelimit.Of(0), time.Second, 0},
-		{ratelimit.None, 0, 0},
+		{ratelimit.NewLimit(2), 0, 2},
+		{ratelimit.NewLimit(7), 0, 7},
+		{ratelimit.NewLimit(7), time.Second, 5},
+		{ratelimit.NewLimit(0), time.Second, 0},
+		{ratelimit.Unlimited, 0, 0},
 	} {
 		now += urgentDigestInterval
 		leader.SetLimits([]ratelimit.Observation{{Machine: "m", Limit: test.limit}})
--- a/internal/controller/loadcrash.go
+++ b/internal/controller/loadcrash.go
@@ -39,11 +39,11 @@
 		case action.CrashedDuringLoad && v.machines[spec.Machine].Status.Reason == instances.ReasonAnnounced:
 			// A planned end.
 		case action.CrashedDuringLoad:
-			run := quarantine.Run{
-				Machine: spec.Machine, Life: quarantine.LifeOf(spec.Machine, spec.Incarnation),
+			run := quarantine.BrokenRequest{
+				Machine: spec.Machine, Instance: quarantine.InstanceName(spec.Machine, spec.Incarnation),
 				Identity: quarantine.LoadIdentity(spec.Version), Route: loadRoute + spec.Version,
 			}
-			commands = append(commands, quarantine.RecordCommand(run.Life, []quarantine.Run{run}))
+			commands = append(commands, quarantine.RecordCommand(run.Instance, []quarantine.BrokenRequest{run}))
 		case action.Kind == placement.ActionReady && v.loadCrashes[spec.Version].Count > 0:
 			commands = append(commands, quarantine.ClearCommand(quarantine.LoadIdentity(spec.Version)))
 		}
--- a/internal/controller/warming.go
+++ b/internal/controller/warming.go
@@ -11,7 +11,7 @@
 
 // ObserveWarming takes what machines said of themselves, beside the state observed last. Where the
 // machines of no pool warm up, it looks at none: entries is not called.
-func (c *Controller) ObserveWarming(now time.Duration, entries func() map[string]instances.Entry) warming.News {
+func (c *Controller) ObserveWarming(now time.Duration, entries func() map[string]instances.Entry) warming.Transitions {
 	drains := make(map[string]warming.Drain, len(c.stored.drains))
 	for zone, drain := range c.stored.drains {
 		drains[zone] = warming.Drain{Revision: drain.revision, Drained: drain.spec.Drained}
@@ -33,7 +33,7 @@
 			continue // It is watched by agents, and says nothing of itself.
 		}
 		machine := warming.Machine{
-			Zone: declared.Spec.Zone, Lost: declared.Status.Phase == v1.MachineLost, Declared: c.stored.warmingOf(declared.Spec.Pool) != nil,
+			Zone: declared.Spec.Zone, Lost: declared.Status.Phase == v1.MachineLost, DeclaredWarming: c.stored.warmingOf(declared.Spec.Pool) != nil,
 		}
 		if entry, heard := entries[name]; heard {
 			machine.Report = &warming.Report{
--- a/internal/controller/warming_test.go
+++ b/internal/controller/warming_test.go
@@ -59,17 +59,17 @@
 		change func(now time.Duration)
 		units  []byte
 	}{
-		{"nothing said", time.Second, func(time.Duration) {}, []byte{warming.Unsaid}},
+		{"nothing said", time.Second, func(time.Duration) {}, []byte{warming.UnitsUnknown}},
 		{"warm, told soon", 1100 * time.Millisecond, func(now time.Duration) { report(now, 0) }, nil},
 		{"warms up, told soon", 1200 * time.Millisecond, func(now time.Duration) { report(now, 950) }, []byte{10}},
 		{"lowered by time", 1700 * time.Millisecond, func(time.Duration) {}, []byte{5}},
 		{"drained", 1800 * time.Millisecond, func(time.Duration) {
 			put(t, stored, v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{Drained: true})
-		}, []byte{warming.Unsaid}},
-		{"drained and heard", 2300 * time.Millisecond, func(now time.Duration) { report(now, 0) }, []byte{warming.Unsaid}},
+		}, []byte{warming.UnitsUnknown}},
+		{"drained and heard", 2300 * time.Millisecond, func(now time.Duration) { report(now, 0) }, []byte{warming.UnitsUnknown}},
 		{"the drain has ended", 2900 * time.Millisecond, func(time.Duration) {
 			put(t, stored, v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{})
-		}, []byte{warming.Unsaid}},
+		}, []byte{warming.UnitsUnknown}},
 		{"heard since", 3 * time.Second, func(now time.Duration) { report(now, 0) }, nil},
 	} {
 		step.change(step.at)
--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -45,11 +45,11 @@
 	maxTasks = 256
 )
 
-// Prober tells whether a machine takes connections (no error), or refuses them.
-type Prober func(ctx context.Context, machine, address string) (refused bool, err error)
+// ProbeFunc tells whether a machine takes connections (no error), or refuses them.
+type ProbeFunc func(ctx context.Context, machine, address string) (refused bool, err error)
 
-// ProbeBy returns a prober that connects by a function.
-func ProbeBy(dial func(ctx context.Context, machine, address string) (net.Conn, error)) Prober {
+// ProbeWithDial returns a prober that connects by a function.
+func ProbeWithDial(dial func(ctx context.Context, machine, address string) (net.Conn, error)) ProbeFunc {
 	return func(ctx context.Context, machine, address string) (bool, error) {
 		connection, err := dial(ctx, machine, address)
 		if err != nil {
@@ -65,9 +65,9 @@
 	View    *nodeview.View
 	Logger  *slog.Logger
 	Propose feed.ProposeFunc
-	Probe   Prober
-	// Examined is told of each verdict; may be nil.
-	Examined func(verdict quarantine.Verdict)
+	Probe   ProbeFunc
+	// OnVerdict is told of each verdict; may be nil.
+	OnVerdict func(verdict quarantine.Verdict)
 }
 
 // Watcher watches the machines of one router. It is safe for concurrent use.
@@ -75,13 +75,13 @@
 	options Options
 
 	mutex sync.Mutex
-	watch *quarantine.Watch
+	watch *quarantine.Tracker
 	tasks chan func(ctx context.Context)
 }
 
 // New returns a watcher; Run must be running for it to work.
 func New(options Options) *Watcher {
-	return &Watcher{options: options, watch: quarantine.NewWatch(), tasks: make(chan func(ctx context.Context), maxTasks)}
+	return &Watcher{options: options, watch: quarantine.NewTracker(), tasks: make(chan func(ctx context.Context), maxTasks)}
 }
 
 // Run carries out what requests have asked for until ctx ends.
@@ -109,44 +109,44 @@
 	}
 }
 
-// Broken takes a request whose answer broke off, or did not come.
-func (w *Watcher) Broken(run quarantine.Run) {
+// ReportBroken takes a request whose answer broke off, or did not come.
+func (w *Watcher) ReportBroken(run quarantine.BrokenRequest) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	switch w.watch.Broken(time.Now(), run) {
-	case quarantine.NextExamine:
+	switch w.watch.AddBroken(time.Now(), run) {
+	case quarantine.ActionProbe:
 		if !w.start(func(ctx context.Context) { w.examine(ctx, run) }) {
-			w.watch.Forget(run.Life)
+			w.watch.Forget(run.Instance)
 		}
-	case quarantine.NextRecord:
-		w.startRecording([]quarantine.Run{run})
-	case quarantine.NextDropped:
+	case quarantine.ActionRecord:
+		w.startRecording([]quarantine.BrokenRequest{run})
+	case quarantine.ActionDropped:
 		w.options.Logger.Warn("crash_not_examined", "machine", run.Machine)
-	case quarantine.NextNothing:
+	case quarantine.ActionNone:
 	}
 }
 
 // examine finds out what has become of a machine, and has a crash recorded.
-func (w *Watcher) examine(ctx context.Context, run quarantine.Run) {
+func (w *Watcher) examine(ctx context.Context, run quarantine.BrokenRequest) {
 	verdict := w.judge(ctx, run)
-	if w.options.Examined != nil {
-		w.options.Examined(verdict)
+	if w.options.OnVerdict != nil {
+		w.options.OnVerdict(verdict)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	runs := w.watch.Judged(time.Now(), run.Life, verdict)
-	w.options.Logger.Info("machine_examined", "machine", run.Life, "verdict", verdict.String(), "requests", len(runs))
+	runs := w.watch.ApplyVerdict(time.Now(), run.Instance, verdict)
+	w.options.Logger.Info("machine_examined", "machine", run.Instance, "verdict", verdict.String(), "requests", len(runs))
 	if len(runs) > 0 {
 		w.startRecording(runs)
 	}
 }
 
 // judge looks at a machine until it is known what has become of it, or the time is over.
-func (w *Watcher) judge(ctx context.Context, run quarantine.Run) quarantine.Verdict {
+func (w *Watcher) judge(ctx context.Context, run quarantine.BrokenRequest) quarantine.Verdict {
 	ctx, cancel := context.WithTimeout(ctx, examineTime)
 	defer cancel()
 	for {
-		if verdict := w.look(ctx, run).Judge(); verdict != quarantine.VerdictNone {
+		if verdict := w.look(ctx, run).Verdict(); verdict != quarantine.VerdictPending {
 			return verdict
 		}
 		select {
@@ -158,14 +158,14 @@
 }
 
 // look takes what the view tells of a machine, and tries to connect if that does not suffice.
-func (w *Watcher) look(ctx context.Context, run quarantine.Run) quarantine.Sign {
-	sign := quarantine.Sign{}
+func (w *Watcher) look(ctx context.Context, run quarantine.BrokenRequest) quarantine.Evidence {
+	sign := quarantine.Evidence{}
 	if known, isKnown := w.options.View.Machine(run.Machine); isKnown {
 		sign.Replaced = w.options.View.IsReplaced(run.Machine, known.Spec.Endpoint) ||
-			quarantine.LifeOf(run.Machine, known.Status.Incarnation) != run.Life
+			quarantine.InstanceName(run.Machine, known.Status.Incarnation) != run.Instance
 		sign.Leaving = known.Status.Phase == v1.MachineLeaving || known.Status.Phase == v1.MachineGone
 	}
-	if sign.Judge() != quarantine.VerdictNone {
+	if sign.Verdict() != quarantine.VerdictPending {
 		return sign
 	}
 	refused, err := w.options.Probe(ctx, run.Machine, run.Address)
@@ -174,18 +174,18 @@
 }
 
 // startRecording has runs at one life of a machine recorded; the mutex must be held.
-func (w *Watcher) startRecording(runs []quarantine.Run) {
+func (w *Watcher) startRecording(runs []quarantine.BrokenRequest) {
 	w.start(func(ctx context.Context) {
-		w.record(ctx, runs[0].Life, runs)
+		w.record(ctx, runs[0].Instance, runs)
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.watch.Recorded(runs)
+		w.watch.MarkRecorded(runs)
 	})
 }
 
 // record proposes a crash until it is in the log, however long there is no leader: what is
 // forgotten costs the machines of the next tries.
-func (w *Watcher) record(ctx context.Context, life string, runs []quarantine.Run) {
+func (w *Watcher) record(ctx context.Context, life string, runs []quarantine.BrokenRequest) {
 	failed := func(reason string) {
 		w.options.Logger.Warn("crash_not_recorded", "machine", life, "requests", len(runs), "error", reason)
 	}
@@ -197,7 +197,7 @@
 }
 
 // logQuarantined tells which of the requests just recorded must not run any more.
-func (w *Watcher) logQuarantined(runs []quarantine.Run) {
+func (w *Watcher) logQuarantined(runs []quarantine.BrokenRequest) {
 	for _, run := range runs {
 		if held := w.options.View.Suspect(run.Identity); held != nil && held.Quarantined {
 			w.options.Logger.Warn("request_quarantined", "identity", run.Identity.String(), "route", run.Route, "tenant", run.Tenant, "machines", held.Machines)
@@ -249,7 +249,7 @@
 // identity is asked for: it takes a hash of the whole request.
 func (w *Watcher) suspects() bool {
 	w.mutex.Lock()
-	own := w.watch.Suspects()
+	own := w.watch.HasSuspects()
 	w.mutex.Unlock()
 	return own || w.options.View.HasSuspects()
 }
@@ -263,8 +263,8 @@
 	identity := identityOf()
 	held := w.options.View.Suspect(identity)
 	w.mutex.Lock()
-	machines, quarantined := w.watch.Crashed(identity, held)
-	doubted := !quarantined && w.watch.Doubted(identity, held)
+	machines, quarantined := w.watch.Crashes(identity, held)
+	doubted := !quarantined && w.watch.IsPending(identity, held)
 	w.mutex.Unlock()
 	switch {
 	case !quarantined && !doubted:
@@ -281,8 +281,8 @@
 	return document
 }
 
-// Completed takes a request that a machine has run to the end.
-func (w *Watcher) Completed(identityOf func() quarantine.Identity) {
+// ReportCompleted takes a request that a machine has run to the end.
+func (w *Watcher) ReportCompleted(identityOf func() quarantine.Identity) {
 	if !w.suspects() {
 		return
 	}
@@ -290,11 +290,11 @@
 	recorded := w.options.View.Suspect(identity) != nil
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if !w.watch.Completed(identity, recorded) {
+	if !w.watch.Complete(identity, recorded) {
 		return
 	}
 	if !w.start(func(ctx context.Context) { w.clear(ctx, identity) }) {
-		w.watch.Cleared(identity)
+		w.watch.MarkCleared(identity)
 	}
 }
 
@@ -308,12 +308,12 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.watch.Cleared(identity)
+	w.watch.MarkCleared(identity)
 }
 
-// Settled reports whether all that is known of crashes has been recorded.
-func (w *Watcher) Settled() bool {
+// IsIdle reports whether all that is known of crashes has been recorded.
+func (w *Watcher) IsIdle() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.watch.Settled() && len(w.tasks) == 0
+	return w.watch.IsIdle() && len(w.tasks) == 0
 }
--- a/internal/crashwatch/watcher_test.go
+++ b/internal/crashwatch/watcher_test.go
@@ -71,7 +71,7 @@
 	for _, isEnd := range []bool{true, false} {
 		watcher, probe := startWatcher(t)
 		run := func(machine string, identity quarantine.Identity) {
-			watcher.Broken(quarantine.Run{Machine: machine, Life: machine, Identity: identity})
+			watcher.ReportBroken(quarantine.BrokenRequest{Machine: machine, Instance: machine, Identity: identity})
 		}
 		run("m1", culprit)
 		if kind := refusalOf(watcher, culprit); kind != "" {
@@ -102,7 +102,7 @@
 func TestEndOfALookLetsTheRequestRun(t *testing.T) {
 	watcher, _ := startWatcher(t)
 	for _, machine := range []string{"m1", "m2"} {
-		watcher.Broken(quarantine.Run{Machine: machine, Life: machine, Identity: quarantine.Identity{1}})
+		watcher.ReportBroken(quarantine.BrokenRequest{Machine: machine, Instance: machine, Identity: quarantine.Identity{1}})
 	}
 	for strings.Contains(refusalOf(watcher, quarantine.Identity{1}), "unavailable") {
 		time.Sleep(time.Millisecond)
--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -31,23 +31,23 @@
 	probeShare = 0.05
 )
 
-// Answers counts how a machine answered.
-type Answers struct {
-	// Answered counts the requests that ended there, Errors those of them that ended
+// ResponseCounts counts how a machine answered.
+type ResponseCounts struct {
+	// Total counts the requests that ended there, Errors those of them that ended
 	// with the machine's own failure, or without a whole answer.
-	Answered, Errors float64
+	Total, Errors float64
 }
 
 // countAnswer notes how a request ended at a machine. A refusal, or a connection that
 // did not come about, says nothing of how it answers; neither does silence, which may be
 // overload: to move its requests to its peers would overload them next.
-func (c *Core) countAnswer(machine string, result Result) {
+func (c *Scheduler) countAnswer(machine string, result Result) {
 	counted := c.answered[machine]
 	switch result {
 	case ResultOK:
-		counted.Answered++
+		counted.Total++
 	case ResultError, ResultFailed:
-		counted.Answered++
+		counted.Total++
 		counted.Errors++
 	default:
 		return
@@ -55,32 +55,32 @@
 	c.answered[machine] = counted
 }
 
-// Answers counts how machines have answered this router since it started.
-func (c *Core) Answers() map[string]Answers {
+// ResponseCounts counts how machines have answered this router since it started.
+func (c *Scheduler) ResponseCounts() map[string]ResponseCounts {
 	return maps.Clone(c.answered)
 }
 
 // forgetAnswers drops the counts of machines that have no targets any more.
-func (c *Core) forgetAnswers() {
+func (c *Scheduler) forgetAnswers() {
 	present := map[string]bool{}
 	for _, held := range c.targets {
 		present[held.Machine] = true
 	}
-	maps.DeleteFunc(c.answered, func(machine string, _ Answers) bool { return !present[machine] })
+	maps.DeleteFunc(c.answered, func(machine string, _ ResponseCounts) bool { return !present[machine] })
 }
 
-// SetAnswers replaces how machines answered all routers lately.
-func (c *Core) SetAnswers(now time.Time, answers map[string]Answers) {
+// SetResponseCounts replaces how machines answered all routers lately.
+func (c *Scheduler) SetResponseCounts(now time.Time, answers map[string]ResponseCounts) {
 	c.answers, c.answersAt = answers, now
 }
 
 // withoutFailing leaves out targets whose machine fails more than its peers, each for so
 // many of the requests as its errors call for. Where none is left, all are as they were.
-func (c *Core) withoutFailing(now time.Time, request *Request, targets []*target) []*target {
+func (c *Scheduler) withoutFailing(now time.Time, request *Request, targets []*target) []*target {
 	if len(c.answers) == 0 || len(targets) < 2 || now.Sub(c.answersAt) > answersLifetime {
 		return targets
 	}
-	total := Answers{}
+	total := ResponseCounts{}
 	for _, candidate := range targets {
 		total = total.plus(c.answers[candidate.Machine])
 	}
@@ -101,26 +101,26 @@
 	return kept
 }
 
-func (a Answers) plus(other Answers) Answers {
-	return Answers{Answered: a.Answered + other.Answered, Errors: a.Errors + other.Errors}
+func (a ResponseCounts) plus(other ResponseCounts) ResponseCounts {
+	return ResponseCounts{Total: a.Total + other.Total, Errors: a.Errors + other.Errors}
 }
 
-func (a Answers) minus(other Answers) Answers {
-	return Answers{Answered: a.Answered - other.Answered, Errors: a.Errors - other.Errors}
+func (a ResponseCounts) minus(other ResponseCounts) ResponseCounts {
+	return ResponseCounts{Total: a.Total - other.Total, Errors: a.Errors - other.Errors}
 }
 
 // trust is the share of its requests that a machine keeps, by its answers and by those
 // of its peers.
-func (a Answers) trust(peers Answers) float64 {
+func (a ResponseCounts) trust(peers ResponseCounts) float64 {
 	usual := leastErrorShare
-	if peers.Answered > 0 {
-		usual = max(usual, peers.Errors/peers.Answered)
+	if peers.Total > 0 {
+		usual = max(usual, peers.Errors/peers.Total)
 	}
 	odds := a.oddsAgainst(usual)
 	if odds <= doubtfulOdds {
 		return 1
 	}
-	share := a.Errors / a.Answered
+	share := a.Errors / a.Total
 	deserved := max(probeShare, math.Pow((1-share)/(1-usual), avoidance))
 	certainty := min(1, (odds-doubtfulOdds)/(certainOdds-doubtfulOdds))
 	return 1 - certainty*(1-deserved)
@@ -128,17 +128,17 @@
 
 // oddsAgainst is the logarithm of how much likelier the errors are at the machine's own
 // share of them than at the usual one; 0 where it has no more than usual.
-func (a Answers) oddsAgainst(usual float64) float64 {
-	if a.Answered <= 0 || usual >= 1 {
+func (a ResponseCounts) oddsAgainst(usual float64) float64 {
+	if a.Total <= 0 || usual >= 1 {
 		return 0
 	}
-	share := min(1, a.Errors/a.Answered)
+	share := min(1, a.Errors/a.Total)
 	if share <= usual {
 		return 0
 	}
 	odds := a.Errors * math.Log(share/usual)
 	if share < 1 {
-		odds += (a.Answered - a.Errors) * math.Log((1-share)/(1-usual))
+		odds += (a.Total - a.Errors) * math.Log((1-share)/(1-usual))
 	}
 	return odds
 }
--- a/internal/dispatch/answers_test.go
+++ b/internal/dispatch/answers_test.go
@@ -11,20 +11,20 @@
 func TestTrust(t *testing.T) {
 	tests := []struct {
 		name        string
-		own, peers  Answers
+		own, peers  ResponseCounts
 		least, most float64
 	}{
-		{"nothing is known", Answers{}, Answers{}, 1, 1},
-		{"no errors", Answers{20, 0}, Answers{100, 5}, 1, 1},
-		{"one error is chance", Answers{20, 1}, Answers{100, 1}, 1, 1},
-		{"all errors", Answers{4, 4}, Answers{100, 1}, 0.04, 0.06},
-		{"the first two are errors", Answers{2, 2}, Answers{20, 0}, 0.04, 0.06},
-		{"20 in 100, few seen", Answers{10, 2}, Answers{100, 2}, 0.5, 0.9},
-		{"40 in 100, many seen", Answers{50, 20}, Answers{200, 4}, 0.1, 0.2},
-		{"5 in 100 beside 2", Answers{40, 2}, Answers{200, 4}, 1, 1},
-		{"as bad as the others", Answers{50, 7}, Answers{200, 28}, 1, 1},
-		{"40 in 100 where 14 are usual", Answers{40, 16}, Answers{200, 28}, 0.2, 0.4},
-		{"all are bad", Answers{20, 20}, Answers{100, 100}, 1, 1},
+		{"nothing is known", ResponseCounts{}, ResponseCounts{}, 1, 1},
+		{"no errors", ResponseCounts{20, 0}, ResponseCounts{100, 5}, 1, 1},
+		{"one error is chance", ResponseCounts{20, 1}, ResponseCounts{100, 1}, 1, 1},
+		{"all errors", ResponseCounts{4, 4}, ResponseCounts{100, 1}, 0.04, 0.06},
+		{"the first two are errors", ResponseCounts{2, 2}, ResponseCounts{20, 0}, 0.04, 0.06},
+		{"20 in 100, few seen", ResponseCounts{10, 2}, ResponseCounts{100, 2}, 0.5, 0.9},
+		{"40 in 100, many seen", ResponseCounts{50, 20}, ResponseCounts{200, 4}, 0.1, 0.2},
+		{"5 in 100 beside 2", ResponseCounts{40, 2}, ResponseCounts{200, 4}, 1, 1},
+		{"as bad as the others", ResponseCounts{50, 7}, ResponseCounts{200, 28}, 1, 1},
+		{"40 in 100 where 14 are usual", ResponseCounts{40, 16}, ResponseCounts{200, 28}, 0.2, 0.4},
+		{"all are bad", ResponseCounts{20, 20}, ResponseCounts{100, 100}, 1, 1},
 	}
 	for _, test := range tests {
 		if trust := test.own.trust(test.peers); trust < test.least || trust > test.most {
@@ -38,23 +38,23 @@
 type failingFleet struct {
 	now     time.Time
 	random  *rand.Rand
-	routers []*Core
+	routers []*Scheduler
 	errors  []float64
-	counts  map[string]Answers
+	counts  map[string]ResponseCounts
 	nextID  uint64
 }
 
 const digestEvery = 500 * time.Millisecond
 
 func newFailingFleet(routers int, errors ...float64) *failingFleet {
-	fleet := &failingFleet{now: time.Unix(0, 0), random: rand.New(rand.NewPCG(7, uint64(routers))), errors: errors, counts: map[string]Answers{}}
+	fleet := &failingFleet{now: time.Unix(0, 0), random: rand.New(rand.NewPCG(7, uint64(routers))), errors: errors, counts: map[string]ResponseCounts{}}
 	var targets []Target
 	for position := range errors {
 		name := strconv.Itoa(position)
-		targets = append(targets, Target{Replica: name, Version: "v", Machine: name, Max: 100})
+		targets = append(targets, Target{Replica: name, Version: "v", Machine: name, MaxConcurrent: 100})
 	}
 	for position := range routers {
-		core := New(Config{MaxWaiting: 10, SharedSlots: true, ByWork: true, Seed: uint64(position) << 32})
+		core := New(Config{MaxWaiting: 10, SharedSlots: true, LeastWork: true, Seed: uint64(position) << 32})
 		core.SetTargets(fleet.now, targets)
 		fleet.routers = append(fleet.routers, core)
 	}
@@ -81,7 +81,7 @@
 		shares[position] += 1 / float64(requests)
 		result := ResultOK
 		entry := f.counts[grant.Target.Machine]
-		entry.Answered++
+		entry.Total++
 		if f.random.Float64() < f.errors[position] {
 			result = ResultError
 			entry.Errors++
@@ -96,13 +96,13 @@
 }
 
 func (f *failingFleet) spread(keep float64) {
-	digest := map[string]Answers{}
+	digest := map[string]ResponseCounts{}
 	for machine, entry := range f.counts {
-		digest[machine] = Answers{Answered: math.Round(entry.Answered), Errors: math.Round(entry.Errors)}
-		f.counts[machine] = Answers{Answered: entry.Answered * keep, Errors: entry.Errors * keep}
+		digest[machine] = ResponseCounts{Total: math.Round(entry.Total), Errors: math.Round(entry.Errors)}
+		f.counts[machine] = ResponseCounts{Total: entry.Total * keep, Errors: entry.Errors * keep}
 	}
 	for _, router := range f.routers {
-		router.SetAnswers(f.now, digest)
+		router.SetResponseCounts(f.now, digest)
 	}
 }
 
@@ -144,7 +144,7 @@
 func TestOldCountsAreNotUsed(t *testing.T) {
 	fleet := newFailingFleet(1, 0, 0)
 	core := fleet.routers[0]
-	core.SetAnswers(fleet.now, map[string]Answers{"0": {20, 20}, "1": {20, 0}})
+	core.SetResponseCounts(fleet.now, map[string]ResponseCounts{"0": {20, 20}, "1": {20, 0}})
 	targets := core.version("v").targets
 	if kept := core.withoutFailing(fleet.now.Add(answersLifetime), &Request{ID: 1}, targets); len(kept) == len(targets) {
 		t.Error("fresh counts are not used")
@@ -162,12 +162,12 @@
 	for id := uint64(1); id <= ejectAfter; id++ {
 		target := core.targets["0"]
 		target.inFlight++
-		core.Release(now, Grant{Request: &Request{ID: id, Version: "v"}, Target: target.Target}, ResultSilent)
+		core.Release(now, Grant{Request: &Request{ID: id, Version: "v"}, Target: target.Target}, ResultTimedOut)
 	}
 	if !core.targets["0"].health.ejected(now) {
 		t.Error("a silent machine gets requests")
 	}
-	if counted := core.Answers(); len(counted) != 0 {
+	if counted := core.ResponseCounts(); len(counted) != 0 {
 		t.Errorf("silence was counted: %v", counted)
 	}
 }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -17,9 +17,9 @@
 	RoundRobin bool
 	// SharedSlots is set where the replicas on a machine share its slots.
 	SharedSlots bool
-	// ByWork takes targets by the work that their machines have before them,
+	// LeastWork takes targets by the work that their machines have before them,
 	// instead of by their requests.
-	ByWork bool
+	LeastWork bool
 	// Seed makes routers choose differently among equal targets.
 	Seed uint64
 	// PlacedAdapters is set where a request for an adapter can only run where
@@ -27,9 +27,9 @@
 	PlacedAdapters bool
 }
 
-// Core is the dispatch state of one router. It is not safe for concurrent
+// Scheduler is the dispatch state of one router. It is not safe for concurrent
 // use.
-type Core struct {
+type Scheduler struct {
 	config   Config
 	targets  map[string]*target
 	versions map[string]*versionState
@@ -52,8 +52,8 @@
 	staleness time.Duration
 	// answered counts how machines answered this router, and answers how they
 	// answered all routers lately, by the newest digest, which came at answersAt.
-	answered  map[string]Answers
-	answers   map[string]Answers
+	answered  map[string]ResponseCounts
+	answers   map[string]ResponseCounts
 	answersAt time.Time
 	// warming names the machines that warm up, and limited those that name a limit. held says until
 	// when a machine gets nothing; pacedHeld says so of all that take permits.
@@ -92,17 +92,17 @@
 }
 
 // New returns an empty core.
-func New(config Config) *Core {
-	return &Core{
+func New(config Config) *Scheduler {
+	return &Scheduler{
 		config: config, targets: map[string]*target{}, versions: map[string]*versionState{},
 		waiters: map[uint64]*waiter{}, others: map[string]int{}, onMachine: map[string]int{},
 		work: map[string]float64{}, othersWork: map[string]float64{}, routers: 1,
-		staleness: usualStaleness, answered: map[string]Answers{}, drained: map[string]Target{},
+		staleness: usualStaleness, answered: map[string]ResponseCounts{}, drained: map[string]Target{},
 		held: map[string]time.Time{}, rests: map[string]*rest{}, leaving: map[string]time.Time{},
 	}
 }
 
-func (c *Core) version(name string) *versionState {
+func (c *Scheduler) version(name string) *versionState {
 	held := c.versions[name]
 	if held == nil {
 		held = &versionState{}
@@ -112,13 +112,13 @@
 }
 
 // Loads returns the requests in flight by machine.
-func (c *Core) Loads() map[string]int {
+func (c *Scheduler) Loads() map[string]int {
 	return maps.Clone(c.onMachine)
 }
 
 // Tick refuses requests whose deadline has passed and gives room that has
 // opened by itself, such as a target whose ejection ended.
-func (c *Core) Tick(now time.Time) Outcome {
+func (c *Scheduler) Tick(now time.Time) Outcome {
 	var outcome Outcome
 	for _, entry := range c.waiters {
 		if !now.Before(entry.request.Deadline) || entry.request.impatient(now) {
@@ -136,7 +136,7 @@
 }
 
 // refusalOfImpatient refuses a request that got no place in time.
-func (c *Core) refusalOfImpatient(now time.Time, request *Request) Refusal {
+func (c *Scheduler) refusalOfImpatient(now time.Time, request *Request) Refusal {
 	refusal := Refusal{
 		Request: request, Reason: RefusedDeadline, Detail: "no replica was ready before the deadline", RetryAfter: shedRetryAfter,
 	}
@@ -144,8 +144,8 @@
 		refusal.Reason, refusal.Detail = reason, detailsOfPaced[reason]
 	}
 	version := c.version(request.Version)
-	if retryAfter, allRest := c.RetryAfterRest(now, request); allRest {
-		refusal.Reason, refusal.Detail, refusal.RetryAfter = RefusedResting, detailsOfPaced[RefusedResting], retryAfter
+	if retryAfter, allRest := c.RetryAfterBackoff(now, request); allRest {
+		refusal.Reason, refusal.Detail, refusal.RetryAfter = RefusedBackoff, detailsOfPaced[RefusedBackoff], retryAfter
 	}
 	if perSecond, isLimited := c.limitOf(version, request); isLimited {
 		refusal.RetryAfter = max(refusal.RetryAfter, retryAfterLimit(version.queue.before(request)+1, perSecond))
@@ -155,7 +155,7 @@
 
 // dispatchAll goes through the versions in order of name, so that the same
 // events always have the same outcome.
-func (c *Core) dispatchAll(now time.Time, outcome *Outcome) {
+func (c *Scheduler) dispatchAll(now time.Time, outcome *Outcome) {
 	var waiting []string
 	for name, version := range c.versions {
 		if len(version.queue.waiting) > 0 {
@@ -169,6 +169,6 @@
 }
 
 // Waiting returns how many requests wait.
-func (c *Core) Waiting() int {
+func (c *Scheduler) Waiting() int {
 	return len(c.waiters)
 }
--- a/internal/dispatch/core_bench_test.go
+++ b/internal/dispatch/core_bench_test.go
@@ -14,7 +14,7 @@
 	var targets []Target
 	for number := range models {
 		targets = append(targets, Target{
-			Replica: fmt.Sprintf("replica-%d", number), Version: fmt.Sprintf("model-%d", number), Machine: "machine", Max: 16,
+			Replica: fmt.Sprintf("replica-%d", number), Version: fmt.Sprintf("model-%d", number), Machine: "machine", MaxConcurrent: 16,
 		})
 	}
 	core.SetTargets(now, targets)
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -17,7 +17,7 @@
 // are key=value; times are seconds since the beginning.
 type dispatchTable struct {
 	t        *testing.T
-	core     *Core
+	core     *Scheduler
 	now      time.Time
 	requests map[uint64]*Request
 	grants   map[uint64]Grant
@@ -39,7 +39,7 @@
 		config := Config{MaxWaiting: 100}
 		data.MaybeScanArgs(t, "max", &config.MaxWaiting)
 		data.MaybeScanArgs(t, "round-robin", &config.RoundRobin)
-		config.ByWork = data.HasArg("by-work")
+		config.LeastWork = data.HasArg("by-work")
 		d.core, d.now = New(config), beginning
 		d.requests, d.grants = map[uint64]*Request{}, map[uint64]Grant{}
 	case "at":
@@ -85,10 +85,10 @@
 	case "submit":
 		request := &Request{
 			ID: id, Version: values["version"], Adapter: values["adapter"], Priority: int32(number("priority")),
-			Prefix: uint64(number("prefix")), Arrived: d.now, Deadline: seconds("deadline"),
+			PrefixHash: uint64(number("prefix")), Arrived: d.now, Deadline: seconds("deadline"),
 		}
 		if values["patience"] != "" {
-			request.Patience = seconds("patience")
+			request.QueueDeadline = seconds("patience")
 		}
 		d.requests[id] = request
 		d.report(out, d.core.Submit(d.now, request))
@@ -113,24 +113,24 @@
 	case "limited":
 		limited := map[string]ratelimit.Limit{}
 		if values["limit"] != "" {
-			limited[name] = ratelimit.Of(number("limit"))
+			limited[name] = ratelimit.NewLimit(number("limit"))
 		}
 		d.core.SetLimited(limited)
 	case "hold-warming":
-		d.core.HoldPaced(seconds("until"))
+		d.core.HoldPermitMachines(seconds("until"))
 	case "rest":
-		d.report(out, d.core.Rest(d.now, name, time.Duration(number("s")*float64(time.Second))))
+		d.report(out, d.core.BackOff(d.now, name, time.Duration(number("s")*float64(time.Second))))
 	case "leave":
-		outcome, changed := d.core.Leave(d.now, name)
+		outcome, changed := d.core.MarkLeaving(d.now, name)
 		fmt.Fprintf(out, "changed=%t\n", changed)
 		d.report(out, outcome)
 	case "retain":
 		isListed := func(machine string) bool { return machine == name }
-		d.core.RetainRests(d.now, isListed)
+		d.core.RetainBackoffs(d.now, isListed)
 		d.core.RetainLeaving(d.now, isListed)
-		fmt.Fprintf(out, "leaving: %s\n", strings.Join(d.core.Leaving(), " "))
+		fmt.Fprintf(out, "leaving: %s\n", strings.Join(d.core.LeavingMachines(), " "))
 	case "started":
-		d.core.Started(d.grants[id])
+		d.core.MarkStarted(d.grants[id])
 	case "may-write":
 		fmt.Fprintf(out, "%t\n", d.core.MayWrite(d.now, d.grants[id]))
 	case "hold":
@@ -152,7 +152,7 @@
 		}
 		most, _ := strconv.Atoi(fields[3])
 		target := Target{
-			Replica: fields[0], Version: fields[1], Machine: fields[2], Max: most, Fixed: slices.Contains(fields, "fixed"),
+			Replica: fields[0], Version: fields[1], Machine: fields[2], MaxConcurrent: most, Fixed: slices.Contains(fields, "fixed"),
 			Suspect: slices.Contains(fields, "suspect"),
 		}
 		if slices.Contains(fields, "drained") {
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -65,7 +65,7 @@
 }
 
 // Demand returns what the router asks of each version, by name.
-func (c *Core) Demand(now time.Time) []Demand {
+func (c *Scheduler) Demand(now time.Time) []Demand {
 	var demands []Demand
 	for name, version := range c.versions {
 		if version.arrivals == 0 && version.running == 0 {
@@ -73,7 +73,7 @@
 		}
 		demand := Demand{
 			Version: name, Running: version.running, Arrivals: version.arrivals,
-			Work: uint64(version.work), Target: version.target,
+			Work: uint64(version.work), TTFTTarget: version.target,
 		}
 		for _, entry := range version.queue.waiting {
 			demand.addWaiting(now, entry.request)
--- a/internal/dispatch/drained.go
+++ b/internal/dispatch/drained.go
@@ -16,7 +16,7 @@
 const drainRetryAfter = 2 * time.Second
 
 // setDrained notes a target whose zone is drained; it gets nothing.
-func (c *Core) setDrained(next Target) {
+func (c *Scheduler) setDrained(next Target) {
 	c.removeTarget(next.Replica)
 	c.unsetDrained(next.Replica)
 	c.drained[next.Replica] = next
@@ -25,7 +25,7 @@
 	version.fixed = next.Fixed
 }
 
-func (c *Core) unsetDrained(replica string) {
+func (c *Scheduler) unsetDrained(replica string) {
 	held, known := c.drained[replica]
 	if !known {
 		return
@@ -35,7 +35,7 @@
 }
 
 // replaceDrained takes over all targets whose zones are drained.
-func (c *Core) replaceDrained(targets []Target) {
+func (c *Scheduler) replaceDrained(targets []Target) {
 	for replica := range c.drained {
 		c.unsetDrained(replica)
 	}
@@ -52,7 +52,7 @@
 
 // refuseDrained refuses a request of a version that has targets in drained zones only, if nothing
 // else can be expected to take it in time.
-func (c *Core) refuseDrained(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+func (c *Scheduler) refuseDrained(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	refusal := Refusal{Request: request, Reason: RefusedZoneDrained, RetryAfter: drainRetryAfter}
 	estimate := version.estimate
 	switch {
@@ -72,7 +72,7 @@
 }
 
 // refuseWaitingForDrained refuses those that wait for what has been drained, versions by name.
-func (c *Core) refuseWaitingForDrained(now time.Time, outcome *Outcome) {
+func (c *Scheduler) refuseWaitingForDrained(now time.Time, outcome *Outcome) {
 	var names []string
 	for name, version := range c.versions {
 		if len(version.queue.waiting) > 0 && version.drained > 0 {
--- a/internal/dispatch/drained_bench_test.go
+++ b/internal/dispatch/drained_bench_test.go
@@ -15,13 +15,13 @@
 			now := time.Unix(0, 0)
 			for b.Loop() {
 				b.StopTimer()
-				core := New(Config{ByWork: true, SharedSlots: true})
+				core := New(Config{LeastWork: true, SharedSlots: true})
 				var targets []Target
 				for machine := range machines {
 					for replica := range replicasOnEach {
 						targets = append(targets, Target{
 							Replica: fmt.Sprintf("m%d-r%d", machine, replica), Version: fmt.Sprintf("v%d", (machine+replica)%(machines/3)),
-							Machine: fmt.Sprintf("m%d", machine), Max: 4,
+							Machine: fmt.Sprintf("m%d", machine), MaxConcurrent: 4,
 						})
 					}
 				}
--- a/internal/dispatch/leaving.go
+++ b/internal/dispatch/leaving.go
@@ -10,10 +10,10 @@
 // while and then list it as ready again before its end has been recorded.
 const leavingMemory = 10 * time.Minute
 
-// Leave excludes a machine that stated that it is about to shut down, whatever later views of the fleet list. Waiting
+// MarkLeaving excludes a machine that stated that it is about to shut down, whatever later views of the fleet list. Waiting
 // requests that can't be served in time because of it are refused. changed is false if the machine was excluded
 // already.
-func (c *Core) Leave(now time.Time, machine string) (outcome Outcome, changed bool) {
+func (c *Scheduler) MarkLeaving(now time.Time, machine string) (outcome Outcome, changed bool) {
 	_, known := c.leaving[machine]
 	c.leaving[machine] = now
 	if known {
@@ -28,13 +28,13 @@
 	return outcome, true
 }
 
-// Leaving returns the machines that stated that they are leaving, sorted by name.
-func (c *Core) Leaving() []string {
+// LeavingMachines returns the machines that stated that they are leaving, sorted by name.
+func (c *Scheduler) LeavingMachines() []string {
 	return slices.Sorted(maps.Keys(c.leaving))
 }
 
 // RetainLeaving forgets machines that have not been listed for a while.
-func (c *Core) RetainLeaving(now time.Time, isListed func(machine string) bool) {
+func (c *Scheduler) RetainLeaving(now time.Time, isListed func(machine string) bool) {
 	maps.DeleteFunc(c.leaving, func(machine string, seen time.Time) bool {
 		if isListed(machine) {
 			c.leaving[machine] = now
--- a/internal/dispatch/limited.go
+++ b/internal/dispatch/limited.go
@@ -8,7 +8,7 @@
 
 // refuseBeyondLimits refuses a request that can't be served while it waits because all its machines are limited,
 // even if this router got all their capacity. It does not refuse one for which another replica may be ready in time.
-func (c *Core) refuseBeyondLimits(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+func (c *Scheduler) refuseBeyondLimits(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	perSecond, isLimited := c.limitOf(version, request)
 	until := request.waitsUntil()
 	if !isLimited || version.mayBeReadyElsewhere(until) {
@@ -33,7 +33,7 @@
 
 // limitOf returns the sum of the limits of the machines that could take a request. isLimited is false if one of
 // them is not limited, or there is none.
-func (c *Core) limitOf(version *versionState, request *Request) (perSecond float64, isLimited bool) {
+func (c *Scheduler) limitOf(version *versionState, request *Request) (perSecond float64, isLimited bool) {
 	if len(c.limited) == 0 {
 		return 0, false // As nearly always: a request that waits costs no look at its targets.
 	}
@@ -52,10 +52,10 @@
 
 // waitsUntil is until when a request waits for a place.
 func (r *Request) waitsUntil() time.Time {
-	if r.Patience.IsZero() || r.Deadline.Before(r.Patience) {
+	if r.QueueDeadline.IsZero() || r.Deadline.Before(r.QueueDeadline) {
 		return r.Deadline
 	}
-	return r.Patience
+	return r.QueueDeadline
 }
 
 // mayBeReadyElsewhere reports whether a further replica may be ready by a time.
--- a/internal/dispatch/near_test.go
+++ b/internal/dispatch/near_test.go
@@ -9,14 +9,14 @@
 )
 
 // placedCore is a router's core with one target in each of the given places.
-func placedCore(config Config, near ...places.Proximity) (*Core, time.Time) {
+func placedCore(config Config, near ...places.Proximity) (*Scheduler, time.Time) {
 	now := time.Unix(1000, 0)
-	config.MaxWaiting, config.SharedSlots, config.ByWork = 100, true, true
+	config.MaxWaiting, config.SharedSlots, config.LeastWork = 100, true, true
 	core := New(config)
 	var targets []Target
 	for position, nearness := range near {
 		name := "m" + strconv.Itoa(position)
-		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 64, Nearness: nearness})
+		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 64, Nearness: nearness})
 	}
 	core.SetTargets(now, targets)
 	return core, now
@@ -42,7 +42,7 @@
 		core, now := placedCore(Config{}, places.OtherRegion, places.SameRegion, places.SameZone)
 		core.SetWork(now, map[string]float64{"m0": test.further, "m1": test.region, "m2": test.zone})
 		asked := request(now, 1000, 0, 0)
-		asked.Detour = detour
+		asked.CrossRegionPenalty = detour
 		if granted := grantOf(t, core.Submit(now, asked)); granted.Target.Machine != test.machine {
 			t.Errorf("%s: sent to %s, not to %s", test.name, granted.Target.Machine, test.machine)
 		}
@@ -55,7 +55,7 @@
 	for prefix := uint64(1); prefix <= 20; prefix++ {
 		core, now := placedCore(Config{}, places.OtherRegion, places.OtherRegion, places.OtherRegion, places.SameRegion, places.SameRegion)
 		asked := request(now, 1000, 900, prefix)
-		asked.Detour = 1
+		asked.CrossRegionPenalty = 1
 		if granted := grantOf(t, core.Submit(now, asked)); granted.Target.Nearness == places.OtherRegion {
 			t.Errorf("the beginning %d has its home in another region", prefix)
 		}
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -21,7 +21,7 @@
 )
 
 // pick returns the best target with room, or nil.
-func (c *Core) pick(now time.Time, version *versionState, request *Request) *target {
+func (c *Scheduler) pick(now time.Time, version *versionState, request *Request) *target {
 	if c.config.RoundRobin {
 		return c.pickInTurn(now, version, request)
 	}
@@ -36,7 +36,7 @@
 			return chosen
 		}
 	}
-	if !c.config.ByWork {
+	if !c.config.LeastWork {
 		return nil
 	}
 	return c.pickEjected(now, version, request, noneInTouch)
@@ -44,7 +44,7 @@
 
 // pickEjected returns the target whose ejection ends first, where all that could
 // take the request are ejected: trying it is better than waiting.
-func (c *Core) pickEjected(now time.Time, version *versionState, request *Request, noneInTouch bool) *target {
+func (c *Scheduler) pickEjected(now time.Time, version *versionState, request *Request, noneInTouch bool) *target {
 	var best *target
 	for _, candidate := range version.targets {
 		if !c.fits(now, candidate, request) || !noneInTouch && c.standingOf(candidate) == standsInDoubt {
@@ -58,8 +58,8 @@
 }
 
 // pickFrom picks among the targets that stand as wanted.
-func (c *Core) pickFrom(now time.Time, version *versionState, request *Request, wanted standing) *target {
-	if c.config.ByWork {
+func (c *Scheduler) pickFrom(now time.Time, version *versionState, request *Request, wanted standing) *target {
+	if c.config.LeastWork {
 		return c.pickByWork(now, version, request, wanted)
 	}
 	hasChoice := version.hasChoice(request)
@@ -90,7 +90,7 @@
 	return best
 }
 
-func (c *Core) pickInTurn(now time.Time, version *versionState, request *Request) *target {
+func (c *Scheduler) pickInTurn(now time.Time, version *versionState, request *Request) *target {
 	hasChoice := version.hasChoice(request)
 	for range version.targets {
 		version.turn++
@@ -102,19 +102,19 @@
 	return nil
 }
 
-func (c *Core) load(candidate *target) float64 {
+func (c *Scheduler) load(candidate *target) float64 {
 	return float64(c.ownLoad(candidate) + c.others[candidate.Machine])
 }
 
 // ownLoad is this router's requests that share slots with a candidate's.
-func (c *Core) ownLoad(candidate *target) int {
+func (c *Scheduler) ownLoad(candidate *target) int {
 	if c.config.SharedSlots {
 		return c.onMachine[candidate.Machine]
 	}
 	return candidate.inFlight
 }
 
-func (c *Core) usable(now time.Time, candidate *target, request *Request, hasChoice bool) bool {
+func (c *Scheduler) usable(now time.Time, candidate *target, request *Request, hasChoice bool) bool {
 	if !c.fits(now, candidate, request) {
 		return false
 	}
@@ -141,17 +141,17 @@
 }
 
 // fits reports whether a target could take a request, its health apart.
-func (c *Core) fits(now time.Time, candidate *target, request *Request) bool {
+func (c *Scheduler) fits(now time.Time, candidate *target, request *Request) bool {
 	return c.hasSlot(candidate) && !c.isHeld(now, candidate.Machine) && c.allowsGrant(now, candidate.Machine) && !c.isExcluded(candidate, request)
 }
 
 // isExcluded reports whether a target can't take a request, free or not. Every way to choose a
 // target asks here, so that none leads out of the regions that the request may be served in.
-func (c *Core) isExcluded(candidate *target, request *Request) bool {
+func (c *Scheduler) isExcluded(candidate *target, request *Request) bool {
 	if !request.Allowed.Allows(candidate.Region) {
 		return true
 	}
-	if candidate.retired || candidate.leaving || slices.Contains(request.Tried, candidate.Machine) {
+	if candidate.retired || candidate.leaving || slices.Contains(request.TriedMachines, candidate.Machine) {
 		return true
 	}
 	return c.config.PlacedAdapters && request.Adapter != "" && !slices.Contains(candidate.Adapters, request.Adapter)
@@ -160,7 +160,7 @@
 // HasAlternative reports whether a machine that the request was not sent to, other than
 // the given one, could take it once it has a place. Where there is none, trying again
 // would only keep the caller waiting.
-func (c *Core) HasAlternative(now time.Time, request *Request, machine string) bool {
+func (c *Scheduler) HasAlternative(now time.Time, request *Request, machine string) bool {
 	for _, candidate := range c.version(request.Version).targets {
 		if candidate.Machine != machine && c.allowsGrant(now, candidate.Machine) && !c.isExcluded(candidate, request) {
 			return true
@@ -174,14 +174,14 @@
 // of the slots, up to twice as many requests as there are slots in all:
 // requests that wait are better off at the router, which serves them by
 // priority and can say truthfully that they did not run.
-func (c *Core) hasSlot(candidate *target) bool {
+func (c *Scheduler) hasSlot(candidate *target) bool {
 	own := c.ownLoad(candidate)
-	if own >= candidate.Max {
+	if own >= candidate.MaxConcurrent {
 		return false
 	}
 	total := own + c.others[candidate.Machine]
-	share := (candidate.Max + c.routers - 1) / c.routers
-	return total < candidate.Max || own < share && total < maxOvercommit*candidate.Max
+	share := (candidate.MaxConcurrent + c.routers - 1) / c.routers
+	return total < candidate.MaxConcurrent || own < share && total < maxOvercommit*candidate.MaxConcurrent
 }
 
 func (t *target) affinity(now time.Time, request *Request) float64 {
@@ -189,7 +189,7 @@
 	if request.Adapter != "" && !t.adapters[request.Adapter].IsZero() {
 		bonus += affinityBonus
 	}
-	if request.Prefix != 0 && t.prefixes.holds(now, request.Prefix) {
+	if request.PrefixHash != 0 && t.prefixes.holds(now, request.PrefixHash) {
 		bonus += affinityBonus
 	}
 	return bonus
@@ -200,8 +200,8 @@
 	if request.Adapter != "" {
 		t.adapters[request.Adapter] = now
 	}
-	if request.Prefix != 0 {
-		t.prefixes.add(now, request.Prefix)
+	if request.PrefixHash != 0 {
+		t.prefixes.add(now, request.PrefixHash)
 	}
 }
 
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -82,7 +82,7 @@
 
 // impatient reports whether a request has waited as long as it would.
 func (r *Request) impatient(now time.Time) bool {
-	return !r.Patience.IsZero() && !now.Before(r.Patience)
+	return !r.QueueDeadline.IsZero() && !now.Before(r.QueueDeadline)
 }
 
 func (q *queue) remove(entry *waiter) {
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refuse.go
@@ -4,7 +4,7 @@
 
 // refuseEarly refuses a request that is known to be out of reach by its deadline, even if
 // all goes well, so that its caller learns it now and not at the deadline.
-func (c *Core) refuseEarly(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+func (c *Scheduler) refuseEarly(now time.Time, version *versionState, request *Request) (Refusal, bool) {
 	if !now.Before(request.Deadline) {
 		return Refusal{Request: request, Reason: RefusedDeadline, Detail: "the deadline has passed"}, true
 	}
@@ -49,7 +49,7 @@
 const shedRetryAfter = time.Second
 
 // shed refuses the last to be served while more wait than may.
-func (c *Core) shed(outcome *Outcome) {
+func (c *Scheduler) shed(outcome *Outcome) {
 	for len(c.waiters) > c.config.MaxWaiting {
 		var last *Request
 		for _, entry := range c.waiters {
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -32,7 +32,7 @@
 // checks each grant.
 type regionTrial struct {
 	t       *rapid.T
-	core    *Core
+	core    *Scheduler
 	now     time.Time
 	nextID  uint64
 	running []Grant
@@ -42,7 +42,7 @@
 func newRegionTrial(t *rapid.T) *regionTrial {
 	config := Config{
 		MaxWaiting: 6, RoundRobin: rapid.Bool().Draw(t, "round robin"), SharedSlots: rapid.Bool().Draw(t, "shared slots"),
-		ByWork: rapid.Bool().Draw(t, "by work"), PlacedAdapters: rapid.Bool().Draw(t, "placed adapters"),
+		LeastWork: rapid.Bool().Draw(t, "by work"), PlacedAdapters: rapid.Bool().Draw(t, "placed adapters"),
 	}
 	return &regionTrial{t: t, core: New(config), now: beginning.Add(time.Hour), waiting: map[uint64]*Request{}}
 }
@@ -69,7 +69,7 @@
 	var targets []Target
 	for number := range rapid.IntRange(0, 6).Draw(r.t, "targets") {
 		targets = append(targets, Target{
-			Replica: "r" + strconv.Itoa(number), Version: "v", Machine: "m" + strconv.Itoa(number%4), Max: 1 + number%2,
+			Replica: "r" + strconv.Itoa(number), Version: "v", Machine: "m" + strconv.Itoa(number%4), MaxConcurrent: 1 + number%2,
 			Region: rapid.SampledFrom(regionNames).Draw(r.t, "region"), Suspect: rapid.Bool().Draw(r.t, "suspect"),
 		})
 	}
@@ -80,7 +80,7 @@
 	r.nextID++
 	request := &Request{
 		ID: r.nextID, Version: "v", Priority: int32(r.nextID % 2), Arrived: r.now, Deadline: r.now.Add(time.Minute), Work: 100,
-		Prefix: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").Intersect(r.constraint("tenant")),
+		PrefixHash: rapid.Uint64Range(0, 3).Draw(r.t, "prefix"), Allowed: r.constraint("route").Intersect(r.constraint("tenant")),
 	}
 	r.waiting[request.ID] = request
 	r.take(r.core.Submit(r.now, request))
@@ -101,7 +101,7 @@
 	request := ended.Request
 	request.Avoid = ended.Target.Replica
 	if rapid.Bool().Draw(r.t, "tried") {
-		request.Tried = append(request.Tried, ended.Target.Machine)
+		request.TriedMachines = append(request.TriedMachines, ended.Target.Machine)
 	}
 	request.Allowed = request.Allowed.Intersect(r.constraint("narrower"))
 	r.waiting[request.ID] = request
@@ -115,7 +115,7 @@
 		return
 	}
 	request := r.waiting[rapid.SampledFrom(ids).Draw(r.t, "rebound")]
-	r.take(r.core.Rebind(r.now, request, r.constraint("now")))
+	r.take(r.core.SetConstraint(r.now, request, r.constraint("now")))
 }
 
 func (r *regionTrial) pass() {
@@ -183,8 +183,8 @@
 	core := New(Config{MaxWaiting: 10})
 	now := beginning.Add(time.Hour)
 	core.SetTargets(now, []Target{
-		{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"},
-		{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"},
+		{Replica: "r-a", Version: "v", Machine: "m-a", MaxConcurrent: 1, Region: "a"},
+		{Replica: "r-b", Version: "v", Machine: "m-b", MaxConcurrent: 1, Region: "b"},
 	})
 	first := bound(1, "a")
 	first.Deadline = now.Add(time.Minute)
@@ -204,8 +204,8 @@
 func TestNoAlternativeOutsideAllowedRegions(t *testing.T) {
 	core := New(Config{MaxWaiting: 10})
 	core.SetTargets(beginning, []Target{
-		{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"},
-		{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"},
+		{Replica: "r-a", Version: "v", Machine: "m-a", MaxConcurrent: 1, Region: "a"},
+		{Replica: "r-b", Version: "v", Machine: "m-b", MaxConcurrent: 1, Region: "b"},
 	})
 	if core.HasAlternative(beginning, bound(1, "a"), "m-a") {
 		t.Error("a machine outside the allowed regions counts as an alternative")
@@ -226,7 +226,7 @@
 	if len(outcome.Refusals) != 0 {
 		t.Errorf("refused by an estimate that is not for its regions: %+v", outcome.Refusals)
 	}
-	core.SetTargets(beginning, []Target{{Replica: "r-b", Version: "v", Machine: "m-b", Max: 1, Region: "b"}})
+	core.SetTargets(beginning, []Target{{Replica: "r-b", Version: "v", Machine: "m-b", MaxConcurrent: 1, Region: "b"}})
 	outcome = core.SetEstimates(beginning, map[string]*Estimate{"v": {Refused: true, Reason: "too large"}})
 	if len(outcome.Refusals) != 1 || outcome.Refusals[0].Reason != RefusedNotLoadable {
 		t.Errorf("kept by a replica elsewhere though nothing can hold the model: %+v", outcome)
@@ -237,7 +237,7 @@
 // again by constraint; a request that comes again under a narrower one waits under that.
 func TestDemandIsToldApartByConstraint(t *testing.T) {
 	core := New(Config{MaxWaiting: 10})
-	core.SetTargets(beginning, []Target{{Replica: "r-a", Version: "v", Machine: "m-a", Max: 1, Region: "a"}})
+	core.SetTargets(beginning, []Target{{Replica: "r-a", Version: "v", Machine: "m-a", MaxConcurrent: 1, Region: "a"}})
 	running := core.Submit(beginning, bound(1, "a", "b")).Grants[0]
 	core.Submit(beginning, bound(2, "c"))
 	core.Submit(beginning, &Request{ID: 3, Version: "v", Arrived: beginning, Deadline: beginning.Add(time.Minute)})
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -20,9 +20,9 @@
 	ResultRejected
 	// ResultFailed: the engine failed or could not be reached.
 	ResultFailed
-	// ResultSilent: there was no whole answer in time. An engine with too much to do
+	// ResultTimedOut: there was no whole answer in time. An engine with too much to do
 	// is as silent as one that fails.
-	ResultSilent
+	ResultTimedOut
 	// ResultUnreachable: no connection came about.
 	ResultUnreachable
 	// ResultNotSent: the router held the request back. It says nothing of the target.
@@ -33,7 +33,7 @@
 var notAccepted = []Result{ResultNotRun, ResultRejected, ResultNotSent}
 
 // Release ends a grant and grants its place to waiting requests.
-func (c *Core) Release(now time.Time, grant Grant, result Result) Outcome {
+func (c *Scheduler) Release(now time.Time, grant Grant, result Result) Outcome {
 	var outcome Outcome
 	version := c.version(grant.Target.Version)
 	version.running--
@@ -55,16 +55,16 @@
 	return outcome
 }
 
-func (c *Core) leaveMachine(machine string) {
+func (c *Scheduler) leaveMachine(machine string) {
 	c.onMachine[machine]--
 	if c.onMachine[machine] <= 0 {
 		delete(c.onMachine, machine)
 	}
 }
 
-// Unreachable returns the machines that no connection came about to lately, by
+// UnreachableMachines returns the machines that no connection came about to lately, by
 // name.
-func (c *Core) Unreachable(now time.Time) []string {
+func (c *Scheduler) UnreachableMachines(now time.Time) []string {
 	var names []string
 	for _, held := range c.targets {
 		if now.Before(held.health.unreachableUntil) && !slices.Contains(names, held.Machine) {
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/reports.go
@@ -4,7 +4,7 @@
 
 // SetLoads replaces the lagged loads of machines (the requests running there by
 // all routers together) and the number of routers that share them.
-func (c *Core) SetLoads(now time.Time, loads map[string]int, routers int) Outcome {
+func (c *Scheduler) SetLoads(now time.Time, loads map[string]int, routers int) Outcome {
 	c.routers = max(1, routers)
 	c.others = map[string]int{}
 	for machine, running := range loads {
@@ -17,7 +17,7 @@
 
 // SetEstimates replaces the leader's estimates, and refuses those who can't
 // be served in time by them.
-func (c *Core) SetEstimates(now time.Time, estimates map[string]*Estimate) Outcome {
+func (c *Scheduler) SetEstimates(now time.Time, estimates map[string]*Estimate) Outcome {
 	var outcome Outcome
 	for name, version := range c.versions {
 		version.estimate = estimates[name]
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -33,9 +33,9 @@
 	return !now.Before(r.until) && (r.trial == 0 || !now.Before(r.trialAt.Add(trialTime)))
 }
 
-// Rest withholds requests from a machine for a span and its random extension. It never shortens a rest in force.
+// BackOff withholds requests from a machine for a span and its random extension. It never shortens a rest in force.
 // Waiting requests that can't be served in time because of it are refused.
-func (c *Core) Rest(now time.Time, machine string, span time.Duration) Outcome {
+func (c *Scheduler) BackOff(now time.Time, machine string, span time.Duration) Outcome {
 	var outcome Outcome
 	until := now.Add(span + c.restExtension(now, machine, span))
 	if held := c.rests[machine]; held != nil && until.Before(held.until) {
@@ -47,7 +47,7 @@
 }
 
 // restExtension is the random extension of a rest. It shrinks with the number of routers to be spread.
-func (c *Core) restExtension(now time.Time, machine string, span time.Duration) time.Duration {
+func (c *Scheduler) restExtension(now time.Time, machine string, span time.Duration) time.Duration {
 	others := 1 - 1/float64(max(1, c.routers))
 	longest := min(maxRestSpread.Seconds(), span.Seconds()*restSpread) * others
 	return time.Duration(uniform(c.config.Seed+uint64(now.UnixNano()), machine) * longest * float64(time.Second))
@@ -55,15 +55,15 @@
 
 // MayWrite reports whether a granted request may still be written to its machine, which may have asked for a rest or
 // started to leave since the grant.
-func (c *Core) MayWrite(now time.Time, grant Grant) bool {
+func (c *Scheduler) MayWrite(now time.Time, grant Grant) bool {
 	held := c.rests[grant.Target.Machine]
 	isResting := held != nil && now.Before(held.until)
 	_, isLeaving := c.leaving[grant.Target.Machine]
 	return !isResting && !isLeaving
 }
 
-// RestingMachines returns how many machines rest.
-func (c *Core) RestingMachines(now time.Time) int {
+// BackoffCount returns how many machines rest.
+func (c *Scheduler) BackoffCount(now time.Time) int {
 	count := 0
 	for _, held := range c.rests {
 		if now.Before(held.until) {
@@ -73,13 +73,13 @@
 	return count
 }
 
-func (c *Core) allowsGrant(now time.Time, machine string) bool {
+func (c *Scheduler) allowsGrant(now time.Time, machine string) bool {
 	held := c.rests[machine]
 	return held == nil || held.allowsGrant(now)
 }
 
 // noteGrant makes the first request after a rest its trial, and ends a rest whose trial is over.
-func (c *Core) noteGrant(now time.Time, machine string, request *Request) {
+func (c *Scheduler) noteGrant(now time.Time, machine string, request *Request) {
 	held := c.rests[machine]
 	if held == nil {
 		return
@@ -93,7 +93,7 @@
 
 // noteTrial records how a trial ended. A rejected or unsent trial lets the next request try; any other end shows
 // that the machine takes requests, or is a matter of its health.
-func (c *Core) noteTrial(grant Grant, accepted bool) {
+func (c *Scheduler) noteTrial(grant Grant, accepted bool) {
 	held := c.rests[grant.Target.Machine]
 	if held == nil || held.trial != grant.Request.ID {
 		return
@@ -105,22 +105,22 @@
 	held.trial = 0
 }
 
-// RetryAfterRest returns when the first machine that could take a request ends its rest, up to maxRetryAfter. It
+// RetryAfterBackoff returns when the first machine that could take a request ends its rest, up to maxRetryAfter. It
 // includes machines that the request was already sent to, since the caller's next try is a new request. allRest is
 // false if one of the machines does not rest, or there is none.
-func (c *Core) RetryAfterRest(now time.Time, request *Request) (retryAfter time.Duration, allRest bool) {
+func (c *Scheduler) RetryAfterBackoff(now time.Time, request *Request) (retryAfter time.Duration, allRest bool) {
 	if len(c.rests) == 0 {
 		return 0, false // The usual case, which need not look at the targets.
 	}
 	anew := *request
-	anew.Tried = nil
+	anew.TriedMachines = nil
 	wait, allRest := c.untilRested(now, c.version(request.Version), &anew)
 	return min(wait, maxRetryAfter), allRest
 }
 
 // untilRested returns how long it takes until the first machine that could take a request ends its rest, if all of
 // them rest.
-func (c *Core) untilRested(now time.Time, version *versionState, request *Request) (wait time.Duration, allRest bool) {
+func (c *Scheduler) untilRested(now time.Time, version *versionState, request *Request) (wait time.Duration, allRest bool) {
 	for _, candidate := range version.targets {
 		if c.isExcluded(candidate, request) {
 			continue
@@ -138,8 +138,8 @@
 
 // refuseResting refuses a request if all machines that could take it rest for longer than it waits, or have
 // rejected it before they rested.
-func (c *Core) refuseResting(now time.Time, version *versionState, request *Request) (Refusal, bool) {
-	retryAfter, allRest := c.RetryAfterRest(now, request)
+func (c *Scheduler) refuseResting(now time.Time, version *versionState, request *Request) (Refusal, bool) {
+	retryAfter, allRest := c.RetryAfterBackoff(now, request)
 	until := request.waitsUntil()
 	if !allRest || version.mayBeReadyElsewhere(until) {
 		return Refusal{}, false
@@ -147,11 +147,11 @@
 	if wait, mayReturn := c.untilRested(now, version, request); mayReturn && !now.Add(wait).After(until) {
 		return Refusal{}, false
 	}
-	return Refusal{Request: request, Reason: RefusedResting, Detail: detailsOfPaced[RefusedResting], RetryAfter: retryAfter}, true
+	return Refusal{Request: request, Reason: RefusedBackoff, Detail: detailsOfPaced[RefusedBackoff], RetryAfter: retryAfter}, true
 }
 
 // refuseWaitingFor refuses waiting requests for the versions of a machine that can't be served in time any more.
-func (c *Core) refuseWaitingFor(now time.Time, machine string, outcome *Outcome) {
+func (c *Scheduler) refuseWaitingFor(now time.Time, machine string, outcome *Outcome) {
 	for _, name := range c.versionsOn(machine) {
 		version := c.versions[name]
 		for _, request := range version.queue.sorted() {
@@ -164,7 +164,7 @@
 }
 
 // versionsOn returns the versions with a target on a machine for which requests wait, by name.
-func (c *Core) versionsOn(machine string) []string {
+func (c *Scheduler) versionsOn(machine string) []string {
 	found := map[string]bool{}
 	for _, held := range c.targets {
 		if held.Machine == machine && len(c.version(held.Version).queue.waiting) > 0 {
@@ -174,8 +174,8 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// RetainRests forgets the ended rests of machines that are not listed any more.
-func (c *Core) RetainRests(now time.Time, isListed func(machine string) bool) {
+// RetainBackoffs forgets the ended rests of machines that are not listed any more.
+func (c *Scheduler) RetainBackoffs(now time.Time, isListed func(machine string) bool) {
 	maps.DeleteFunc(c.rests, func(machine string, held *rest) bool {
 		return !now.Before(held.until) && !isListed(machine)
 	})
--- a/internal/dispatch/rest_sim_test.go
+++ b/internal/dispatch/rest_sim_test.go
@@ -10,7 +10,7 @@
 // rejects the others, with a rest for the router that sent them.
 type overload struct {
 	now     time.Time
-	routers []*Core
+	routers []*Scheduler
 	nextID  uint64
 	running int
 	// due are the events to come, by time.
@@ -33,9 +33,9 @@
 func newOverload() *overload {
 	created := &overload{now: beginning, due: map[time.Time][]func(){}}
 	for number := range overloadRouters {
-		core := New(Config{MaxWaiting: 100, SharedSlots: true, ByWork: true, Seed: uint64(number)})
+		core := New(Config{MaxWaiting: 100, SharedSlots: true, LeastWork: true, Seed: uint64(number)})
 		core.SetLoads(created.now, nil, overloadRouters)
-		core.SetTargets(created.now, []Target{{Replica: "r", Version: "v", Machine: "m", Max: 2 * overloadSlots}})
+		core.SetTargets(created.now, []Target{{Replica: "r", Version: "v", Machine: "m", MaxConcurrent: 2 * overloadSlots}})
 		created.routers = append(created.routers, core)
 	}
 	return created
@@ -46,29 +46,29 @@
 	o.due[at] = append(o.due[at], do)
 }
 
-func (o *overload) submit(core *Core) {
+func (o *overload) submit(core *Scheduler) {
 	o.nextID++
-	request := &Request{ID: o.nextID, Version: "v", Work: 100, Arrived: o.now, Deadline: o.now.Add(5 * time.Second), Patience: o.now.Add(2 * time.Second)}
+	request := &Request{ID: o.nextID, Version: "v", Work: 100, Arrived: o.now, Deadline: o.now.Add(5 * time.Second), QueueDeadline: o.now.Add(2 * time.Second)}
 	o.take(core, core.Submit(o.now, request))
 }
 
-func (o *overload) take(core *Core, outcome Outcome) {
+func (o *overload) take(core *Scheduler, outcome Outcome) {
 	for _, grant := range outcome.Grants {
 		o.after(oneWay, func() { o.arrive(core, grant) })
 	}
 }
 
-func (o *overload) arrive(core *Core, grant Grant) {
+func (o *overload) arrive(core *Scheduler, grant Grant) {
 	if o.running >= overloadSlots {
 		o.rejected++
 		o.after(oneWay, func() {
-			o.take(core, core.Rest(o.now, "m", overloadRest))
+			o.take(core, core.BackOff(o.now, "m", overloadRest))
 			o.take(core, core.Release(o.now, grant, ResultNotRun))
 		})
 		return
 	}
 	o.running++
-	o.after(firstByte, func() { core.Started(grant) })
+	o.after(firstByte, func() { core.MarkStarted(grant) })
 	o.after(serviceTime, func() {
 		o.running--
 		o.served++
--- a/internal/dispatch/stale.go
+++ b/internal/dispatch/stale.go
@@ -40,7 +40,7 @@
 }
 
 // noteDigest learns how old the work of machines is by the interval between digests.
-func (c *Core) noteDigest(now time.Time) {
+func (c *Scheduler) noteDigest(now time.Time) {
 	if !c.digestAt.IsZero() {
 		interval := min(longestStaleness, now.Sub(c.digestAt))
 		c.staleness += time.Duration(stalenessGain * float64(interval-c.staleness))
@@ -49,13 +49,13 @@
 }
 
 // machineWork is the work that is known of a target's machine.
-func (c *Core) machineWork(candidate *target) float64 {
+func (c *Scheduler) machineWork(candidate *target) float64 {
 	return c.work[candidate.Machine] + c.othersWork[candidate.Machine]
 }
 
 // levelOfOthers is the work up to which the other routers have filled the least busy
 // targets since the work of machines was reported; 0 for a single router.
-func (c *Core) levelOfOthers(now time.Time, version *versionState, targets []*target) float64 {
+func (c *Scheduler) levelOfOthers(now time.Time, version *versionState, targets []*target) float64 {
 	sent := float64(c.routers-1) * version.rate.at(now) * c.staleness.Seconds()
 	if sent <= 0 || len(targets) < 2 {
 		return 0
--- a/internal/dispatch/stale_test.go
+++ b/internal/dispatch/stale_test.go
@@ -9,7 +9,7 @@
 
 // herd is a course of requests at routers that know of each other only by digests.
 type herd struct {
-	routers []*Core
+	routers []*Scheduler
 	random  *rand.Rand
 	now     time.Time
 	// backlog is the work before each machine, in tokens; sent are the grants that a
@@ -22,7 +22,7 @@
 }
 
 type sentGrant struct {
-	router *Core
+	router *Scheduler
 	grant  Grant
 	left   float64
 }
@@ -41,11 +41,11 @@
 		random: rand.New(rand.NewPCG(11, 13)), now: time.Unix(1000, 0), backlog: map[string]float64{}, sent: map[string][]sentGrant{},
 	}
 	for number := range routers {
-		core := New(Config{MaxWaiting: 10000, SharedSlots: true, ByWork: true, Seed: uint64(number)})
+		core := New(Config{MaxWaiting: 10000, SharedSlots: true, LeastWork: true, Seed: uint64(number)})
 		var targets []Target
 		for machine := range herdMachines {
 			name := "m" + strconv.Itoa(machine)
-			targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 1000})
+			targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 1000})
 		}
 		core.SetTargets(created.now, targets)
 		created.routers = append(created.routers, core)
@@ -79,7 +79,7 @@
 	}
 }
 
-func (h *herd) arrive(router *Core) {
+func (h *herd) arrive(router *Scheduler) {
 	nextRequest++
 	outcome := router.Submit(h.now, &Request{
 		ID: nextRequest, Version: "v", Arrived: h.now, Deadline: h.now.Add(time.Minute), Work: herdWork,
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -7,13 +7,13 @@
 )
 
 // Submit asks for a replica. The request is granted, refused, or waits.
-func (c *Core) Submit(now time.Time, request *Request) Outcome {
+func (c *Scheduler) Submit(now time.Time, request *Request) Outcome {
 	version := c.version(request.Version)
 	version.arrivals++
 	version.work += request.Work
 	version.rate.add(now, request.Work)
-	if request.Target > 0 && (version.target == 0 || request.Target < version.target) {
-		version.target = request.Target
+	if request.TTFTTarget > 0 && (version.target == 0 || request.TTFTTarget < version.target) {
+		version.target = request.TTFTTarget
 	}
 	if request.Adapter != "" && c.config.PlacedAdapters {
 		version.countAdapter(request.Adapter)
@@ -23,11 +23,11 @@
 }
 
 // Resubmit asks again for a request whose replica turned out not to run it.
-func (c *Core) Resubmit(now time.Time, request *Request) Outcome {
+func (c *Scheduler) Resubmit(now time.Time, request *Request) Outcome {
 	return c.enqueue(now, c.version(request.Version), request)
 }
 
-func (c *Core) enqueue(now time.Time, version *versionState, request *Request) Outcome {
+func (c *Scheduler) enqueue(now time.Time, version *versionState, request *Request) Outcome {
 	var outcome Outcome
 	c.waiters[request.ID] = version.queue.push(request)
 	c.dispatch(now, version, &outcome, request)
@@ -45,7 +45,7 @@
 
 // dispatch grants waiting requests of a version, first come first, as long as
 // there is room. Fresh is the request that has just come, if any.
-func (c *Core) dispatch(now time.Time, version *versionState, outcome *Outcome, fresh *Request) {
+func (c *Scheduler) dispatch(now time.Time, version *versionState, outcome *Outcome, fresh *Request) {
 	for {
 		request, chosen := c.nextGrant(now, version)
 		if chosen == nil {
@@ -66,7 +66,7 @@
 
 // nextGrant returns the first request that there is a place for. Requests that wait for an
 // adapter that is placed, or for a place in their regions, don't hold up those behind.
-func (c *Core) nextGrant(now time.Time, version *versionState) (*Request, *target) {
+func (c *Scheduler) nextGrant(now time.Time, version *versionState) (*Request, *target) {
 	first := version.queue.first()
 	if first == nil {
 		return nil, nil
@@ -85,7 +85,7 @@
 	return nil, nil
 }
 
-func (c *Core) drop(request *Request) {
+func (c *Scheduler) drop(request *Request) {
 	entry := c.waiters[request.ID]
 	if entry == nil {
 		return
@@ -95,12 +95,12 @@
 }
 
 // Cancel takes a waiting request out of its queue.
-func (c *Core) Cancel(request *Request) {
+func (c *Scheduler) Cancel(request *Request) {
 	c.drop(request)
 }
 
-// Rebind changes in which regions a waiting request may be served.
-func (c *Core) Rebind(now time.Time, request *Request, allowed places.Constraint) Outcome {
+// SetConstraint changes in which regions a waiting request may be served.
+func (c *Scheduler) SetConstraint(now time.Time, request *Request, allowed places.Constraint) Outcome {
 	var outcome Outcome
 	if c.waiters[request.ID] == nil {
 		return outcome
--- a/internal/dispatch/targets.go
+++ b/internal/dispatch/targets.go
@@ -16,7 +16,7 @@
 }
 
 // SetTargets replaces the replicas that may get requests.
-func (c *Core) SetTargets(now time.Time, targets []Target) Outcome {
+func (c *Scheduler) SetTargets(now time.Time, targets []Target) Outcome {
 	var outcome Outcome
 	listed := make(map[string]bool, len(targets))
 	for _, next := range targets {
@@ -34,7 +34,7 @@
 }
 
 // replaceTargets is SetTargets with those in drained zones beside.
-func (c *Core) replaceTargets(now time.Time, changes TargetChanges) Outcome {
+func (c *Scheduler) replaceTargets(now time.Time, changes TargetChanges) Outcome {
 	c.replaceDrained(changes.Drained)
 	outcome := c.SetTargets(now, changes.Targets)
 	c.refuseWaitingForDrained(now, &outcome)
@@ -43,7 +43,7 @@
 
 // ChangeTargets takes over what is new in the replicas that may get requests. It costs what
 // has changed, where SetTargets costs all that there is.
-func (c *Core) ChangeTargets(now time.Time, changes TargetChanges) Outcome {
+func (c *Scheduler) ChangeTargets(now time.Time, changes TargetChanges) Outcome {
 	if changes.Full {
 		return c.replaceTargets(now, changes)
 	}
@@ -67,13 +67,13 @@
 }
 
 // removeTarget gives a target nothing new, if there is one of that name.
-func (c *Core) removeTarget(name string) {
+func (c *Scheduler) removeTarget(name string) {
 	if held := c.targets[name]; held != nil {
 		c.retire(held)
 	}
 }
 
-func (c *Core) putTarget(next Target) {
+func (c *Scheduler) putTarget(next Target) {
 	c.unsetDrained(next.Replica)
 	if held := c.targets[next.Replica]; held != nil {
 		held.Target = next
@@ -88,14 +88,14 @@
 }
 
 // retire gives a target nothing new; it is dropped once it is idle.
-func (c *Core) retire(held *target) {
+func (c *Scheduler) retire(held *target) {
 	held.retired = true
 	if held.inFlight == 0 {
 		c.forget(held)
 	}
 }
 
-func (c *Core) forget(held *target) {
+func (c *Scheduler) forget(held *target) {
 	delete(c.targets, held.Replica)
 	version := c.version(held.Version)
 	for position, other := range version.targets {
--- a/internal/dispatch/targets_test.go
+++ b/internal/dispatch/targets_test.go
@@ -11,7 +11,7 @@
 )
 
 // shapeOf is what a core holds of targets: by replica, and by version.
-func shapeOf(core *Core) (targets map[string]Target, retired map[string]bool, versions map[string][]string) {
+func shapeOf(core *Scheduler) (targets map[string]Target, retired map[string]bool, versions map[string][]string) {
 	targets, retired, versions = map[string]Target{}, map[string]bool{}, map[string][]string{}
 	for name, held := range core.targets {
 		targets[name], retired[name] = held.Target, held.retired
@@ -45,7 +45,7 @@
 					continue
 				}
 				present[name] = Target{
-					Replica: name, Version: "v" + strconv.Itoa(number%3), Machine: "m" + strconv.Itoa(number%4), Max: 2 + random.IntN(2),
+					Replica: name, Version: "v" + strconv.Itoa(number%3), Machine: "m" + strconv.Itoa(number%4), MaxConcurrent: 2 + random.IntN(2),
 				}
 				changes.Targets = append(changes.Targets, present[name])
 				changes.Removed = slices.DeleteFunc(changes.Removed, func(removed string) bool { return removed == name })
@@ -74,10 +74,10 @@
 				whole.Release(now, ended[0], ResultOK)
 				changed.Release(now, ended[1], ResultOK)
 			}
-			for _, compare := range []func(*Core) any{
-				func(core *Core) any { targets, _, _ := shapeOf(core); return targets },
-				func(core *Core) any { _, retired, _ := shapeOf(core); return retired },
-				func(core *Core) any { _, _, versions := shapeOf(core); return versions },
+			for _, compare := range []func(*Scheduler) any{
+				func(core *Scheduler) any { targets, _, _ := shapeOf(core); return targets },
+				func(core *Scheduler) any { _, retired, _ := shapeOf(core); return retired },
+				func(core *Scheduler) any { _, _, versions := shapeOf(core); return versions },
 			} {
 				if left, right := compare(whole), compare(changed); !reflect.DeepEqual(left, right) {
 					t.Fatalf("seed %d, step %d: %v and %v", seed, step, left, right)
@@ -94,16 +94,16 @@
 	core := New(Config{MaxWaiting: 100})
 	var targets []Target
 	for _, machine := range []string{"stays", "shrinks", "drained", "removed"} {
-		targets = append(targets, Target{Replica: machine + "-1", Version: machine, Machine: machine, Max: 1})
+		targets = append(targets, Target{Replica: machine + "-1", Version: machine, Machine: machine, MaxConcurrent: 1})
 	}
-	targets = append(targets, Target{Replica: "shrinks-2", Version: "other", Machine: "shrinks", Max: 1})
+	targets = append(targets, Target{Replica: "shrinks-2", Version: "other", Machine: "shrinks", MaxConcurrent: 1})
 	core.SetTargets(now, targets)
 	for number, target := range targets[:4] {
 		request := Request{ID: uint64(number + 1), Version: target.Version, Arrived: now, Deadline: now.Add(time.Hour)}
 		core.Release(now, core.Submit(now, &request).Grants[0], ResultOK)
 	}
 	core.ChangeTargets(now, TargetChanges{Removed: []string{"removed-1", "shrinks-1"}, Drained: targets[2:3]})
-	held := slices.Sorted(maps.Keys(core.Answers()))
+	held := slices.Sorted(maps.Keys(core.ResponseCounts()))
 	if !slices.Equal(held, []string{"shrinks", "stays"}) {
 		t.Errorf("the answers of %v are held", held)
 	}
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -16,27 +16,27 @@
 	Priority int32
 	Arrived  time.Time
 	Deadline time.Time
-	// Prefix is a hash of the prompt's beginning; 0 if there is none.
-	Prefix uint64
+	// PrefixHash is a hash of the prompt's beginning; 0 if there is none.
+	PrefixHash uint64
 	// Avoid names a replica that just failed the request.
 	Avoid string
-	// Tried are the machines that the request must not go to again.
-	Tried []string
+	// TriedMachines are the machines that the request must not go to again.
+	TriedMachines []string
 	// Work is what the request asks of a machine, in tokens; Shared is the
 	// part of it that is spared where the prompt's beginning is cached.
-	Work, Shared float64
-	// Detour is how much less work a target in another region must have before it to be
+	Work, PrefixWork float64
+	// CrossRegionPenalty is how much less work a target in another region must have before it to be
 	// preferred, in tokens; 0 where places don't matter.
-	Detour float64
-	// Target is within which the answer should begin; 0 if that is open.
-	Target time.Duration
+	CrossRegionPenalty float64
+	// TTFTTarget is within which the answer should begin; 0 if that is open.
+	TTFTTarget time.Duration
 	// Allowed says in which regions the request may be served.
 	Allowed places.Constraint
 	// outstanding is the work that the request's machine has not done yet.
 	outstanding float64
-	// Patience is until when the request waits for a place; zero for as long
+	// QueueDeadline is until when the request waits for a place; zero for as long
 	// as its deadline allows.
-	Patience time.Time
+	QueueDeadline time.Time
 }
 
 // Target is a replica that may get requests.
@@ -45,8 +45,8 @@
 	Version  string
 	Machine  string
 	Endpoint string
-	// Max is how many requests the replica runs at once.
-	Max int
+	// MaxConcurrent is how many requests the replica runs at once.
+	MaxConcurrent int
 	// Adapters that the replica holds, where these are placed like models.
 	Adapters []string
 	// Zone is where the target's machine stands.
@@ -88,8 +88,8 @@
 	RefusedWarming RefusalReason = "warming"
 	// RefusedLimited: the machines that could take it name a limit, and get no more for now.
 	RefusedLimited RefusalReason = "limited"
-	// RefusedResting: the machines that could take it asked this router for a rest.
-	RefusedResting RefusalReason = "resting"
+	// RefusedBackoff: the machines that could take it asked this router for a rest.
+	RefusedBackoff RefusalReason = "resting"
 	// RefusedRegion: no machine may serve the request any more.
 	RefusedRegion RefusalReason = "no-allowed-region"
 )
@@ -98,7 +98,7 @@
 var detailsOfPaced = map[RefusalReason]string{
 	RefusedWarming: "the machines that could take it warm up",
 	RefusedLimited: "the machines that could take it limit how many requests they take",
-	RefusedResting: "the machines that could take it are overloaded and asked for a rest",
+	RefusedBackoff: "the machines that could take it are overloaded and asked for a rest",
 }
 
 // Refusal ends a request that waited.
@@ -150,9 +150,9 @@
 	Arrivals uint64
 	// Work is what all requests so far asked of machines, in tokens.
 	Work uint64
-	// Target is the shortest time within which a request wanted its answer to
+	// TTFTTarget is the shortest time within which a request wanted its answer to
 	// begin; 0 if none said.
-	Target time.Duration
+	TTFTTarget time.Duration
 	// OldestWait is the age of the request that waits longest.
 	OldestWait time.Duration
 	Priority   int32
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -26,7 +26,7 @@
 	standsInDoubt
 )
 
-func (c *Core) standingOf(candidate *target) standing {
+func (c *Scheduler) standingOf(candidate *target) standing {
 	switch {
 	case candidate.Suspect && c.warming[candidate.Machine]:
 		return standsInDoubt
@@ -39,7 +39,7 @@
 }
 
 // hasNoneInTouch reports whether all targets that could take a request, free or not, are in doubt.
-func (c *Core) hasNoneInTouch(version *versionState, request *Request) bool {
+func (c *Scheduler) hasNoneInTouch(version *versionState, request *Request) bool {
 	for _, candidate := range version.targets {
 		if c.standingOf(candidate) != standsInDoubt && !c.isExcluded(candidate, request) {
 			return false
@@ -49,13 +49,13 @@
 }
 
 // SetWarming replaces the machines that warm up.
-func (c *Core) SetWarming(warming map[string]bool) {
+func (c *Scheduler) SetWarming(warming map[string]bool) {
 	c.warming = warming
 }
 
 // SetLimited replaces the machines that name a limit. One whose limit has ended or grown is held no
 // more.
-func (c *Core) SetLimited(limited map[string]ratelimit.Limit) {
+func (c *Scheduler) SetLimited(limited map[string]ratelimit.Limit) {
 	for machine, before := range c.limited {
 		after := limited[machine]
 		if !after.IsSet || after.PerSecond > before.PerSecond {
@@ -66,29 +66,29 @@
 }
 
 // isPaced reports whether requests to a machine need permits.
-func (c *Core) isPaced(machine string) bool {
+func (c *Scheduler) isPaced(machine string) bool {
 	return c.warming[machine] || c.limited[machine].IsSet
 }
 
 // Hold gives a machine nothing before a time. Tick gives out its room once that has come.
-func (c *Core) Hold(now time.Time, machine string, until time.Time) {
+func (c *Scheduler) Hold(now time.Time, machine string, until time.Time) {
 	maps.DeleteFunc(c.held, func(_ string, ends time.Time) bool { return !now.Before(ends) })
 	c.held[machine] = until
 }
 
-// HoldPaced gives nothing to any machine that takes permits before a time. A request would else go
+// HoldPermitMachines gives nothing to any machine that takes permits before a time. A request would else go
 // from one to the next, however many there are, where there is a permit for none.
-func (c *Core) HoldPaced(until time.Time) {
+func (c *Scheduler) HoldPermitMachines(until time.Time) {
 	c.pacedHeld = until
 }
 
-func (c *Core) isHeld(now time.Time, machine string) bool {
+func (c *Scheduler) isHeld(now time.Time, machine string) bool {
 	return now.Before(c.held[machine]) || now.Before(c.pacedHeld) && c.isPaced(machine)
 }
 
 // waitsFor returns the reason why a request waits, if its machines are held or busy because they warm up or are
 // limited.
-func (c *Core) waitsFor(now time.Time, request *Request) (reason RefusalReason, isPaced bool) {
+func (c *Scheduler) waitsFor(now time.Time, request *Request) (reason RefusalReason, isPaced bool) {
 	version := c.version(request.Version)
 	noneInTouch := c.hasNoneInTouch(version, request)
 	for _, candidate := range version.targets {
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -24,13 +24,13 @@
 )
 
 // addWork counts a request's work at a machine.
-func (c *Core) addWork(machine string, request *Request) {
+func (c *Scheduler) addWork(machine string, request *Request) {
 	request.outstanding = request.Work
 	c.work[machine] += request.Work
 }
 
 // finishWork lowers the work that a request still means for its machine.
-func (c *Core) finishWork(machine string, request *Request, left float64) {
+func (c *Scheduler) finishWork(machine string, request *Request, left float64) {
 	done := request.outstanding - left
 	if done <= 0 {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// Started notes that the machine has accepted a granted request, and its answer has begun.
-func (c *Core) Started(grant Grant) {
+// MarkStarted notes that the machine has accepted a granted request, and its answer has begun.
+func (c *Scheduler) MarkStarted(grant Grant) {
 	c.finishWork(grant.Target.Machine, grant.Request, grant.Request.Work*startedShare)
 	c.noteTrial(grant, true)
 	if held := c.targets[grant.Target.Replica]; held != nil {
@@ -52,12 +52,12 @@
 }
 
 // Work returns the outstanding work by machine.
-func (c *Core) Work() map[string]float64 {
+func (c *Scheduler) Work() map[string]float64 {
 	return maps.Clone(c.work)
 }
 
 // SetWork replaces the lagged work of machines, that of all routers together.
-func (c *Core) SetWork(now time.Time, total map[string]float64) {
+func (c *Scheduler) SetWork(now time.Time, total map[string]float64) {
 	c.noteDigest(now)
 	c.othersWork = make(map[string]float64, len(total))
 	for machine, work := range total {
@@ -70,7 +70,7 @@
 // cached. Every router finds the same homes for a beginning, by rendezvous
 // hashing, so that few machines hold each; a busy home is passed over as soon
 // as reading the beginning again costs less than waiting.
-func (c *Core) pickByWork(now time.Time, version *versionState, request *Request, wanted standing) *target {
+func (c *Scheduler) pickByWork(now time.Time, version *versionState, request *Request, wanted standing) *target {
 	hasChoice := version.hasChoice(request)
 	var usable []*target
 	for _, candidate := range version.targets {
@@ -79,14 +79,14 @@
 		}
 	}
 	usable = c.withoutFailing(now, request, usable)
-	first, second := homes(request.nearby(usable), request.Prefix)
+	first, second := homes(request.nearby(usable), request.PrefixHash)
 	level := c.levelOfOthers(now, version, usable)
 	var best *target
 	var bestCost, bestTie float64
 	for _, candidate := range usable {
 		load := c.machineWork(candidate)
 		cost := max(load, level) + request.crossing(candidate.Nearness)
-		cost += request.Shared * (1 - candidate.cachedShare(now, request, first, second))
+		cost += request.PrefixWork * (1 - candidate.cachedShare(now, request, first, second))
 		tie := weightedRank(c.config.Seed+request.ID, candidate.Machine, level-load)
 		if best == nil || cost < bestCost || cost == bestCost && tie > bestTie {
 			best, bestCost, bestTie = candidate, cost, tie
@@ -98,9 +98,9 @@
 // cachedShare is how sure it is that a target holds the beginning of a prompt.
 func (t *target) cachedShare(now time.Time, request *Request, first, second *target) float64 {
 	switch {
-	case request.Prefix == 0:
+	case request.PrefixHash == 0:
 		return 0
-	case t.prefixes.holds(now, request.Prefix):
+	case t.prefixes.holds(now, request.PrefixHash):
 		return 1
 	case t == first:
 		return firstHomeShare
@@ -116,15 +116,15 @@
 	case places.SameZone:
 		return 0
 	case places.SameRegion:
-		return r.Detour * zoneShare
+		return r.CrossRegionPenalty * zoneShare
 	}
-	return r.Detour
+	return r.CrossRegionPenalty
 }
 
 // nearby returns the targets in the router's region, or all where there is none or places don't
 // matter: a beginning that is read in each region is not read across regions.
 func (r *Request) nearby(targets []*target) []*target {
-	if r.Detour == 0 {
+	if r.CrossRegionPenalty == 0 {
 		return targets
 	}
 	var near []*target
--- a/internal/dispatch/work_test.go
+++ b/internal/dispatch/work_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-func workCore(machines int) (*Core, time.Time) {
+func workCore(machines int) (*Scheduler, time.Time) {
 	now := time.Unix(1000, 0)
-	core := New(Config{MaxWaiting: 100, SharedSlots: true, PlacedAdapters: true, ByWork: true})
+	core := New(Config{MaxWaiting: 100, SharedSlots: true, PlacedAdapters: true, LeastWork: true})
 	var targets []Target
 	for position := range machines {
 		name := "m" + strconv.Itoa(position)
-		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, Max: 64, Adapters: []string{"a1"}})
+		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 64, Adapters: []string{"a1"}})
 	}
 	core.SetTargets(now, targets)
 	return core, now
@@ -23,7 +23,7 @@
 func request(now time.Time, work, shared float64, prefix uint64) *Request {
 	nextRequest++
 	return &Request{
-		ID: nextRequest, Version: "v", Arrived: now, Deadline: now.Add(time.Minute), Work: work, Shared: shared, Prefix: prefix,
+		ID: nextRequest, Version: "v", Arrived: now, Deadline: now.Add(time.Minute), Work: work, PrefixWork: shared, PrefixHash: prefix,
 	}
 }
 
@@ -45,7 +45,7 @@
 			t.Error("a short request goes behind the long one")
 		}
 	}
-	core.Started(long)
+	core.MarkStarted(long)
 	if next := grantOf(t, core.Submit(now, request(now, 1000, 0, 0))); next.Target.Machine != long.Target.Machine {
 		t.Error("a machine whose prompt has been read is still passed over")
 	}
@@ -129,7 +129,7 @@
 	core, now := workCore(2)
 	down := grantOf(t, core.Submit(now, request(now, 100, 0, 0)))
 	core.Release(now, down, ResultUnreachable)
-	if names := core.Unreachable(now); len(names) != 1 || names[0] != down.Target.Machine {
+	if names := core.UnreachableMachines(now); len(names) != 1 || names[0] != down.Target.Machine {
 		t.Errorf("unreachable: %v", names)
 	}
 	for range 5 {
@@ -141,13 +141,13 @@
 	alone := request(now, 100, 0, 0)
 	for _, machine := range []string{"m0", "m1"} {
 		if machine != down.Target.Machine {
-			alone.Tried = append(alone.Tried, machine)
+			alone.TriedMachines = append(alone.TriedMachines, machine)
 		}
 	}
 	if last := grantOf(t, core.Submit(now, alone)); last.Target.Machine != down.Target.Machine {
 		t.Error("a request waits although one machine could be tried")
 	}
-	if names := core.Unreachable(now.Add(time.Minute)); len(names) != 0 {
+	if names := core.UnreachableMachines(now.Add(time.Minute)); len(names) != 0 {
 		t.Errorf("still reported: %v", names)
 	}
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -23,7 +23,7 @@
 // Dispatcher is safe for concurrent use.
 type Dispatcher struct {
 	mutex   sync.Mutex
-	core    *dispatch.Core
+	core    *dispatch.Scheduler
 	waiting map[uint64]chan verdict
 	nextID  uint64
 	nudge   func()
@@ -125,7 +125,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.waiting[request.ID] != nil {
-		d.deliver(d.core.Rebind(time.Now(), request, allowed))
+		d.deliver(d.core.SetConstraint(time.Now(), request, allowed))
 	}
 }
 
@@ -158,21 +158,21 @@
 func (d *Dispatcher) HoldPaced(span time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.HoldPaced(time.Now().Add(span))
+	d.core.HoldPermitMachines(time.Now().Add(span))
 }
 
 // Rest gives a machine nothing for a span that it asked for.
 func (d *Dispatcher) Rest(machine string, span time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.Rest(time.Now(), machine, span))
+	d.deliver(d.core.BackOff(time.Now(), machine, span))
 }
 
 // Leave gives a machine nothing more, as it said that it is leaving. It reports whether that was not known.
 func (d *Dispatcher) Leave(machine string) (changed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	outcome, changed := d.core.Leave(time.Now(), machine)
+	outcome, changed := d.core.MarkLeaving(time.Now(), machine)
 	d.deliver(outcome)
 	return changed
 }
@@ -181,21 +181,21 @@
 func (d *Dispatcher) Leaving() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Leaving()
+	return d.core.LeavingMachines()
 }
 
 // RestingMachines returns how many machines rest.
 func (d *Dispatcher) RestingMachines() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.RestingMachines(time.Now())
+	return d.core.BackoffCount(time.Now())
 }
 
 // RetryAfterRest returns when a caller may try again, if all machines that could take a request rest.
 func (d *Dispatcher) RetryAfterRest(request *dispatch.Request) (retryAfter time.Duration, allRest bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.RetryAfterRest(time.Now(), request)
+	return d.core.RetryAfterBackoff(time.Now(), request)
 }
 
 // MayWrite reports whether a granted request may still be written to its machine.
@@ -210,7 +210,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.core.RetainRests(now, isListed)
+	d.core.RetainBackoffs(now, isListed)
 	d.core.RetainLeaving(now, isListed)
 }
 
@@ -232,14 +232,14 @@
 func (d *Dispatcher) Started(grant *dispatch.Grant) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.Started(*grant)
+	d.core.MarkStarted(*grant)
 }
 
 // Unreachable returns the machines that no connection came about to lately.
 func (d *Dispatcher) Unreachable(now time.Time) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Unreachable(now)
+	return d.core.UnreachableMachines(now)
 }
 
 // Work returns the outstanding work by machine.
@@ -250,10 +250,10 @@
 }
 
 // Answers counts how machines have answered this router.
-func (d *Dispatcher) Answers() map[string]dispatch.Answers {
+func (d *Dispatcher) Answers() map[string]dispatch.ResponseCounts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Answers()
+	return d.core.ResponseCounts()
 }
 
 // SetTargets replaces the targets.
@@ -275,7 +275,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.SetWork(now, nodeview.WorkOf(digest))
-	d.core.SetAnswers(now, nodeview.AnswersOf(digest))
+	d.core.SetResponseCounts(now, nodeview.AnswersOf(digest))
 	d.deliver(d.core.SetLoads(now, nodeview.LoadsOf(digest), int(digest.GetRouters())))
 	d.deliver(d.core.SetEstimates(now, nodeview.EstimatesOf(digest, now)))
 }
--- a/internal/drains/doc.go
+++ b/internal/drains/doc.go
@@ -9,7 +9,7 @@
 //   - An order is written on condition of the revision that it read, and every acknowledged order,
 //     also one that changes nothing, makes a new revision. What read before a later order was
 //     acknowledged is refused.
-//   - An order reads the state only within LookTime of its arrival at a process, and a process
+//   - An order reads the state only within ReadWindow of its arrival at a process, and a process
 //     that was stalled takes no orders. So it reads while its caller still waits, which is before
 //     any later order of that caller.
 //
--- a/internal/drains/order.go
+++ b/internal/drains/order.go
@@ -12,53 +12,53 @@
 )
 
 const (
-	// LookTime bounds the time from the arrival of an order at a process to its last reading of
-	// the state. Together with StallGap it is below the second after which operators turn to
+	// ReadWindow bounds the time from the arrival of an order at a process to its last reading of
+	// the state. Together with StallThreshold it is below the second after which operators turn to
 	// another node.
-	LookTime = 500 * time.Millisecond
-	// SettleTime is how long an order rests before it is looked at, so that the close of a
+	ReadWindow = 500 * time.Millisecond
+	// SettleDelay is how long an order rests before it is looked at, so that the close of a
 	// connection whose request was sent again by TCP, after its caller had left, is seen: it
 	// follows a round trip behind.
-	SettleTime = 20 * time.Millisecond
+	SettleDelay = 20 * time.Millisecond
 )
 
-// Knowledge is what is known of a zone's name.
-type Knowledge int
+// ZoneStatus is what is known of a zone's name.
+type ZoneStatus int
 
 // What may be known of a name.
 const (
 	// Unknown: there are zones, and it is none of them.
-	Unknown Knowledge = iota
+	ZoneUnknown ZoneStatus = iota
 	// Known: a zone has the name.
-	Known
-	// NotToldYet: neither the settings nor any machine tell of zones.
-	NotToldYet
+	ZoneKnown
+	// ZonesNotReported: neither the settings nor any machine tell of zones.
+	ZonesNotReported
 )
 
-// KnowledgeOf tells what a state and a table of zones say of a name.
-func KnowledgeOf(machine *state.Machine, table []string, zone string) Knowledge {
+// ZoneStatusOf tells what a state and a table of zones say of a name.
+func ZoneStatusOf(machine *state.Machine, table []string, zone string) ZoneStatus {
 	if slices.Contains(table, zone) {
-		return Known
+		return ZoneKnown
 	}
-	knowledge := Unknown
+	knowledge := ZoneUnknown
 	if len(table) == 0 {
-		knowledge = NotToldYet
+		knowledge = ZonesNotReported
 	}
 	machine.Each(func(_ *wirepb.Object, spec v1.Spec) {
 		declared, isMachine := spec.(*v1.MachineSpec)
 		switch {
 		case !isMachine:
 		case declared.Zone == zone && zone != "":
-			knowledge = Known
-		case knowledge == NotToldYet:
-			knowledge = Unknown
+			knowledge = ZoneKnown
+		case knowledge == ZonesNotReported:
+			knowledge = ZoneUnknown
 		}
 	})
 	return knowledge
 }
 
-// Write is the write of an order that has read the zone's object at a revision, 0 for none.
-func Write(zone string, drained bool, revision uint64, now time.Time) (*wirepb.ObjectWrite, error) {
+// NewWrite is the write of an order that has read the zone's object at a revision, 0 for none.
+func NewWrite(zone string, drained bool, revision uint64, now time.Time) (*wirepb.ObjectWrite, error) {
 	spec, err := json.Marshal(v1.ZoneDrainSpec{Drained: drained})
 	if err != nil {
 		return nil, fault.Internal.Wrap(err, "encoding a drain")
--- a/internal/drains/order_test.go
+++ b/internal/drains/order_test.go
@@ -30,16 +30,16 @@
 		machine *state.Machine
 		table   []string
 		zone    string
-		want    Knowledge
+		want    ZoneStatus
 	}{
-		{empty, nil, "m", NotToldYet},
-		{empty, []string{"z"}, "z", Known},
-		{empty, []string{"z"}, "m", Unknown},
-		{held, nil, "m", Known},
-		{held, nil, "z", Unknown},
-		{held, nil, "", Unknown},
+		{empty, nil, "m", ZonesNotReported},
+		{empty, []string{"z"}, "z", ZoneKnown},
+		{empty, []string{"z"}, "m", ZoneUnknown},
+		{held, nil, "m", ZoneKnown},
+		{held, nil, "z", ZoneUnknown},
+		{held, nil, "", ZoneUnknown},
 	} {
-		if got := KnowledgeOf(check.machine, check.table, check.zone); got != check.want {
+		if got := ZoneStatusOf(check.machine, check.table, check.zone); got != check.want {
 			t.Errorf("zone %q with the table %v: %d, want %d", check.zone, check.table, got, check.want)
 		}
 	}
@@ -75,7 +75,7 @@
 			drained := rapid.Bool().Draw(t, "drained")
 			for {
 				_, revision := drainIn(machine, "z")
-				write, err := Write("z", drained, revision, time.Unix(0, 0))
+				write, err := NewWrite("z", drained, revision, time.Unix(0, 0))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -101,7 +101,7 @@
 		if any {
 			for {
 				_, revision := drainIn(machine, "z")
-				write, err := Write("z", acknowledged, revision, time.Unix(0, 0))
+				write, err := NewWrite("z", acknowledged, revision, time.Unix(0, 0))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -269,7 +269,7 @@
 	if strings.HasPrefix(stringField(last.Fields, "detail"), v1.ReasonZoneDrained) {
 		return text + describeDrains(lines, last.Time)
 	}
-	if strings.HasPrefix(stringField(last.Fields, "detail"), string(dispatch.RefusedResting)) {
+	if strings.HasPrefix(stringField(last.Fields, "detail"), string(dispatch.RefusedBackoff)) {
 		return text + s.describeBackoff(lines, last)
 	}
 	if !strings.Contains(stringField(last.Fields, "detail"), "no replica") {
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -43,10 +43,10 @@
 	// lost is set once the machine is gone for good, disk and all.
 	lost bool
 	// stalls tells whether the process stood still until a moment ago.
-	stalls drains.StallWatch
+	stalls drains.StallDetector
 	// limits are the stated limits that the node knows; permits are those of its term as leader.
 	limits  *ratelimit.Limits
-	permits *permits.Permits
+	permits *permits.Buckets
 	// muted drops what the node says to other control nodes.
 	muted bool
 }
@@ -80,8 +80,8 @@
 	c.limits, c.permits = ratelimit.New(), nil
 	c.passing = false
 	if c.world.drainsZones {
-		c.stalls = drains.StallWatch{}
-		c.every(drains.StallLook, func() { c.stalls.Run(c.clock()) })
+		c.stalls = drains.StallDetector{}
+		c.every(drains.StallCheckInterval, func() { c.stalls.Tick(c.clock()) })
 	}
 	c.every(controlTick, func() {
 		c.member.Raft.Tick(c.clock())
--- a/internal/faultsim/crashchecks.go
+++ b/internal/faultsim/crashchecks.go
@@ -90,7 +90,7 @@
 		return
 	}
 	spec, isSuspect := c.truth.Spec(v1.KindSuspect, event.GetObject().GetName()).(*v1.SuspectSpec)
-	if isSuspect && spec.Quarantined && len(truth.lives)+len(truth.near) < quarantine.CrashesToQuarantine {
+	if isSuspect && spec.Quarantined && len(truth.lives)+len(truth.near) < quarantine.QuarantineThreshold {
 		c.violate(CheckConvicted, "%s is convicted, %d engines ended under it", identity, len(truth.lives))
 	}
 }
--- a/internal/faultsim/crashes.go
+++ b/internal/faultsim/crashes.go
@@ -148,7 +148,7 @@
 
 // life names one life of the machine's engine.
 func (m *machine) life() string {
-	return quarantine.LifeOf(m.name, m.incarnation)
+	return quarantine.InstanceName(m.name, m.incarnation)
 }
 
 // breakRuns breaks the connections of all that runs, and returns what that was.
@@ -184,29 +184,29 @@
 
 // noteBroken takes a request whose answer from a machine broke off.
 func (r *routerNode) noteBroken(machineName, life string, sent *content) {
-	run := quarantine.Run{Machine: machineName, Life: life, Identity: sent.identity}
-	switch r.crashes.Broken(r.wall(), run) {
-	case quarantine.NextExamine:
+	run := quarantine.BrokenRequest{Machine: machineName, Instance: life, Identity: sent.identity}
+	switch r.crashes.AddBroken(r.wall(), run) {
+	case quarantine.ActionProbe:
 		r.examine(run, r.world.Now()+examineTime)
-	case quarantine.NextRecord:
-		r.record([]quarantine.Run{run})
+	case quarantine.ActionRecord:
+		r.record([]quarantine.BrokenRequest{run})
 	default:
 	}
 }
 
 // examine looks at a machine until it is known what has become of it.
-func (r *routerNode) examine(run quarantine.Run, until time.Duration) {
+func (r *routerNode) examine(run quarantine.BrokenRequest, until time.Duration) {
 	conclude := func(verdict quarantine.Verdict) {
-		if runs := r.crashes.Judged(r.wall(), run.Life, verdict); len(runs) > 0 {
+		if runs := r.crashes.ApplyVerdict(r.wall(), run.Instance, verdict); len(runs) > 0 {
 			r.record(runs)
 		}
 	}
-	r.look(run, func(sign quarantine.Sign) {
+	r.look(run, func(sign quarantine.Evidence) {
 		if r.world.mutation == MutationResetCountsAsCrash && sign.Accepts {
 			sign.Accepts, sign.Refuses = false, true
 		}
-		switch verdict := sign.Judge(); {
-		case verdict != quarantine.VerdictNone:
+		switch verdict := sign.Verdict(); {
+		case verdict != quarantine.VerdictPending:
 			conclude(verdict)
 		case r.world.Now() >= until:
 			conclude(quarantine.VerdictUnknown)
@@ -217,9 +217,9 @@
 }
 
 // look takes what the view tells of a machine, and what its system does with a connection.
-func (r *routerNode) look(run quarantine.Run, done func(quarantine.Sign)) {
+func (r *routerNode) look(run quarantine.BrokenRequest, done func(quarantine.Evidence)) {
 	hit := r.world.machineNamed(run.Machine)
-	sign := quarantine.Sign{}
+	sign := quarantine.Evidence{}
 	if known, isKnown := r.view.Machine(run.Machine); isKnown {
 		sign.Leaving = known.Status.Phase == v1.MachineLeaving || known.Status.Phase == v1.MachineGone
 	}
@@ -236,19 +236,19 @@
 		return
 	}
 	w.After(2*baseDelay, func() {
-		sign.Accepts = hit.up && hit.life() == run.Life
+		sign.Accepts = hit.up && hit.life() == run.Instance
 		sign.Refuses = !hit.up
-		sign.Replaced = hit.up && hit.life() != run.Life
+		sign.Replaced = hit.up && hit.life() != run.Instance
 		r.run(r.epoch, settle)
 	})
 }
 
 // record proposes a crash until it is in the log and in the view.
-func (r *routerNode) record(runs []quarantine.Run) {
+func (r *routerNode) record(runs []quarantine.BrokenRequest) {
 	if r.world.mutation == MutationCrashesNotShared {
 		return
 	}
-	r.commit(quarantine.RecordCommand(runs[0].Life, runs), func() { r.crashes.Recorded(runs) })
+	r.commit(quarantine.RecordCommand(runs[0].Instance, runs), func() { r.crashes.MarkRecorded(runs) })
 }
 
 // commit proposes a command until there is an answer, and goes on once the view holds it.
@@ -275,8 +275,8 @@
 
 // noteWhole takes a request that a machine has run to the end.
 func (r *routerNode) noteWhole(sent *content) {
-	if r.crashes.Completed(sent.identity, r.view.Suspect(sent.identity) != nil) {
-		r.commit(quarantine.ClearCommand(sent.identity), func() { r.crashes.Cleared(sent.identity) })
+	if r.crashes.Complete(sent.identity, r.view.Suspect(sent.identity) != nil) {
+		r.commit(quarantine.ClearCommand(sent.identity), func() { r.crashes.MarkCleared(sent.identity) })
 	}
 }
 
--- a/internal/faultsim/drains.go
+++ b/internal/faultsim/drains.go
@@ -92,17 +92,17 @@
 		done(false)
 		return
 	}
-	c.after(drains.SettleTime, func() { c.tryDrain(order, begun, done) })
+	c.after(drains.SettleDelay, func() { c.tryDrain(order, begun, done) })
 }
 
 func (c *controlNode) tryDrain(order zoneOrder, begun time.Duration, done func(taken bool)) {
 	c.confirmedRead(func() {
-		if c.clock()-begun > drains.LookTime && !c.takesLateDrains() {
+		if c.clock()-begun > drains.ReadWindow && !c.takesLateDrains() {
 			done(false)
 			return
 		}
 		revision := c.member.State.Get(v1.KindZoneDrain, order.zone).GetRevision()
-		write, err := drains.Write(order.zone, order.drained, revision, c.wall())
+		write, err := drains.NewWrite(order.zone, order.drained, revision, c.wall())
 		if err != nil {
 			done(false)
 			return
--- a/internal/faultsim/limits.go
+++ b/internal/faultsim/limits.go
@@ -32,11 +32,11 @@
 	if m.limit.IsSet {
 		return nil
 	}
-	m.limit, m.limitKnown, m.limitArrivals = ratelimit.Of(limitStated), 0, nil
+	m.limit, m.limitKnown, m.limitArrivals = ratelimit.NewLimit(limitStated), 0, nil
 	incarnation := m.incarnation
 	w.After(span+limitLinger, func() {
 		if m.incarnation == incarnation {
-			m.limit = ratelimit.None
+			m.limit = ratelimit.Unlimited
 		}
 	})
 	return nothing
@@ -44,8 +44,8 @@
 
 // observeLimit records what an engine stated in an answer to a request that was sent at a time.
 func (r *routerNode) observeLimit(m *machine, stated ratelimit.Limit, sent time.Duration) {
-	r.limits.Observe(m.name, ratelimit.Statement{Limit: stated, Sent: sent, Heard: r.clock()})
-	r.core.SetLimited(r.limits.Set())
+	r.limits.Observe(m.name, ratelimit.Statement{Limit: stated, Sent: sent, Received: r.clock()})
+	r.core.SetLimited(r.limits.Active())
 	if stated.IsSet && m.limitKnown == 0 {
 		m.limitKnown = r.world.Now() + limitSpread
 	}
@@ -56,7 +56,7 @@
 	for _, observed := range nodeview.LimitObservations(digest.GetLimits()) {
 		r.limits.Merge(r.clock(), observed)
 	}
-	r.core.SetLimited(r.limits.Set())
+	r.core.SetLimited(r.limits.Active())
 }
 
 // sendPermitted sends a granted request, with a permit of the leader if its engine is limited.
@@ -80,7 +80,7 @@
 		switch {
 		case !answered || answer.GetUnavailable():
 			r.silentUntil = r.clock() + permits.Lifetime
-			r.core.HoldPaced(r.wall().Add(permits.Lifetime))
+			r.core.HoldPermitMachines(r.wall().Add(permits.Lifetime))
 			r.withhold(entry, grant, permits.Lifetime)
 		case !answer.GetGranted():
 			r.withhold(entry, grant, max(dispatchTick, time.Duration(answer.GetRetryAfterMs())*time.Millisecond))
@@ -139,11 +139,11 @@
 		return &wirepb.PermitReply{Unavailable: true}
 	}
 	c.mergeLimits([]*wirepb.MachineLimit{request.GetLimit()})
-	limit := c.limits.Of(request.GetMachine())
+	limit := c.limits.Get(request.GetMachine())
 	if !limit.IsSet {
 		return &wirepb.PermitReply{Granted: true}
 	}
-	decision := c.permits.Take(c.clock(), request.GetMachine(), limit.Pace())
+	decision := c.permits.Take(c.clock(), request.GetMachine(), limit.BucketConfig())
 	if !c.leads() || !c.member.Raft.Status().LeadsIn(c.decider.Term()) {
 		return &wirepb.PermitReply{Unavailable: true}
 	}
--- a/internal/faultsim/machine.go
+++ b/internal/faultsim/machine.go
@@ -64,7 +64,7 @@
 func (m *machine) startEngine() {
 	m.begin()
 	m.incarnation++
-	m.limit = ratelimit.None
+	m.limit = ratelimit.Unlimited
 	m.unseenEnds = map[string]string{}
 	m.engine.Restart(m.incarnation)
 }
--- a/internal/faultsim/requests.go
+++ b/internal/faultsim/requests.go
@@ -84,8 +84,8 @@
 // isQuarantined reports whether a request must not be sent to any engine, for now at least.
 func (r *routerNode) isQuarantined(sent *content) bool {
 	held := r.view.Suspect(sent.identity)
-	_, quarantined := r.crashes.Crashed(sent.identity, held)
-	refused := quarantined || r.crashes.Doubted(sent.identity, held)
+	_, quarantined := r.crashes.Crashes(sent.identity, held)
+	refused := quarantined || r.crashes.IsPending(sent.identity, held)
 	if refused && !sent.culprit {
 		r.world.checks.innocentsRefused++
 	}
--- a/internal/faultsim/rests.go
+++ b/internal/faultsim/rests.go
@@ -44,7 +44,7 @@
 // rejected takes an engine's rejection, which asked for a rest.
 func (r *routerNode) rejected(entry *inference, grant dispatch.Grant, from *machine) {
 	if r.world.mutation != MutationRestsIgnored {
-		r.deliver(r.core.Rest(r.wall(), grant.Target.Machine, restAsked))
+		r.deliver(r.core.BackOff(r.wall(), grant.Target.Machine, restAsked))
 	}
 	r.world.checks.restAsked(r, from)
 	r.again(entry, grant, dispatch.ResultRejected)
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -30,7 +30,7 @@
 	requests    uint64
 	view        *nodeview.View
 	news        *nodeview.DemandReporter
-	core        *dispatch.Core
+	core        *dispatch.Scheduler
 	waiting     map[uint64]*inference
 	watches     map[string]*machineWatch
 	upstream    int
@@ -44,7 +44,7 @@
 	// seenRevision is the highest that this process has applied.
 	seenRevision uint64
 	draining     bool
-	crashes      *quarantine.Watch
+	crashes      *quarantine.Tracker
 	limits       *ratelimit.Limits
 	// silentUntil is until when the leader is not asked for permits, after it could not be.
 	silentUntil time.Duration
@@ -78,7 +78,7 @@
 	r.wasCurrent = false
 	r.seenRevision = 0
 	r.draining = false
-	r.crashes = quarantine.NewWatch()
+	r.crashes = quarantine.NewTracker()
 	r.limits, r.silentUntil = ratelimit.New(), 0
 	r.every(pollInterval, r.poll)
 	r.every(agentInterval, r.watchMachines)
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -81,7 +81,7 @@
 					time.Sleep(time.Millisecond)
 				}
 			}
-			if count := ended.Load(); count > quarantine.CrashesToQuarantine+1 {
+			if count := ended.Load(); count > quarantine.QuarantineThreshold+1 {
 				t.Errorf("one request ended %d engines", count)
 			}
 			if status, body := ask("culprit", stream); status != 503 || !strings.Contains(body, "/quarantined") {
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -2,5 +2,5 @@
 
 // CrashesSettled reports whether all that is known of crashes has been recorded.
 func (g *Gateway) CrashesSettled() bool {
-	return g.crashes.Settled()
+	return g.crashes.IsIdle()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,7 +74,7 @@
 		drains: drainlog.New(options.Logger, options.Metrics.drained),
 		claims: claims.NewClient(options.Propose), budget: newRetryBudget(),
 		crashes: crashwatch.New(crashwatch.Options{
-			View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeBy(
+			View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeWithDial(
 				func(ctx context.Context, _, address string) (net.Conn, error) {
 					return dialer.DialContext(ctx, "tcp", address)
 				}),
--- a/internal/gateway/inference.go
+++ b/internal/gateway/inference.go
@@ -79,7 +79,7 @@
 	}
 	wanted := &dispatch.Request{
 		Version: created.target.Version, Adapter: created.target.Adapter, Priority: created.spec.Priority,
-		Arrived: created.arrived, Deadline: created.deadline, Prefix: created.prefix,
+		Arrived: created.arrived, Deadline: created.deadline, PrefixHash: created.prefix,
 	}
 	failures := 0
 	for attempt := 1; ; attempt++ {
--- a/internal/gateway/suspect.go
+++ b/internal/gateway/suspect.go
@@ -28,8 +28,8 @@
 
 // noteBroken takes a request whose connection broke once the engine had it.
 func (g *Gateway) noteBroken(created *job, grant *dispatch.Grant) {
-	g.crashes.Broken(quarantine.Run{
-		Machine: grant.Target.Machine, Life: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
+	g.crashes.ReportBroken(quarantine.BrokenRequest{
+		Machine: grant.Target.Machine, Instance: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
 		Identity: created.identity(), Route: created.service, Tenant: created.caller,
 	})
 }
@@ -37,7 +37,7 @@
 // noteCompleted takes a request that an engine has run to its end.
 func (g *Gateway) noteCompleted(created *job, end attemptEnd) {
 	if end == endAnswered {
-		g.crashes.Completed(created.identity)
+		g.crashes.ReportCompleted(created.identity)
 	}
 }
 
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -61,7 +61,7 @@
 	case endError, endErrorAnswered:
 		return dispatch.ResultError
 	case endSilent:
-		return dispatch.ResultSilent
+		return dispatch.ResultTimedOut
 	case endNotRun:
 		return dispatch.ResultRejected
 	case endNotConnected:
@@ -80,11 +80,11 @@
 	defer cancel()
 	outgoing := j.outgoing(grant)
 	answer, failure, err := j.ingress.upstream.Do(tryCtx, outgoing)
-	if failure == upstream.FailedConnect {
+	if failure == upstream.FailureConnect {
 		return j.endUnwritten(grant, err)
 	}
 	j.sent++
-	if failure != upstream.FailedNone {
+	if failure != upstream.FailureNone {
 		j.mayHaveRun = true
 		j.log("no_answer", "machine", grant.Target.Machine, "failure", failure.String(), "error", err.Error())
 		if tryCtx.Err() != nil {
@@ -126,7 +126,7 @@
 }
 
 func (j *job) outgoing(grant *dispatch.Grant) *upstream.Request {
-	header := upstream.EndToEnd(j.request.Header)
+	header := upstream.EndToEndHeaders(j.request.Header)
 	return &upstream.Request{
 		Machine: grant.Target.Machine, Address: addressOf(grant),
 		Method: j.request.Method, Target: j.request.RequestURI, Host: j.request.Host, Header: header, Body: j.body,
--- a/internal/ingress/export_test.go
+++ b/internal/ingress/export_test.go
@@ -2,7 +2,7 @@
 
 // CrashesSettled reports whether all that is known of crashes has been recorded.
 func (i *Ingress) CrashesSettled() bool {
-	return i.crashes.Settled()
+	return i.crashes.IsIdle()
 }
 
 // WarmingMachines returns the machines that are taken to warm up.
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -84,9 +84,9 @@
 func limitOf(answer http.Header) ratelimit.Limit {
 	perSecond, err := strconv.ParseFloat(answer.Get(headerLimit), 64)
 	if err != nil {
-		return ratelimit.None
+		return ratelimit.Unlimited
 	}
-	return ratelimit.Of(perSecond)
+	return ratelimit.NewLimit(perSecond)
 }
 
 func restOf(answer http.Header) time.Duration {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -96,7 +96,7 @@
 
 // New returns an ingress; Run must be running for it to work.
 func New(options Options) *Ingress {
-	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, ByWork: true, Seed: rand.Uint64()}
+	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, LeastWork: true, Seed: rand.Uint64()}
 	ending, end := context.WithCancel(context.Background())
 	if options.Suspended == nil {
 		options.Suspended = clock.Slept
@@ -118,8 +118,8 @@
 
 func newCrashWatcher(options Options, pool *upstream.Pool) *crashwatch.Watcher {
 	return crashwatch.New(crashwatch.Options{
-		View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeBy(pool.Dial),
-		Examined: options.Metrics.observeExamined,
+		View: options.View, Logger: options.Logger, Propose: options.Propose, Probe: crashwatch.ProbeWithDial(pool.Dial),
+		OnVerdict: options.Metrics.observeExamined,
 	})
 }
 
@@ -261,7 +261,7 @@
 }
 
 // Answers counts how machines have answered this node, for reports.
-func (i *Ingress) Answers() map[string]dispatch.Answers {
+func (i *Ingress) Answers() map[string]dispatch.ResponseCounts {
 	return i.dispatcher.Answers()
 }
 
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -200,11 +200,11 @@
 // nothing more may be tried, and returns how the last attempt ended.
 func (j *job) run(ctx context.Context) attemptEnd {
 	j.wanted = &dispatch.Request{
-		Version: j.version, Adapter: j.attributes.Adapter, Priority: j.priority(), Prefix: j.attributes.Prefix,
-		Arrived: j.arrived, Deadline: j.deadline, Work: j.work(), Shared: j.attributes.SharedTokens,
-		Detour:   j.detour(),
-		Target:   time.Duration(j.route.Spec.TargetLatency),
-		Patience: j.arrived.Add(j.patience()), Allowed: j.allowed(),
+		Version: j.version, Adapter: j.attributes.Adapter, Priority: j.priority(), PrefixHash: j.attributes.Prefix,
+		Arrived: j.arrived, Deadline: j.deadline, Work: j.work(), PrefixWork: j.attributes.SharedTokens,
+		CrossRegionPenalty: j.detour(),
+		TTFTTarget:         time.Duration(j.route.Spec.TargetLatency),
+		QueueDeadline:      j.arrived.Add(j.patience()), Allowed: j.allowed(),
 	}
 	for failures := 0; ; {
 		grant, refusal := j.acquire(ctx)
@@ -229,7 +229,7 @@
 			return end
 		}
 		j.noteRun(ctx, grant, end)
-		j.wanted.Tried = append(j.wanted.Tried, grant.Target.Machine)
+		j.wanted.TriedMachines = append(j.wanted.TriedMachines, grant.Target.Machine)
 		if end == endAnswered || end == endErrorAnswered || end == endBroken {
 			return end
 		}
@@ -319,7 +319,7 @@
 	case j.request.Context().Err() != nil:
 		return dispatch.ResultNotRun
 	case end == endBroken && ctx.Err() != nil:
-		return dispatch.ResultSilent
+		return dispatch.ResultTimedOut
 	}
 	return end.health()
 }
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -55,7 +55,7 @@
 func (m *machineLimits) observe(machine string, limit ratelimit.Limit, sent time.Duration) (changed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	change := m.limits.Observe(machine, ratelimit.Statement{Limit: limit, Sent: sent, Heard: m.options.Now()})
+	change := m.limits.Observe(machine, ratelimit.Statement{Limit: limit, Sent: sent, Received: m.options.Now()})
 	m.note(change, "answer")
 	return change.Changed()
 }
@@ -70,7 +70,7 @@
 
 // publish passes on the limits in force. The mutex must be held.
 func (m *machineLimits) publish() {
-	set := m.limits.Set()
+	set := m.limits.Active()
 	m.options.Metrics.limited.Set(float64(len(set)))
 	m.onChange(set)
 }
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -21,7 +21,7 @@
 
 // pass passes a machine's answer on to the caller, unless it proves that the
 // request may go elsewhere.
-func (j *job) pass(ctx context.Context, answer *upstream.Answer, grant *dispatch.Grant) attemptEnd {
+func (j *job) pass(ctx context.Context, answer *upstream.Response, grant *dispatch.Grant) attemptEnd {
 	verdict := j.ingress.options.Translator.Interpret(answer.Status, answer.Header, j.attributes.ID)
 	j.noteStatement(grant, verdict)
 	if verdict.NotRun {
@@ -64,13 +64,13 @@
 
 // keepError keeps a machine's failure for the case that no other machine answers. One
 // that is too long, or breaks off, is not kept: a part must not look like the whole.
-func (j *job) keepError(answer *upstream.Answer) {
+func (j *job) keepError(answer *upstream.Response) {
 	body, err := io.ReadAll(io.LimitReader(answer, maxDiscarded+1))
 	if err != nil || len(body) > maxDiscarded {
 		j.log("error_not_kept", "status", answer.Status, "bytes", len(body), "broke_off", err != nil)
 		return
 	}
-	j.kept = &errorAnswer{status: answer.Status, header: upstream.EndToEnd(answer.Header), body: body}
+	j.kept = &errorAnswer{status: answer.Status, header: upstream.EndToEndHeaders(answer.Header), body: body}
 }
 
 // passKeptError passes on the failure that a machine answered with before.
@@ -81,18 +81,18 @@
 	j.ingress.options.Metrics.observe(j.route, "answered", time.Since(j.arrived))
 }
 
-func discard(answer *upstream.Answer) {
+func discard(answer *upstream.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxDiscarded))
 }
 
 // relay copies head and body. Once the head is out, only the machine's own end
 // of the answer may end the caller's.
-func (j *job) relay(ctx context.Context, answer *upstream.Answer) attemptEnd {
+func (j *job) relay(ctx context.Context, answer *upstream.Response) attemptEnd {
 	length := int64(-1)
 	if answer.Header.Get("Content-Length") != "" {
-		length = answer.Length
+		length = answer.ContentLength
 	}
-	j.writeHead(answer.Status, upstream.EndToEnd(answer.Header), length)
+	j.writeHead(answer.Status, upstream.EndToEndHeaders(answer.Header), length)
 	controller := http.NewResponseController(j.writer)
 	if j.route.Spec.Kind == v1.RouteStream {
 		_ = controller.Flush()
@@ -127,7 +127,7 @@
 
 // copyBody passes a body on as it comes. It returns how many bytes it passed on
 // and the longest pause between two parts.
-func (j *job) copyBody(controller *http.ResponseController, answer *upstream.Answer) (passed int64, pause time.Duration, err error) {
+func (j *job) copyBody(controller *http.ResponseController, answer *upstream.Response) (passed int64, pause time.Duration, err error) {
 	buffer := make([]byte, copyBufferBytes)
 	last := time.Now()
 	for {
--- a/internal/ingress/suspect.go
+++ b/internal/ingress/suspect.go
@@ -33,11 +33,11 @@
 	case endAnswered:
 		// A machine's own failure proves less: it also gives one to a request that it never
 		// came to run before its deadline.
-		watch.Completed(j.identity)
+		watch.ReportCompleted(j.identity)
 	case endBroken, endFailed:
 		if ctx.Err() == nil {
-			watch.Broken(quarantine.Run{
-				Machine: grant.Target.Machine, Life: grant.Target.Machine, Address: addressOf(grant), Identity: j.identity(), Route: j.route.Name, Tenant: j.tenant.name,
+			watch.ReportBroken(quarantine.BrokenRequest{
+				Machine: grant.Target.Machine, Instance: grant.Target.Machine, Address: addressOf(grant), Identity: j.identity(), Route: j.route.Name, Tenant: j.tenant.name,
 			})
 		}
 	}
--- a/internal/ingress/warming.go
+++ b/internal/ingress/warming.go
@@ -24,13 +24,13 @@
 func (g *warmingGuard) takeDigest(digest *wirepb.ClusterDigest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.state.TakeDigest(g.options.Now(), nodeview.WarmingOf(digest))
+	g.state.ApplyDigest(g.options.Now(), nodeview.WarmingOf(digest))
 }
 
 func (g *warmingGuard) noteFailure(machine string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.state.NoteFailure(g.options.Now(), machine)
+	g.state.RecordFailure(g.options.Now(), machine)
 }
 
 // machines returns those that warm up.
@@ -40,7 +40,7 @@
 	defer g.mutex.Unlock()
 	now := g.options.Now()
 	g.options.View.EachWarmUpCandidate(func(machine string, changed uint64) {
-		if g.state.Warms(now, machine, changed) {
+		if g.state.IsWarming(now, machine, changed) {
 			found[machine] = true
 		}
 	})
@@ -55,7 +55,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.state.Warms(g.options.Now(), machine, changed)
+	return g.state.IsWarming(g.options.Now(), machine, changed)
 }
 
 // forget drops what digests said: this machine has slept since.
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -87,7 +87,7 @@
 	}{
 		{"new", func(*deployment) {}},
 		{"said to warm up", func(d *deployment) { d.digest(1, 200) }},
-		{"nobody vouches for it", func(d *deployment) { d.digest(1, warming.Unsaid) }},
+		{"nobody vouches for it", func(d *deployment) { d.digest(1, warming.UnitsUnknown) }},
 		{"its drain has ended", func(d *deployment) {
 			d.digest(1, 0)
 			d.apply(d.object(v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{}, nil))
@@ -317,7 +317,7 @@
 		addresses = append(addresses, answering(t, "fine").address)
 	}
 	deployment.serveWarming(1, addresses...)
-	const forLong = warming.Unsaid - 1
+	const forLong = warming.UnitsUnknown - 1
 	deployment.digest(1, 0, 0, 0)
 	deployment.digest(2, forLong, 0, 0)
 	// Digests are taken one by one: once this one is taken, requests go by the one before.
--- a/internal/ingress/withheld.go
+++ b/internal/ingress/withheld.go
@@ -79,7 +79,7 @@
 // now. It answers the request if no machine may serve it any more.
 func (j *job) chooseAnew(ctx context.Context, grant *dispatch.Grant) sendCheck {
 	j.ingress.dispatcher.Release(grant, dispatch.ResultNotSent)
-	j.wanted.Tried = append(j.wanted.Tried, grant.Target.Machine)
+	j.wanted.TriedMachines = append(j.wanted.TriedMachines, grant.Target.Machine)
 	j.wanted.Allowed = j.allowed()
 	document := j.unservable(j.wanted.Allowed)
 	switch {
--- a/internal/nodeview/limits.go
+++ b/internal/nodeview/limits.go
@@ -10,12 +10,12 @@
 // LimitObservation decodes a message.
 func LimitObservation(message *wirepb.MachineLimit) ratelimit.Observation {
 	observed := ratelimit.Observation{
-		Machine:  message.GetMachine(),
-		SentAge:  time.Duration(message.GetSentAgeMs()) * time.Millisecond,
-		HeardAge: time.Duration(message.GetHeardAgeMs()) * time.Millisecond,
+		Machine:     message.GetMachine(),
+		SentAge:     time.Duration(message.GetSentAgeMs()) * time.Millisecond,
+		ReceivedAge: time.Duration(message.GetHeardAgeMs()) * time.Millisecond,
 	}
 	if message.GetLimited() {
-		observed.Limit = ratelimit.Of(message.GetPerSecond())
+		observed.Limit = ratelimit.NewLimit(message.GetPerSecond())
 	}
 	return observed
 }
@@ -33,7 +33,7 @@
 func LimitMessage(observed ratelimit.Observation) *wirepb.MachineLimit {
 	return &wirepb.MachineLimit{
 		Machine: observed.Machine, Limited: observed.Limit.IsSet, PerSecond: observed.Limit.PerSecond,
-		SentAgeMs: uint32(observed.SentAge.Milliseconds()), HeardAgeMs: uint32(observed.HeardAge.Milliseconds()),
+		SentAgeMs: uint32(observed.SentAge.Milliseconds()), HeardAgeMs: uint32(observed.ReceivedAge.Milliseconds()),
 	}
 }
 
--- a/internal/nodeview/routing.go
+++ b/internal/nodeview/routing.go
@@ -180,7 +180,7 @@
 func (v *View) targetOn(name string, machine Machine) dispatch.Target {
 	return dispatch.Target{
 		Zone: machine.Spec.Zone, Region: v.position.Zones.Region(machine.Spec.Zone), Nearness: v.position.ProximityOf(machine.Spec.Zone),
-		Machine: name, Endpoint: machine.Spec.Endpoint, Max: max(1, machine.Spec.Slots),
+		Machine: name, Endpoint: machine.Spec.Endpoint, MaxConcurrent: max(1, machine.Spec.Slots),
 		Suspect: machine.Status.Phase == v1.MachineLost,
 	}
 }
--- a/internal/nodeview/suspects.go
+++ b/internal/nodeview/suspects.go
@@ -40,7 +40,7 @@
 	if !found {
 		return machine
 	}
-	return quarantine.LifeOf(machine, held.Spec.Incarnation)
+	return quarantine.InstanceName(machine, held.Spec.Incarnation)
 }
 
 // IsReplaced reports whether another live machine stands at the endpoint of a machine.
--- a/internal/nodeview/targets.go
+++ b/internal/nodeview/targets.go
@@ -26,7 +26,7 @@
 	all := dispatch.TargetChanges{Full: true}
 	v.eachReady(func(replica Replica, machine Machine) {
 		target := v.targetOn(replica.Spec.Machine, machine)
-		target.Replica, target.Version, target.Max = replica.Object.GetName(), replica.Spec.Version, replica.Spec.MaxConcurrent
+		target.Replica, target.Version, target.MaxConcurrent = replica.Object.GetName(), replica.Spec.Version, replica.Spec.MaxConcurrent
 		if v.isDrained(machine) {
 			all.Drained = append(all.Drained, target)
 			return
@@ -49,7 +49,7 @@
 		for _, endpoint := range service.Backend.Endpoints {
 			targets = append(targets, dispatch.Target{
 				Replica: name + "|" + endpoint, Version: name, Machine: name + "|" + endpoint,
-				Endpoint: endpoint, Max: maxPerBackend,
+				Endpoint: endpoint, MaxConcurrent: maxPerBackend,
 			})
 		}
 	})
@@ -98,13 +98,13 @@
 
 // AnswersOf returns how machines answered all routers lately, by a digest; nil if none
 // of them failed.
-func AnswersOf(digest *wirepb.ClusterDigest) map[string]dispatch.Answers {
+func AnswersOf(digest *wirepb.ClusterDigest) map[string]dispatch.ResponseCounts {
 	if len(digest.GetMachineErrors()) == 0 {
 		return nil
 	}
-	answers := make(map[string]dispatch.Answers, len(digest.GetMachineAnswers()))
+	answers := make(map[string]dispatch.ResponseCounts, len(digest.GetMachineAnswers()))
 	eachPacked(digest, digest.GetMachineAnswers(), func(machine string, answered byte) {
-		answers[machine] = dispatch.Answers{Answered: float64(answered)}
+		answers[machine] = dispatch.ResponseCounts{Total: float64(answered)}
 	})
 	eachPacked(digest, digest.GetMachineErrors(), func(machine string, errors byte) {
 		if entry, answered := answers[machine]; answered {
@@ -118,22 +118,22 @@
 // AnswerReporter turns a router's counts of answers into report entries and leaves out
 // machines that have not answered it since the last report.
 type AnswerReporter struct {
-	reported map[string]dispatch.Answers
+	reported map[string]dispatch.ResponseCounts
 }
 
 // NewAnswerReporter returns an AnswerReporter that has reported nothing.
 func NewAnswerReporter() *AnswerReporter {
-	return &AnswerReporter{reported: map[string]dispatch.Answers{}}
+	return &AnswerReporter{reported: map[string]dispatch.ResponseCounts{}}
 }
 
 // Messages returns the entries of the next report, by name.
-func (n *AnswerReporter) Messages(counts map[string]dispatch.Answers) []*wirepb.MachineAnswers {
+func (n *AnswerReporter) Messages(counts map[string]dispatch.ResponseCounts) []*wirepb.MachineAnswers {
 	var messages []*wirepb.MachineAnswers
 	for machine, entry := range counts {
 		if n.reported[machine] == entry {
 			continue
 		}
-		messages = append(messages, &wirepb.MachineAnswers{Machine: machine, Answered: uint64(entry.Answered), Errors: uint64(entry.Errors)})
+		messages = append(messages, &wirepb.MachineAnswers{Machine: machine, Answered: uint64(entry.Total), Errors: uint64(entry.Errors)})
 	}
 	n.reported = counts
 	slices.SortFunc(messages, func(left, right *wirepb.MachineAnswers) int {
@@ -174,7 +174,7 @@
 	return &wirepb.ModelDemand{
 		Version: demand.Version, Adapter: demand.Adapter, Waiting: uint32(demand.Waiting), Running: uint32(demand.Running),
 		Arrivals: demand.Arrivals, Work: demand.Work,
-		TargetMs: uint32(demand.Target.Milliseconds()), OldestWaitMs: uint32(demand.OldestWait.Milliseconds()), Priority: demand.Priority,
+		TargetMs: uint32(demand.TTFTTarget.Milliseconds()), OldestWaitMs: uint32(demand.OldestWait.Milliseconds()), Priority: demand.Priority,
 		Regions: demand.Allowed.Regions(),
 	}
 }
--- a/internal/nodeview/warming.go
+++ b/internal/nodeview/warming.go
@@ -17,7 +17,7 @@
 	}
 	record, known := v.machines[machine]
 	if !known {
-		return warming.InDoubt, true
+		return warming.UncoveredRevision, true
 	}
 	return v.changedAt(record), true
 }
@@ -40,7 +40,7 @@
 // in a zone that is drained, is in doubt for as long as that lasts.
 func (v *View) changedAt(record Machine) uint64 {
 	if record.Status.Phase == v1.MachineLost || v.isDrained(record) {
-		return warming.InDoubt
+		return warming.UncoveredRevision
 	}
 	return max(record.Object.GetRevision(), v.zoneDrains[record.Spec.Zone].Revision)
 }
--- a/internal/nodeview/warming_test.go
+++ b/internal/nodeview/warming_test.go
@@ -29,15 +29,15 @@
 		{"a machine", v1.KindMachine, "m", machine, phase(v1.MachineLive), false, 0, false},
 		{"its pool warms up", v1.KindPool, "pool", warmsUp, nil, false, 1, true},
 		{"another pool", v1.KindPool, "other", &v1.PoolSpec{}, nil, false, 1, true},
-		{"it is lost", v1.KindMachine, "m", machine, phase(v1.MachineLost), false, warming.InDoubt, true},
+		{"it is lost", v1.KindMachine, "m", machine, phase(v1.MachineLost), false, warming.UncoveredRevision, true},
 		{"it is back", v1.KindMachine, "m", machine, phase(v1.MachineLive), false, 5, true},
-		{"its zone is drained", v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{Drained: true}, nil, false, warming.InDoubt, true},
+		{"its zone is drained", v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{Drained: true}, nil, false, warming.UncoveredRevision, true},
 		{"the drain ends", v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{}, nil, false, 7, true},
 		{"another zone is drained", v1.KindZoneDrain, "y", &v1.ZoneDrainSpec{Drained: true}, nil, false, 7, true},
 		{"it changes after the drain", v1.KindMachine, "m", machine, phase(v1.MachineLive), false, 9, true},
 		{"its pool warms up no more", v1.KindPool, "pool", &v1.PoolSpec{}, nil, false, 0, false},
 		{"and does again", v1.KindPool, "pool", warmsUp, nil, false, 9, true},
-		{"it is gone", v1.KindMachine, "m", machine, nil, true, warming.InDoubt, true},
+		{"it is gone", v1.KindMachine, "m", machine, nil, true, warming.UncoveredRevision, true},
 		{"its pool is gone", v1.KindPool, "pool", warmsUp, nil, true, 0, false},
 	} {
 		object := &wirepb.Object{Kind: string(step.kind), Name: step.name, Revision: uint64(number + 1), Spec: encoded(t, step.spec)}
--- a/internal/permits/permits.go
+++ b/internal/permits/permits.go
@@ -8,12 +8,12 @@
 // sweepInterval is how often buckets that are full are dropped.
 const sweepInterval = 10 * time.Second
 
-// Permits are the token buckets of one term of leadership. They are not safe for concurrent use.
+// Buckets are the token buckets of one term of leadership. They are not safe for concurrent use.
 //
 // A term's buckets are empty when it begins. What the leader before it permitted, it permitted
 // earlier, as it held its lease then; so both together give out in any span no more than one
 // bucket does.
-type Permits struct {
+type Buckets struct {
 	began   time.Duration
 	swept   time.Duration
 	buckets map[string]*bucket
@@ -22,7 +22,7 @@
 // bucket is one machine's.
 type bucket struct {
 	// pace is what the bucket was last used with.
-	pace    Pace
+	pace    BucketConfig
 	level   float64
 	updated time.Duration
 	// promised is the time for which a token was promised to the router refused last.
@@ -37,15 +37,15 @@
 }
 
 // New returns the buckets of a term that begins at now.
-func New(now time.Duration) *Permits {
-	return &Permits{began: now, swept: now, buckets: map[string]*bucket{}}
+func New(now time.Duration) *Buckets {
+	return &Buckets{began: now, swept: now, buckets: map[string]*bucket{}}
 }
 
 // Take requests a token for a machine. Refused routers get increasing retry times, each for a token of its own.
-func (p *Permits) Take(now time.Duration, machine string, pace Pace) Decision {
+func (p *Buckets) Take(now time.Duration, machine string, pace BucketConfig) Decision {
 	p.sweep(now)
 	if pace.Rate <= 0 {
-		return Decision{RetryAfter: LongestRetry}
+		return Decision{RetryAfter: MaxRetryAfter}
 	}
 	held := p.bucket(machine)
 	held.pace = pace
@@ -56,13 +56,13 @@
 	}
 	oneToken := time.Duration(float64(time.Second) / pace.Rate)
 	next := now + time.Duration((1-held.level)*float64(oneToken))
-	held.promised = min(max(next, held.promised+oneToken), now+LongestRetry)
+	held.promised = min(max(next, held.promised+oneToken), now+MaxRetryAfter)
 	return Decision{RetryAfter: held.promised - now}
 }
 
 // Empty takes away a machine's tokens. One that took no permits until just now got requests without
 // them, which count beside those that come next.
-func (p *Permits) Empty(now time.Duration, machine string) {
+func (p *Buckets) Empty(now time.Duration, machine string) {
 	held := p.bucket(machine)
 	held.level = min(held.level, 0)
 	held.updated = max(held.updated, now)
@@ -70,7 +70,7 @@
 
 // bucket returns a machine's bucket. One that has not been asked for has filled up since the
 // term began: dropping a full one, and making it anew, changes nothing.
-func (p *Permits) bucket(machine string) *bucket {
+func (p *Buckets) bucket(machine string) *bucket {
 	held := p.buckets[machine]
 	if held == nil {
 		held = &bucket{updated: p.began}
@@ -89,7 +89,7 @@
 
 // sweep drops buckets that are full: most machines are paced once. One that was emptied, and not asked
 // for since, is kept for long after what emptied it.
-func (p *Permits) sweep(now time.Duration) {
+func (p *Buckets) sweep(now time.Duration) {
 	if now-p.swept < sweepInterval {
 		return
 	}
--- a/internal/permits/permits_test.go
+++ b/internal/permits/permits_test.go
@@ -8,7 +8,7 @@
 // TestSweptBucketsAreFull: a bucket that was used lately stays as empty as it is when others are
 // dropped.
 func TestSweptBucketsAreFull(t *testing.T) {
-	permits, pace := New(0), Pace{Rate: 5, Burst: 5}
+	permits, pace := New(0), BucketConfig{Rate: 5, Burst: 5}
 	for permits.Take(sweepInterval-time.Millisecond, "used", pace).Granted {
 	}
 	permits.Take(sweepInterval, "another", pace)
--- a/internal/policysim/router.go
+++ b/internal/policysim/router.go
@@ -26,7 +26,7 @@
 	simulation *simulation
 	name       string
 	number     int
-	core       *dispatch.Core
+	core       *dispatch.Scheduler
 	news       *nodeview.DemandReporter
 	sequence   uint64
 	requests   map[uint64]*request
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -7,7 +7,7 @@
 //
 // The mechanism: a request is known by its content (Identity). Everything that was at a
 // machine when its process ended is recorded in the replicated log, machine by machine; a
-// request under which CrashesToQuarantine machines ended is refused by every router, and one
+// request under which QuarantineThreshold machines ended is refused by every router, and one
 // that comes to its end is cleared.
 //
 // Invariant: a record counts each machine once, however many routers saw it end, and a
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -7,11 +7,11 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// CrashesToQuarantine is how many machines have to have ended under a request before no
+// QuarantineThreshold is how many machines have to have ended under a request before no
 // router sends it on. One crash convicts nobody: everything that ran on the machine was
 // there. A second one under the same request is chance only where companions of the culprit
 // met it again, and one whole run clears them.
-const CrashesToQuarantine = 2
+const QuarantineThreshold = 2
 
 // RetryAfter is when the caller of a quarantined request is told to come back. Only an operator
 // lets the request run again, so soon is of no use.
@@ -28,15 +28,15 @@
 		return held, false
 	}
 	next.Machines = append(slices.Clone(next.Machines), machine)
-	next.Quarantined = next.Quarantined || len(next.Machines) >= CrashesToQuarantine
+	next.Quarantined = next.Quarantined || len(next.Machines) >= QuarantineThreshold
 	next.LastCrash = at
 	return next, true
 }
 
-// Excess returns which of the records are given up so that at most so many are left: those
+// Evictions returns which of the records are given up so that at most so many are left: those
 // with the fewest crashes, of these the oldest. Records come oldest first. Whoever changes a
 // request a little each time makes records with one crash, and drives out only such.
-func Excess(records []*v1.SuspectSpec, most int) []int {
+func Evictions(records []*v1.SuspectSpec, most int) []int {
 	if len(records) <= most {
 		return nil
 	}
--- a/internal/quarantine/identity.go
+++ b/internal/quarantine/identity.go
@@ -59,11 +59,11 @@
 	if err != nil {
 		return Identity{}, fault.InvalidField("identity", "%q is not hexadecimal", text)
 	}
-	return IdentityOf(decoded)
+	return IdentityFromBytes(decoded)
 }
 
-// IdentityOf reads an identity from its bytes.
-func IdentityOf(encoded []byte) (Identity, error) {
+// IdentityFromBytes reads an identity from its bytes.
+func IdentityFromBytes(encoded []byte) (Identity, error) {
 	if len(encoded) != identityBytes {
 		return Identity{}, fault.InvalidField("identity", "has %d bytes, not %d", len(encoded), identityBytes)
 	}
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -24,20 +24,20 @@
 	firstIncarnation = 1
 )
 
-// Run is a request whose answer from a machine broke off, or did not come.
-type Run struct {
+// BrokenRequest is a request whose answer from a machine broke off, or did not come.
+type BrokenRequest struct {
 	// Machine is the machine's name, and Address where it takes connections.
 	Machine, Address string
-	// Life names the life of the machine's process; see LifeOf.
-	Life          string
+	// Instance names the life of the machine's process; see InstanceName.
+	Instance      string
 	Identity      Identity
 	Route, Tenant string
 }
 
-// LifeOf names one life of a machine's process: its name, and its incarnation where it starts
+// InstanceName names one life of a machine's process: its name, and its incarnation where it starts
 // again under the same name. Machines that register have a new name in each life, and all the
 // first incarnation.
-func LifeOf(machine string, incarnation uint64) string {
+func InstanceName(machine string, incarnation uint64) string {
 	if incarnation <= firstIncarnation {
 		return machine
 	}
@@ -48,8 +48,8 @@
 type Verdict int
 
 const (
-	// VerdictNone: it is not known yet.
-	VerdictNone Verdict = iota
+	// VerdictPending: it is not known yet.
+	VerdictPending Verdict = iota
 	// VerdictEnded: its process ended, and nobody planned that.
 	VerdictEnded
 	// VerdictAlive: it takes connections, so only those that stood have broken.
@@ -65,8 +65,8 @@
 	return [...]string{"none", "ended", "alive", "planned", "unknown"}[v]
 }
 
-// Sign is what can be seen of a machine whose answers broke off.
-type Sign struct {
+// Evidence is what can be seen of a machine whose answers broke off.
+type Evidence struct {
 	// Replaced is set once another live machine stands at its address, Leaving if it had said
 	// that it leaves.
 	Replaced, Leaving bool
@@ -74,11 +74,11 @@
 	Accepts, Refuses bool
 }
 
-// Judge tells what has become of a machine; VerdictNone where another look is needed.
+// Verdict tells what has become of a machine; VerdictPending where another look is needed.
 //
 // A process that has ended refuses connections, or another one registers at its address; one
 // whose connections were reset takes new ones; one that is cut off does neither.
-func (s Sign) Judge() Verdict {
+func (s Evidence) Verdict() Verdict {
 	switch {
 	case s.Replaced:
 		return VerdictEnded
@@ -89,7 +89,7 @@
 	case s.Refuses:
 		return VerdictEnded
 	}
-	return VerdictNone
+	return VerdictPending
 }
 
 // examination is what is found out about one machine.
@@ -97,12 +97,12 @@
 	verdict Verdict
 	// until is when the verdict is forgotten.
 	until time.Time
-	runs  []Run
+	runs  []BrokenRequest
 }
 
-// Watch is what one router knows of machines that ended under its requests, before the log
+// Tracker is what one router knows of machines that ended under its requests, before the log
 // and beside it. It is not safe for concurrent use.
-type Watch struct {
+type Tracker struct {
 	examined map[string]*examination
 	// own are the crashes that the router's view may not hold yet: the lives, by request.
 	own map[Identity][]string
@@ -110,55 +110,55 @@
 	clearing map[Identity]bool
 }
 
-// NewWatch returns a watch that knows nothing.
-func NewWatch() *Watch {
-	return &Watch{examined: map[string]*examination{}, own: map[Identity][]string{}, clearing: map[Identity]bool{}}
+// NewTracker returns a watch that knows nothing.
+func NewTracker() *Tracker {
+	return &Tracker{examined: map[string]*examination{}, own: map[Identity][]string{}, clearing: map[Identity]bool{}}
 }
 
-// Next is what a router has to do about a broken run.
-type Next int
+// Action is what a router has to do about a broken run.
+type Action int
 
 const (
-	// NextNothing: what is known suffices, or will come.
-	NextNothing Next = iota
-	// NextExamine: it has to find out what has become of the machine.
-	NextExamine
-	// NextRecord: it has to record the run: the machine is known to have ended.
-	NextRecord
-	// NextDropped: so many machines are looked at that this one is not.
-	NextDropped
+	// ActionNone: what is known suffices, or will come.
+	ActionNone Action = iota
+	// ActionProbe: it has to find out what has become of the machine.
+	ActionProbe
+	// ActionRecord: it has to record the run: the machine is known to have ended.
+	ActionRecord
+	// ActionDropped: so many machines are looked at that this one is not.
+	ActionDropped
 )
 
-// Broken takes a run.
-func (w *Watch) Broken(now time.Time, run Run) Next {
+// AddBroken takes a run.
+func (w *Tracker) AddBroken(now time.Time, run BrokenRequest) Action {
 	for life, held := range w.examined {
-		if held.verdict != VerdictNone && now.After(held.until) {
+		if held.verdict != VerdictPending && now.After(held.until) {
 			delete(w.examined, life)
 		}
 	}
-	held := w.examined[run.Life]
+	held := w.examined[run.Instance]
 	switch {
 	case held == nil && len(w.examined) >= maxExamined:
-		return NextDropped
+		return ActionDropped
 	case held == nil:
-		w.examined[run.Life] = &examination{runs: []Run{run}}
-		return NextExamine
-	case held.verdict == VerdictNone && len(held.runs) < maxRuns:
+		w.examined[run.Instance] = &examination{runs: []BrokenRequest{run}}
+		return ActionProbe
+	case held.verdict == VerdictPending && len(held.runs) < maxRuns:
 		held.runs = append(held.runs, run)
 	case held.verdict == VerdictEnded:
 		w.note(run)
-		return NextRecord
+		return ActionRecord
 	}
-	return NextNothing
+	return ActionNone
 }
 
 // Forget drops a life that can't be examined.
-func (w *Watch) Forget(life string) {
+func (w *Tracker) Forget(life string) {
 	delete(w.examined, life)
 }
 
-// Judged takes the verdict on one life of a machine and returns the runs to be recorded.
-func (w *Watch) Judged(now time.Time, life string, verdict Verdict) []Run {
+// ApplyVerdict takes the verdict on one life of a machine and returns the runs to be recorded.
+func (w *Tracker) ApplyVerdict(now time.Time, life string, verdict Verdict) []BrokenRequest {
 	held := w.examined[life]
 	if held == nil {
 		return nil
@@ -176,16 +176,16 @@
 }
 
 // note makes the router heed a crash at once.
-func (w *Watch) note(run Run) {
-	if !slices.Contains(w.own[run.Identity], run.Life) {
-		w.own[run.Identity] = append(w.own[run.Identity], run.Life)
+func (w *Tracker) note(run BrokenRequest) {
+	if !slices.Contains(w.own[run.Identity], run.Instance) {
+		w.own[run.Identity] = append(w.own[run.Identity], run.Instance)
 	}
 }
 
-// Recorded drops runs that the router's view holds by now.
-func (w *Watch) Recorded(runs []Run) {
+// MarkRecorded drops runs that the router's view holds by now.
+func (w *Tracker) MarkRecorded(runs []BrokenRequest) {
 	for _, run := range runs {
-		left := slices.DeleteFunc(w.own[run.Identity], func(life string) bool { return life == run.Life })
+		left := slices.DeleteFunc(w.own[run.Identity], func(life string) bool { return life == run.Instance })
 		if len(left) == 0 {
 			delete(w.own, run.Identity)
 			continue
@@ -194,24 +194,24 @@
 	}
 }
 
-// Suspects reports whether the router knows of crashes that its view may not hold, or looks for some.
-func (w *Watch) Suspects() bool {
+// HasSuspects reports whether the router knows of crashes that its view may not hold, or looks for some.
+func (w *Tracker) HasSuspects() bool {
 	return len(w.own) > 0 || w.isLooking()
 }
 
 // isLooking reports whether it is being found out what has become of a machine.
-func (w *Watch) isLooking() bool {
+func (w *Tracker) isLooking() bool {
 	for _, held := range w.examined {
-		if held.verdict == VerdictNone {
+		if held.verdict == VerdictPending {
 			return true
 		}
 	}
 	return false
 }
 
-// Crashed returns the machines that ended under a request, as far as this router knows, and
+// Crashes returns the machines that ended under a request, as far as this router knows, and
 // whether it must not run any more. Held is the record in the view; nil if there is none.
-func (w *Watch) Crashed(identity Identity, held *v1.SuspectSpec) (machines []string, quarantined bool) {
+func (w *Tracker) Crashes(identity Identity, held *v1.SuspectSpec) (machines []string, quarantined bool) {
 	if held != nil {
 		machines, quarantined = slices.Clone(held.Machines), held.Quarantined
 	}
@@ -220,31 +220,31 @@
 			machines = append(machines, machine)
 		}
 	}
-	return machines, quarantined || len(machines) >= CrashesToQuarantine
+	return machines, quarantined || len(machines) >= QuarantineThreshold
 }
 
-// Doubted reports whether a request may have ended as many machines as convict it, once it is known what
+// IsPending reports whether a request may have ended as many machines as convict it, once it is known what
 // has become of those that are looked at. It must not run meanwhile: its caller may come back sooner than
 // that, and each run may end one more machine.
-func (w *Watch) Doubted(identity Identity, held *v1.SuspectSpec) bool {
-	machines, _ := w.Crashed(identity, held)
+func (w *Tracker) IsPending(identity Identity, held *v1.SuspectSpec) bool {
+	machines, _ := w.Crashes(identity, held)
 	count := len(machines)
 	for life, examined := range w.examined {
-		if examined.verdict == VerdictNone && !slices.Contains(machines, life) && examined.concerns(identity) {
+		if examined.verdict == VerdictPending && !slices.Contains(machines, life) && examined.concerns(identity) {
 			count++
 		}
 	}
-	return count >= CrashesToQuarantine
+	return count >= QuarantineThreshold
 }
 
 // concerns reports whether a request's answer broke off at the machine.
 func (e *examination) concerns(identity Identity) bool {
-	return slices.ContainsFunc(e.runs, func(run Run) bool { return run.Identity == identity })
+	return slices.ContainsFunc(e.runs, func(run BrokenRequest) bool { return run.Identity == identity })
 }
 
-// Completed takes a request that a machine has run to the end: a machine that ended under it
+// Complete takes a request that a machine has run to the end: a machine that ended under it
 // ended for another reason. It returns whether its record has to be dropped.
-func (w *Watch) Completed(identity Identity, recorded bool) bool {
+func (w *Tracker) Complete(identity Identity, recorded bool) bool {
 	delete(w.own, identity)
 	if !recorded || w.clearing[identity] {
 		return false
@@ -253,18 +253,18 @@
 	return true
 }
 
-// Cleared takes that a record was dropped, or could not be.
-func (w *Watch) Cleared(identity Identity) {
+// MarkCleared takes that a record was dropped, or could not be.
+func (w *Tracker) MarkCleared(identity Identity) {
 	delete(w.clearing, identity)
 }
 
-// Settled reports whether nothing is being found out or recorded.
-func (w *Watch) Settled() bool {
+// IsIdle reports whether nothing is being found out or recorded.
+func (w *Tracker) IsIdle() bool {
 	return !w.isLooking() && len(w.own) == 0 && len(w.clearing) == 0
 }
 
 // RecordCommand is the command that records runs at one life of a machine.
-func RecordCommand(life string, runs []Run) *wirepb.Command {
+func RecordCommand(life string, runs []BrokenRequest) *wirepb.Command {
 	command := &wirepb.RecordCrashCommand{Machine: life}
 	for _, run := range runs {
 		command.Requests = append(command.Requests, &wirepb.SuspectRequest{Identity: run.Identity[:], Route: run.Route, Tenant: run.Tenant})
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -47,8 +47,8 @@
 type Observation struct {
 	Machine string
 	Limit   Limit
-	// SentAge and HeardAge are the ages of the request and of the answer that stated the limit.
-	SentAge, HeardAge time.Duration
+	// SentAge and ReceivedAge are the ages of the request and of the answer that stated the limit.
+	SentAge, ReceivedAge time.Duration
 }
 
 // New returns empty Limits.
@@ -73,20 +73,20 @@
 // the held one only if it is certainly newer. Otherwise nodes would renew for each other a limit that the machine
 // no longer states.
 func (l *Limits) Merge(now time.Duration, observed Observation) Change {
-	stated := Statement{Limit: observed.Limit, Sent: now - observed.SentAge - maxExchangeDelay, Heard: now - observed.HeardAge}
-	if held, known := l.held[observed.Machine]; known && held.Limit == stated.Limit && stated.Sent < held.Heard {
+	stated := Statement{Limit: observed.Limit, Sent: now - observed.SentAge - maxExchangeDelay, Received: now - observed.ReceivedAge}
+	if held, known := l.held[observed.Machine]; known && held.Limit == stated.Limit && stated.Sent < held.Received {
 		return Change{Machine: observed.Machine, Before: held.Limit, After: held.Limit}
 	}
 	return l.Observe(observed.Machine, stated)
 }
 
-// Of returns the limit of a machine, or None.
-func (l *Limits) Of(machine string) Limit {
+// Get returns the limit of a machine, or None.
+func (l *Limits) Get(machine string) Limit {
 	return l.held[machine].Limit
 }
 
-// Set returns the limits that are in force, by machine.
-func (l *Limits) Set() map[string]Limit {
+// Active returns the limits that are in force, by machine.
+func (l *Limits) Active() map[string]Limit {
 	set := map[string]Limit{}
 	for machine, stated := range l.held {
 		if stated.Limit.IsSet {
@@ -102,14 +102,14 @@
 	if !known {
 		return Observation{}, false
 	}
-	return Observation{Machine: machine, Limit: stated.Limit, SentAge: now - stated.Sent, HeardAge: now - stated.Heard}, true
+	return Observation{Machine: machine, Limit: stated.Limit, SentAge: now - stated.Sent, ReceivedAge: now - stated.Received}, true
 }
 
 // Snapshot returns the observations to send to other nodes, sorted by machine. It forgets ended limits that
 // need not be published any more.
 func (l *Limits) Snapshot(now time.Duration) []Observation {
 	maps.DeleteFunc(l.held, func(_ string, stated Statement) bool {
-		return !stated.Limit.IsSet && now-stated.Heard > endMemory
+		return !stated.Limit.IsSet && now-stated.Received > endMemory
 	})
 	all := make([]Observation, 0, len(l.held))
 	for machine := range l.held {
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -54,13 +54,13 @@
 }
 
 func (n *nodes) answer(t *testing.T, d *datadriven.TestData) string {
-	said := Statement{Sent: timeOf(t, d, "sent"), Heard: timeOf(t, d, "heard")}
+	said := Statement{Sent: timeOf(t, d, "sent"), Received: timeOf(t, d, "heard")}
 	if d.HasArg("limit") {
 		var perSecond float64
 		if _, err := fmt.Sscan(nameOf(t, d, "limit"), &perSecond); err != nil {
 			t.Fatal(err)
 		}
-		said.Limit = Of(perSecond)
+		said.Limit = NewLimit(perSecond)
 	}
 	return describe(n.of(nameOf(t, d, "node")).Observe(machineUnderTest, said))
 }
@@ -85,7 +85,7 @@
 func (n *nodes) String() string {
 	var lines strings.Builder
 	for _, name := range n.names {
-		lines.WriteString(name + ": " + text(n.held[name].Of(machineUnderTest)) + "\n")
+		lines.WriteString(name + ": " + text(n.held[name].Get(machineUnderTest)) + "\n")
 	}
 	return lines.String()
 }
--- a/internal/ratelimit/pace_test.go
+++ b/internal/ratelimit/pace_test.go
@@ -37,7 +37,7 @@
 // window holds more than is allowed.
 func TestPaceKeepsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Of(rapid.SampledFrom([]float64{0, 0.05, 0.2, 0.5, 1, 1.7, 2, 10, 100}).Draw(t, "per second"))
+		limit := NewLimit(rapid.SampledFrom([]float64{0, 0.05, 0.2, 0.5, 1, 1.7, 2, 10, 100}).Draw(t, "per second"))
 		var sends []time.Duration
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 4).Draw(t, "leaders") {
@@ -45,7 +45,7 @@
 			given := permits.New(now)
 			for range rapid.IntRange(0, 300).Draw(t, "asked") {
 				now += time.Duration(rapid.SampledFrom([]int{0, 0, 1, 5, 60, 400, 12000}).Draw(t, "pause")) * time.Millisecond
-				if given.Take(now, "m", limit.Pace()).Granted {
+				if given.Take(now, "m", limit.BucketConfig()).Granted {
 					sends = append(sends, now+time.Duration(rapid.Int64Range(0, int64(permits.Lifetime)).Draw(t, "used")))
 				}
 			}
@@ -64,8 +64,8 @@
 
 // ownBuckets is the way where every router keeps a limit for itself, or its part of one.
 type ownBuckets struct {
-	pace    permits.Pace
-	buckets *permits.Permits
+	pace    permits.BucketConfig
+	buckets *permits.Buckets
 }
 
 func (w *ownBuckets) maySend(now time.Duration, router int) bool {
@@ -74,8 +74,8 @@
 
 // byPermits is the way where routers ask the leader, and leave the machine alone for as long as it says.
 type byPermits struct {
-	pace    permits.Pace
-	buckets *permits.Permits
+	pace    permits.BucketConfig
+	buckets *permits.Buckets
 	held    map[int]time.Duration
 }
 
@@ -139,15 +139,15 @@
 				t.Fatal(err)
 			}
 		}
-		limit := Of(perSecond)
-		share := permits.Pace{Rate: perSecond / float64(routers), Burst: max(1, perSecond/float64(routers))}
+		limit := NewLimit(perSecond)
+		share := permits.BucketConfig{Rate: perSecond / float64(routers), Burst: max(1, perSecond/float64(routers))}
 		ways := []struct {
 			name string
 			kept way
 		}{
-			{"each alone", &ownBuckets{limit.Pace(), permits.New(0)}},
+			{"each alone", &ownBuckets{limit.BucketConfig(), permits.New(0)}},
 			{"equal shares", &ownBuckets{share, permits.New(0)}},
-			{"permits", &byPermits{pace: limit.Pace(), buckets: permits.New(0), held: map[int]time.Duration{}}},
+			{"permits", &byPermits{pace: limit.BucketConfig(), buckets: permits.New(0), held: map[int]time.Duration{}}},
 		}
 		var lines strings.Builder
 		for _, each := range ways {
--- a/internal/ratelimit/statement.go
+++ b/internal/ratelimit/statement.go
@@ -18,20 +18,20 @@
 	PerSecond float64
 }
 
-// None is what a machine says that takes whatever it gets.
-var None = Limit{}
+// Unlimited is what a machine says that takes whatever it gets.
+var Unlimited = Limit{}
 
-// Of is a limit of so many requests a second.
-func Of(perSecond float64) Limit {
+// NewLimit is a limit of so many requests a second.
+func NewLimit(perSecond float64) Limit {
 	return Limit{IsSet: true, PerSecond: perSecond}
 }
 
-// Pace is what a limited machine may get. A burst is what the machine takes in a second: it may get a
+// BucketConfig is what a limited machine may get. A burst is what the machine takes in a second: it may get a
 // single request at least, and permits that are used late come on top. In any 4 s that is less than
 // 5.3 times the limit, or one request and what the limit gives.
-func (l Limit) Pace() permits.Pace {
+func (l Limit) BucketConfig() permits.BucketConfig {
 	rate := max(leastPerSecond, l.PerSecond)
-	return permits.Pace{Rate: rate, Burst: max(1, rate)}
+	return permits.BucketConfig{Rate: rate, Burst: max(1, rate)}
 }
 
 // isStricter reports whether a limit lets fewer requests through than another.
@@ -47,18 +47,18 @@
 	Limit Limit
 	// Sent and Heard are when the request was sent and when the head of its answer came: the
 	// machine said it between them.
-	Sent, Heard time.Duration
+	Sent, Received time.Duration
 }
 
 // supersedes reports whether a statement takes the place of another.
 func (s Statement) supersedes(held Statement) bool {
 	switch {
-	case s.Sent >= held.Heard:
+	case s.Sent >= held.Received:
 		return true
-	case held.Sent >= s.Heard:
+	case held.Sent >= s.Received:
 		return false
 	case s.Limit != held.Limit:
 		return s.Limit.isStricter(held.Limit)
 	}
-	return s.Heard > held.Heard
+	return s.Received > held.Received
 }
--- a/internal/state/suspects.go
+++ b/internal/state/suspects.go
@@ -25,7 +25,7 @@
 	var writes []*wirepb.ObjectWrite
 	written := map[Key]*v1.SuspectSpec{}
 	for position, request := range command.GetRequests() {
-		identity, err := quarantine.IdentityOf(request.GetIdentity())
+		identity, err := quarantine.IdentityFromBytes(request.GetIdentity())
 		if err != nil {
 			return refusedWrite(position, err)
 		}
@@ -111,7 +111,7 @@
 // deletions drops what is beyond so many records.
 func (l *suspectList) deletions(most int) []*wirepb.ObjectWrite {
 	var writes []*wirepb.ObjectWrite
-	for _, position := range quarantine.Excess(l.specs, most) {
+	for _, position := range quarantine.Evictions(l.specs, most) {
 		writes = append(writes, deleteSuspect(l.keys[position]))
 	}
 	return writes
@@ -127,7 +127,7 @@
 func (m *Machine) clearSuspects(command *wirepb.ClearSuspectsCommand) *wirepb.CommandResult {
 	cleared := map[Key]*v1.SuspectSpec{}
 	for position, encoded := range command.GetIdentities() {
-		identity, err := quarantine.IdentityOf(encoded)
+		identity, err := quarantine.IdentityFromBytes(encoded)
 		if err != nil {
 			return refusedWrite(position, err)
 		}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -27,9 +27,9 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection: a kept one may be closed by the machine
+	// NewConnection asks for a new connection: a kept one may be closed by the machine
 	// at the moment at which it is used.
-	Fresh bool
+	NewConnection bool
 	// Prepare is called once a connection stands, just before anything is
 	// written; an error ends the exchange as not sent. May be nil.
 	Prepare func(header http.Header) error
@@ -42,15 +42,15 @@
 
 // The failures of an exchange.
 const (
-	// FailedNone: there is an answer.
-	FailedNone Failure = iota
-	// FailedConnect: nothing was written.
-	FailedConnect
-	// FailedStale: a kept connection broke before any byte of an answer. The
+	// FailureNone: there is an answer.
+	FailureNone Failure = iota
+	// FailureConnect: nothing was written.
+	FailureConnect
+	// FailureStale: a kept connection broke before any byte of an answer. The
 	// request may have run.
-	FailedStale
-	// FailedBroken: the request may have run.
-	FailedBroken
+	FailureStale
+	// FailureBroken: the request may have run.
+	FailureBroken
 )
 
 // String names the failure in logs.
@@ -58,14 +58,14 @@
 	return [...]string{"none", "not_connected", "stale_connection", "broken"}[f]
 }
 
-// Answer is the head of an answer whose body is still to be read. Close must
+// Response is the head of an answer whose body is still to be read. Close must
 // be called.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
-	// Length of the body in bytes, -1 if it is not known before its end.
-	Length int64
-	Body   io.Reader
+	// ContentLength of the body in bytes, -1 if it is not known before its end.
+	ContentLength int64
+	Body          io.Reader
 
 	pool     *Pool
 	conn     *conn
@@ -81,15 +81,15 @@
 
 // Do sends a request and reads the head of its answer. The end of ctx closes
 // the connection, which tells the machine to stop.
-func (p *Pool) Do(ctx context.Context, request *Request) (*Answer, Failure, error) {
-	connection, err := p.acquire(ctx, request.Machine, request.Address, request.Fresh)
+func (p *Pool) Do(ctx context.Context, request *Request) (*Response, Failure, error) {
+	connection, err := p.acquire(ctx, request.Machine, request.Address, request.NewConnection)
 	if err != nil {
-		return nil, FailedConnect, err
+		return nil, FailureConnect, err
 	}
 	if request.Prepare != nil {
 		if err := request.Prepare(request.Header); err != nil {
 			p.putBack(connection)
-			return nil, FailedConnect, err
+			return nil, FailureConnect, err
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.network.Close() })
@@ -98,12 +98,12 @@
 		stop()
 		_ = connection.network.Close()
 		if connection.reused {
-			return nil, FailedStale, err
+			return nil, FailureStale, err
 		}
-		return nil, FailedBroken, err
+		return nil, FailureBroken, err
 	}
 	answer.pool, answer.stop = p, stop
-	return answer, FailedNone, nil
+	return answer, FailureNone, nil
 }
 
 // putBack returns a connection on which nothing was written.
@@ -117,7 +117,7 @@
 
 // exchange writes the request beside reading the answer: a machine may answer
 // before it has read a long body.
-func (c *conn) exchange(request *Request) (*Answer, error) {
+func (c *conn) exchange(request *Request) (*Response, error) {
 	sent := &atomic.Bool{}
 	if len(request.Body) <= smallBodyBytes {
 		err := c.write(request)
@@ -134,8 +134,8 @@
 			return nil, fault.Unavailable.Wrap(err, "reading an answer of machine %s", c.machine)
 		}
 		if request.Matches == nil || request.Matches(response.Header) {
-			return &Answer{
-				Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
+			return &Response{
+				Status: response.StatusCode, Header: response.Header, ContentLength: response.ContentLength,
 				Body: response.Body, conn: c, response: response, sent: sent,
 			}, nil
 		}
@@ -184,7 +184,7 @@
 }
 
 // Read reads the body.
-func (a *Answer) Read(buffer []byte) (int, error) {
+func (a *Response) Read(buffer []byte) (int, error) {
 	count, err := a.Body.Read(buffer)
 	if err == io.EOF {
 		a.whole = true
@@ -194,10 +194,10 @@
 
 // Close ends the exchange. The connection is kept if the answer was read to
 // its end and nothing speaks against it.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	intact := a.stop()
 	lifetime, may := keepAlive(a.Header)
-	framed := a.Length >= 0 || len(a.response.TransferEncoding) > 0
+	framed := a.ContentLength >= 0 || len(a.response.TransferEncoding) > 0
 	if !intact || !a.whole || !a.sent.Load() || a.response.Close || !framed || !may || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.network.Close()
 		return
@@ -229,8 +229,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// EndToEnd copies the headers that do not concern one connection only.
-func EndToEnd(header http.Header) http.Header {
+// EndToEndHeaders copies the headers that do not concern one connection only.
+func EndToEndHeaders(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -47,7 +47,7 @@
 		{"Keep-Alive: timeout=100000\r\n", idleTimeout},
 		{"Keep-Alive: timeout=soon\r\n", idleTimeout},
 	} {
-		pool := NewPool(Config{DialTimeout: 5 * time.Second, MaxIdle: KeepAtMost(1), IdleTimeout: idleTimeout})
+		pool := NewPool(Config{DialTimeout: 5 * time.Second, MaxIdle: FixedMaxIdle(1), IdleTimeout: idleTimeout})
 		address := answering(t, test.headers)
 		before := time.Now()
 		answer, failure, err := pool.Do(t.Context(), &Request{Machine: "m", Address: address, Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -35,8 +35,8 @@
 	IdleTimeout time.Duration
 }
 
-// KeepAtMost keeps so many connections to every machine.
-func KeepAtMost(most int) func(machine string) int {
+// FixedMaxIdle keeps so many connections to every machine.
+func FixedMaxIdle(most int) func(machine string) int {
 	return func(string) int { return most }
 }
 
@@ -89,8 +89,8 @@
 	return &conn{machine: machine, address: address, network: network, reader: bufio.NewReaderSize(network, readBufferBytes)}, nil
 }
 
-// Open connects to a machine and keeps the connection for a request that is about to come.
-func (p *Pool) Open(ctx context.Context, machine, address string) error {
+// Preconnect connects to a machine and keeps the connection for a request that is about to come.
+func (p *Pool) Preconnect(ctx context.Context, machine, address string) error {
 	opened, err := p.acquire(ctx, machine, address, true)
 	if err != nil {
 		return err
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -36,9 +36,9 @@
 // must not have its requests given to the process before, which may still be there.
 func TestKeptConnectionsLeadToTheAddress(t *testing.T) {
 	const machine = "machine-1"
-	pool := NewPool(Config{DialTimeout: 5 * time.Second, MaxIdle: KeepAtMost(1), IdleTimeout: time.Hour})
+	pool := NewPool(Config{DialTimeout: 5 * time.Second, MaxIdle: FixedMaxIdle(1), IdleTimeout: time.Hour})
 	before, after := listen(t), listen(t)
-	if err := pool.Open(t.Context(), machine, before); err != nil {
+	if err := pool.Preconnect(t.Context(), machine, before); err != nil {
 		t.Fatal(err)
 	}
 	moved, err := pool.acquire(t.Context(), machine, after, false)
@@ -64,7 +64,7 @@
 	address := listen(t)
 	for _, machine := range []string{"one", "two"} {
 		for range 3 {
-			if err := pool.Open(t.Context(), machine, address); err != nil {
+			if err := pool.Preconnect(t.Context(), machine, address); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/warming/permits_test.go
+++ b/internal/warming/permits_test.go
@@ -23,7 +23,7 @@
 // moment from when the answer may have come to the end of its lifetime: an answer may be late, and
 // a router that got it may be cut off since.
 func (c *course) play(t *rapid.T) {
-	var given *permits.Permits
+	var given *permits.Buckets
 	now := time.Duration(0)
 	for range rapid.IntRange(1, 4).Draw(t, "leaders") {
 		now += time.Duration(rapid.IntRange(0, 300).Draw(t, "leaderless")) * time.Millisecond
@@ -31,7 +31,7 @@
 		for range rapid.IntRange(0, 200).Draw(t, "asked") {
 			now += time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 5, 60, 400, 12000}).Draw(t, "pause")) * time.Millisecond
 			asked := now - time.Duration(rapid.IntRange(0, 200).Draw(t, "way"))*time.Millisecond
-			if !given.Take(now, "m", c.bound.Pace(c.perSecond)).Granted {
+			if !given.Take(now, "m", c.bound.BucketConfig(c.perSecond)).Granted {
 				continue
 			}
 			latest := asked + permits.Lifetime
@@ -67,7 +67,7 @@
 			perSecond: rapid.Float64Range(0.1, 40).Draw(t, "per second"),
 		}
 		played.play(t)
-		if most, allowed := played.most(), played.bound.Allows(played.perSecond); float64(most) > allowed {
+		if most, allowed := played.most(), played.bound.MaxRequests(played.perSecond); float64(most) > allowed {
 			t.Fatalf("%d requests in one second, %.2f are allowed", most, allowed)
 		}
 	})
@@ -82,7 +82,7 @@
 		seconds   = 20
 		step      = time.Millisecond
 	)
-	given, pace := permits.New(0), Bound{Factor: 1.5, Slack: 5}.Pace(perSecond)
+	given, pace := permits.New(0), Bound{Factor: 1.5, Slack: 5}.BucketConfig(perSecond)
 	next := make([]time.Duration, routers)
 	granted := 0
 	for now := time.Second; now < (seconds+1)*time.Second; now += step {
@@ -118,7 +118,7 @@
 		given := permits.New(0)
 		granted := 0
 		for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
-			if given.Take(now, "m", test.bound.Pace(test.perSecond)).Granted {
+			if given.Take(now, "m", test.bound.BucketConfig(test.perSecond)).Granted {
 				granted++
 			}
 		}
@@ -131,7 +131,7 @@
 // TestWarmMachineThatBeginsToWarmUp: what it got without permits just before counts too.
 func TestWarmMachineThatBeginsToWarmUp(t *testing.T) {
 	const full = time.Minute
-	given, pace := permits.New(0), Bound{Factor: 1.5, Slack: 5}.Pace(5)
+	given, pace := permits.New(0), Bound{Factor: 1.5, Slack: 5}.BucketConfig(5)
 	given.Empty(full, "m")
 	granted := 0
 	for now := full; now < full+time.Second; now += time.Millisecond {
@@ -146,7 +146,7 @@
 
 // TestNewTermBeginsEmpty: the permits of the leader before may still be used.
 func TestNewTermBeginsEmpty(t *testing.T) {
-	given, pace := permits.New(time.Minute), Bound{Factor: 1.5, Slack: 5}.Pace(5)
+	given, pace := permits.New(time.Minute), Bound{Factor: 1.5, Slack: 5}.BucketConfig(5)
 	decision := given.Take(time.Minute, "m", pace)
 	if decision.Granted || decision.RetryAfter <= 0 {
 		t.Errorf("a new term's first answer is %+v", decision)
@@ -163,13 +163,13 @@
 	for _, bound := range []Bound{{Factor: 2}, {Factor: 1.5, Slack: 5}, {Factor: 1, Slack: 4}} {
 		for _, perSecond := range []float64{1, 5.5, 10, 40} {
 			played := &course{bound: bound, perSecond: perSecond}
-			given, pace := permits.New(0), bound.Pace(perSecond)
+			given, pace := permits.New(0), bound.BucketConfig(perSecond)
 			for now := full; now < full+3*time.Second; now += time.Millisecond {
 				if given.Take(now, "m", pace).Granted {
 					played.sends = append(played.sends, max(now, full+permits.Lifetime))
 				}
 			}
-			if most, allowed := played.most(), bound.Allows(perSecond); float64(most) > allowed {
+			if most, allowed := played.most(), bound.MaxRequests(perSecond); float64(most) > allowed {
 				t.Errorf("%+v at %.1f a second: %d requests in one second, %.2f are allowed", bound, perSecond, most, allowed)
 			}
 		}
--- a/internal/warming/state.go
+++ b/internal/warming/state.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// Unit is what the numbers in digests count.
-	Unit = 100 * time.Millisecond
-	// Unsaid stands in a digest for a machine that has not said whether it warms up.
-	Unsaid = math.MaxUint8
+	// DigestUnit is what the numbers in digests count.
+	DigestUnit = 100 * time.Millisecond
+	// UnitsUnknown stands in a digest for a machine that has not said whether it warms up.
+	UnitsUnknown = math.MaxUint8
 	// failureDoubt is for how long after a connection that did not come about no digest vouches
 	// for a machine: it may have ended, and be back before the leader hears of it. Machines
 	// report about once a second.
 	failureDoubt = 1500 * time.Millisecond
 )
 
-// InDoubt is the revision of a change that no digest can know of.
-const InDoubt = math.MaxUint64
+// UncoveredRevision is the revision of a change that no digest can know of.
+const UncoveredRevision = math.MaxUint64
 
-// Units returns a time as a digest carries it, rounded up.
-func Units(remaining time.Duration) uint8 {
-	units := (max(0, remaining) + Unit - 1) / Unit
-	return uint8(min(units, Unsaid-1))
+// ToUnits returns a time as a digest carries it, rounded up.
+func ToUnits(remaining time.Duration) uint8 {
+	units := (max(0, remaining) + DigestUnit - 1) / DigestUnit
+	return uint8(min(units, UnitsUnknown-1))
 }
 
 // Digest is what a leader's digest says of machines that warm up.
@@ -61,20 +61,20 @@
 	return &State{statements: map[string]statement{}, failed: map[string]time.Duration{}}
 }
 
-// TakeDigest takes what a digest says, which came at now; digests must come in order.
+// ApplyDigest takes what a digest says, which came at now; digests must come in order.
 //
 // A leader that has just begun has heard of no machine. Where it says so, a statement of an
 // earlier term holds on: without that, a change of leader would stop a whole fleet for as long
 // as machines take to report. What has put a machine in doubt since the statement is in the log;
 // and one that begins to warm up by itself finds no other leader to report to than the new one.
-func (s *State) TakeDigest(now time.Duration, digest Digest) {
+func (s *State) ApplyDigest(now time.Duration, digest Digest) {
 	s.forgetFailures(now)
 	next := make(map[string]statement, len(digest.Machines))
 	for position, machine := range digest.Machines {
 		said := statement{term: digest.Term, revision: digest.Revision, until: now}
 		if position < len(digest.Units) {
-			said.unsaid = digest.Units[position] == Unsaid
-			said.until = now + time.Duration(digest.Units[position])*Unit
+			said.unsaid = digest.Units[position] == UnitsUnknown
+			said.until = now + time.Duration(digest.Units[position])*DigestUnit
 		}
 		if held, known := s.statements[machine]; said.unsaid && known && held.term < digest.Term {
 			said = held
@@ -93,17 +93,17 @@
 	maps.DeleteFunc(s.failed, func(_ string, failed time.Duration) bool { return now-failed >= failureDoubt })
 }
 
-// NoteFailure notes that a connection to a machine did not come about.
-func (s *State) NoteFailure(now time.Duration, machine string) {
+// RecordFailure notes that a connection to a machine did not come about.
+func (s *State) RecordFailure(now time.Duration, machine string) {
 	s.failed[machine] = now
 	said := s.statements[machine]
 	said.unsaid = true
 	s.statements[machine] = said
 }
 
-// Warms reports whether a machine is to be taken to warm up. Changed is the revision of the newest
+// IsWarming reports whether a machine is to be taken to warm up. Changed is the revision of the newest
 // change in the log that puts it in doubt.
-func (s *State) Warms(now time.Duration, machine string, changed uint64) bool {
+func (s *State) IsWarming(now time.Duration, machine string, changed uint64) bool {
 	said, known := s.statements[machine]
 	return !known || said.unsaid || said.revision < changed || now < said.until
 }
--- a/internal/warming/state_test.go
+++ b/internal/warming/state_test.go
@@ -27,13 +27,13 @@
 				d.ScanArgs(t, "ms", &milliseconds)
 				now = time.Duration(milliseconds) * time.Millisecond
 			case "digest":
-				state.TakeDigest(now, readDigest(t, d))
+				state.ApplyDigest(now, readDigest(t, d))
 			case "failure":
-				state.NoteFailure(now, machineOf(t, d))
+				state.RecordFailure(now, machineOf(t, d))
 			case "warms":
 				var changed uint64
 				d.ScanArgs(t, "changed", &changed)
-				return fmt.Sprintln(state.Warms(now, machineOf(t, d), changed))
+				return fmt.Sprintln(state.IsWarming(now, machineOf(t, d), changed))
 			default:
 				t.Fatalf("unknown command %s", d.Cmd)
 			}
@@ -69,13 +69,13 @@
 // TestFailuresOfMachinesThatAreGoneAreForgotten: machines come and go under names of their own.
 func TestFailuresOfMachinesThatAreGoneAreForgotten(t *testing.T) {
 	state := NewState()
-	state.NoteFailure(0, "gone")
-	state.NoteFailure(failureDoubt, "new")
-	state.TakeDigest(failureDoubt, Digest{Machines: []string{"new"}, Units: []byte{0}})
+	state.RecordFailure(0, "gone")
+	state.RecordFailure(failureDoubt, "new")
+	state.ApplyDigest(failureDoubt, Digest{Machines: []string{"new"}, Units: []byte{0}})
 	if _, held := state.failed["new"]; !held || len(state.failed) != 1 {
 		t.Errorf("failures of %v are held", state.failed)
 	}
-	if len(state.statements) != 1 || !state.Warms(failureDoubt, "new", 0) {
+	if len(state.statements) != 1 || !state.IsWarming(failureDoubt, "new", 0) {
 		t.Errorf("held are %v", state.statements)
 	}
 }
--- a/internal/warming/watch.go
+++ b/internal/warming/watch.go
@@ -17,8 +17,8 @@
 // Machine is what the leader holds of a machine.
 type Machine struct {
 	Zone string
-	// Declared is set where the machine's pool says that its machines warm up.
-	Declared bool
+	// DeclaredWarming is set where the machine's pool says that its machines warm up.
+	DeclaredWarming bool
 	// Lost is set while the machine is silent.
 	Lost bool
 	// Report is nil where the machine has said nothing.
@@ -38,22 +38,22 @@
 	Remaining time.Duration
 }
 
-// News is what an update of the watch brings.
-type News struct {
+// Transitions is what an update of the watch brings.
+type Transitions struct {
 	// Changes are the machines that said that they warm up, or are warm again, by name.
 	Changes []Change
-	// Doubted are those that were warm, and got requests without permits, by name.
-	Doubted []string
+	// LeftWarm are those that were warm, and got requests without permits, by name.
+	LeftWarm []string
 	// Urgent is set where routers should hear at once of how any machine stands.
 	Urgent bool
 }
 
-// Watch is what the leader of one term knows of machines that warm up. It is not safe for
+// Tracker is what the leader of one term knows of machines that warm up. It is not safe for
 // concurrent use.
 //
 // A machine is vouched for by a report from this term, and from after the newest order for its
 // zone was seen: a machine whose drain has ended may have started anew meanwhile.
-type Watch struct {
+type Tracker struct {
 	began    time.Duration
 	drains   map[string]seenDrain
 	machines map[string]Machine
@@ -76,20 +76,20 @@
 	warm
 )
 
-// NewWatch returns the watch of a term that begins at now.
-func NewWatch(now time.Duration) *Watch {
-	return &Watch{began: now, drains: map[string]seenDrain{}, stood: map[string]standing{}}
+// NewTracker returns the watch of a term that begins at now.
+func NewTracker(now time.Duration) *Tracker {
+	return &Tracker{began: now, drains: map[string]seenDrain{}, stood: map[string]standing{}}
 }
 
 // Update takes what the leader holds now, which must not be changed afterwards.
-func (w *Watch) Update(now time.Duration, drains map[string]Drain, machines map[string]Machine) News {
+func (w *Tracker) Update(now time.Duration, drains map[string]Drain, machines map[string]Machine) Transitions {
 	w.machines = machines
 	for zone, drain := range drains {
 		if held, known := w.drains[zone]; !known || held.Revision != drain.Revision {
 			w.drains[zone] = seenDrain{Drain: drain, seen: now}
 		}
 	}
-	var news News
+	var news Transitions
 	stood := make(map[string]standing, len(machines))
 	for name, machine := range machines {
 		remaining, said := w.remaining(now, machine)
@@ -98,12 +98,12 @@
 	}
 	w.stood = stood
 	slices.SortFunc(news.Changes, func(left, right Change) int { return cmp.Compare(left.Machine, right.Machine) })
-	slices.Sort(news.Doubted)
+	slices.Sort(news.LeftWarm)
 	return news
 }
 
 // add takes in how a machine stood and stands.
-func (n *News) add(change Change, before, after standing) {
+func (n *Transitions) add(change Change, before, after standing) {
 	if before == after {
 		return
 	}
@@ -112,7 +112,7 @@
 		n.Changes = append(n.Changes, change)
 	}
 	if before == warm {
-		n.Doubted = append(n.Doubted, change.Machine)
+		n.LeftWarm = append(n.LeftWarm, change.Machine)
 	}
 }
 
@@ -126,23 +126,23 @@
 	return warm
 }
 
-// Units returns what a digest that is sent now says of the machines that are not warm.
-func (w *Watch) Units(now time.Duration) map[string]uint32 {
+// DigestUnits returns what a digest that is sent now says of the machines that are not warm.
+func (w *Tracker) DigestUnits(now time.Duration) map[string]uint32 {
 	units := map[string]uint32{}
 	for name, machine := range w.machines {
 		remaining, said := w.remaining(now, machine)
 		switch standingOf(remaining, said) {
 		case unsaid:
-			units[name] = Unsaid
+			units[name] = UnitsUnknown
 		case warms:
-			units[name] = uint32(Units(remaining))
+			units[name] = uint32(ToUnits(remaining))
 		}
 	}
 	return units
 }
 
 // Remaining returns for how long the machines that said that they warm up still do.
-func (w *Watch) Remaining(now time.Duration) map[string]time.Duration {
+func (w *Tracker) Remaining(now time.Duration) map[string]time.Duration {
 	found := map[string]time.Duration{}
 	for name, machine := range w.machines {
 		if remaining, said := w.remaining(now, machine); said && remaining > 0 {
@@ -154,12 +154,12 @@
 
 // remaining is for how long a machine warms up; said is false where nobody vouches for it. A
 // machine of a pool whose machines don't warm up is passed over unless it says that it does.
-func (w *Watch) remaining(now time.Duration, machine Machine) (remaining time.Duration, said bool) {
+func (w *Tracker) remaining(now time.Duration, machine Machine) (remaining time.Duration, said bool) {
 	drain := w.drains[machine.Zone]
 	since := max(w.began, drain.seen)
 	isHeard := machine.Report != nil && machine.Report.Received >= since
 	if !isHeard || machine.Lost || drain.Drained {
-		return 0, !machine.Declared
+		return 0, !machine.DeclaredWarming
 	}
 	return max(0, machine.Report.Remaining-(now-machine.Report.Received)), true
 }
