--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -1,11 +1,8 @@
-// Package crashwatch finds out which machines ended under a router's requests, has that
-// recorded in the replicated log, and tells which requests must not run any more.
+// Package crashwatch detects crashes of machines with broken requests, records them in the
+// replicated log, and refuses quarantined requests.
 //
-// The problem: a request that ends the machines that run it comes again from its caller, at
-// any router. One of four routers that knew only its own crashes let 10 of 12 machines end.
-//
-// The mechanism: package quarantine decides; a Watcher connects to machines whose answers broke
-// off, proposes what it found, and looks up requests in the router's view of the log.
+// It carries out the decisions of package quarantine: a Watcher probes machines, proposes
+// commands, and looks up requests in the router's view of the log.
 package crashwatch
 
 import (
@@ -28,27 +25,24 @@
 )
 
 const (
-	// examineTime is how long a router tries to find out whether a machine ended: longer than
-	// a connection takes whose first packet was lost, and well below the time after which
-	// every router has to refuse.
-	examineTime = 1500 * time.Millisecond
-	// examinePause is between two looks at a machine that says nothing.
-	examinePause = 100 * time.Millisecond
-	// recordTimeout bounds one try to record a crash, and recordPause is before the next one:
-	// a leader changes within a second or two.
-	recordTimeout = time.Second
-	recordPause   = 100 * time.Millisecond
-	// retryAfterDoubt is when a request comes back whose machines are looked at: mostly that is
-	// known within a few round trips.
-	retryAfterDoubt = 150 * time.Millisecond
-	// maxTasks bounds what waits to be found out or recorded.
-	maxTasks = 256
+	// probeTimeout bounds the detection of a crash. It exceeds the time of a connection whose
+	// first packet was lost.
+	probeTimeout  = 1500 * time.Millisecond
+	probeInterval = 100 * time.Millisecond
+	// recordTimeout bounds one attempt to record a crash, and recordRetryInterval separates
+	// attempts; a change of leader takes a second or two.
+	recordTimeout       = time.Second
+	recordRetryInterval = 100 * time.Millisecond
+	// pendingRetryAfter is the Retry-After of requests that wait for probes, which usually take a
+	// few round trips.
+	pendingRetryAfter = 150 * time.Millisecond
+	maxTasks          = 256
 )
 
-// ProbeFunc tells whether a machine takes connections (no error), or refuses them.
+// ProbeFunc connects to a machine. refused is set if the machine actively refused the connection.
 type ProbeFunc func(ctx context.Context, machine, address string) (refused bool, err error)
 
-// ProbeWithDial returns a prober that connects by a function.
+// ProbeWithDial returns a probe that uses a dial function.
 func ProbeWithDial(dial func(ctx context.Context, machine, address string) (net.Conn, error)) ProbeFunc {
 	return func(ctx context.Context, machine, address string) (bool, error) {
 		connection, err := dial(ctx, machine, address)
@@ -60,31 +54,31 @@
 	}
 }
 
-// Options are what a Watcher needs.
+// Options configures a Watcher.
 type Options struct {
 	View    *nodeview.View
 	Logger  *slog.Logger
 	Propose feed.ProposeFunc
 	Probe   ProbeFunc
-	// OnVerdict is told of each verdict; may be nil.
+	// OnVerdict, if set, is called with each verdict.
 	OnVerdict func(verdict quarantine.Verdict)
 }
 
-// Watcher watches the machines of one router. It is safe for concurrent use.
+// Watcher tracks the machines of one router. It is safe for concurrent use.
 type Watcher struct {
 	options Options
 
-	mutex sync.Mutex
-	watch *quarantine.Tracker
-	tasks chan func(ctx context.Context)
+	mutex   sync.Mutex
+	tracker *quarantine.Tracker
+	tasks   chan func(ctx context.Context)
 }
 
-// New returns a watcher; Run must be running for it to work.
+// New returns a watcher. It works only while Run is running.
 func New(options Options) *Watcher {
-	return &Watcher{options: options, watch: quarantine.NewTracker(), tasks: make(chan func(ctx context.Context), maxTasks)}
+	return &Watcher{options: options, tracker: quarantine.NewTracker(), tasks: make(chan func(ctx context.Context), maxTasks)}
 }
 
-// Run carries out what requests have asked for until ctx ends.
+// Run carries out tasks until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -98,8 +92,8 @@
 	}
 }
 
-// start has a task carried out. It returns whether there was room.
-func (w *Watcher) start(task func(ctx context.Context)) bool {
+// startTask queues a task and returns whether there was room.
+func (w *Watcher) startTask(task func(ctx context.Context)) bool {
 	select {
 	case w.tasks <- task:
 		return true
@@ -109,128 +103,128 @@
 	}
 }
 
-// ReportBroken takes a request whose answer broke off, or did not come.
-func (w *Watcher) ReportBroken(run quarantine.BrokenRequest) {
+// ReportBroken reports a request whose response was interrupted or missing.
+func (w *Watcher) ReportBroken(request quarantine.BrokenRequest) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	switch w.watch.AddBroken(time.Now(), run) {
+	switch w.tracker.AddBroken(time.Now(), request) {
 	case quarantine.ActionProbe:
-		if !w.start(func(ctx context.Context) { w.examine(ctx, run) }) {
-			w.watch.Forget(run.Instance)
+		if !w.startTask(func(ctx context.Context) { w.probeMachine(ctx, request) }) {
+			w.tracker.Forget(request.Instance)
 		}
 	case quarantine.ActionRecord:
-		w.startRecording([]quarantine.BrokenRequest{run})
+		w.startRecording([]quarantine.BrokenRequest{request})
 	case quarantine.ActionDropped:
-		w.options.Logger.Warn("crash_not_examined", "machine", run.Machine)
+		w.options.Logger.Warn("crash_not_examined", "machine", request.Machine)
 	case quarantine.ActionNone:
 	}
 }
 
-// examine finds out what has become of a machine, and has a crash recorded.
-func (w *Watcher) examine(ctx context.Context, run quarantine.BrokenRequest) {
-	verdict := w.judge(ctx, run)
+// probeMachine determines whether a machine crashed, and has the crash recorded.
+func (w *Watcher) probeMachine(ctx context.Context, request quarantine.BrokenRequest) {
+	verdict := w.awaitVerdict(ctx, request)
 	if w.options.OnVerdict != nil {
 		w.options.OnVerdict(verdict)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	runs := w.watch.ApplyVerdict(time.Now(), run.Instance, verdict)
-	w.options.Logger.Info("machine_examined", "machine", run.Instance, "verdict", verdict.String(), "requests", len(runs))
-	if len(runs) > 0 {
-		w.startRecording(runs)
+	requests := w.tracker.ApplyVerdict(time.Now(), request.Instance, verdict)
+	w.options.Logger.Info("machine_examined", "machine", request.Instance, "verdict", verdict.String(), "requests", len(requests))
+	if len(requests) > 0 {
+		w.startRecording(requests)
 	}
 }
 
-// judge looks at a machine until it is known what has become of it, or the time is over.
-func (w *Watcher) judge(ctx context.Context, run quarantine.BrokenRequest) quarantine.Verdict {
-	ctx, cancel := context.WithTimeout(ctx, examineTime)
+// awaitVerdict gathers evidence until there is a verdict, or probeTimeout is over.
+func (w *Watcher) awaitVerdict(ctx context.Context, request quarantine.BrokenRequest) quarantine.Verdict {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	for {
-		if verdict := w.look(ctx, run).Verdict(); verdict != quarantine.VerdictPending {
+		if verdict := w.gatherEvidence(ctx, request).Verdict(); verdict != quarantine.VerdictPending {
 			return verdict
 		}
 		select {
 		case <-ctx.Done():
 			return quarantine.VerdictUnknown
-		case <-time.After(examinePause):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
-// look takes what the view tells of a machine, and tries to connect if that does not suffice.
-func (w *Watcher) look(ctx context.Context, run quarantine.BrokenRequest) quarantine.Evidence {
-	sign := quarantine.Evidence{}
-	if known, isKnown := w.options.View.Machine(run.Machine); isKnown {
-		sign.Replaced = w.options.View.IsReplaced(run.Machine, known.Spec.Endpoint) ||
-			quarantine.InstanceName(run.Machine, known.Status.Incarnation) != run.Instance
-		sign.Leaving = known.Status.Phase == v1.MachineLeaving || known.Status.Phase == v1.MachineGone
+// gatherEvidence uses the view, and connects to the machine if that is not conclusive.
+func (w *Watcher) gatherEvidence(ctx context.Context, request quarantine.BrokenRequest) quarantine.Evidence {
+	evidence := quarantine.Evidence{}
+	if machine, isKnown := w.options.View.Machine(request.Machine); isKnown {
+		evidence.Replaced = w.options.View.IsReplaced(request.Machine, machine.Spec.Endpoint) ||
+			quarantine.InstanceName(request.Machine, machine.Status.Incarnation) != request.Instance
+		evidence.Leaving = machine.Status.Phase == v1.MachineLeaving || machine.Status.Phase == v1.MachineGone
 	}
-	if sign.Verdict() != quarantine.VerdictPending {
-		return sign
+	if evidence.Verdict() != quarantine.VerdictPending {
+		return evidence
 	}
-	refused, err := w.options.Probe(ctx, run.Machine, run.Address)
-	sign.Accepts, sign.Refuses = err == nil, refused
-	return sign
+	refused, err := w.options.Probe(ctx, request.Machine, request.Address)
+	evidence.Accepts, evidence.Refuses = err == nil, refused
+	return evidence
 }
 
-// startRecording has runs at one life of a machine recorded; the mutex must be held.
-func (w *Watcher) startRecording(runs []quarantine.BrokenRequest) {
-	w.start(func(ctx context.Context) {
-		w.record(ctx, runs[0].Instance, runs)
+// startRecording starts to record requests on a crashed instance. The mutex must be held.
+func (w *Watcher) startRecording(requests []quarantine.BrokenRequest) {
+	w.startTask(func(ctx context.Context) {
+		w.record(ctx, requests[0].Instance, requests)
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.watch.MarkRecorded(runs)
+		w.tracker.MarkRecorded(requests)
 	})
 }
 
-// record proposes a crash until it is in the log, however long there is no leader: what is
-// forgotten costs the machines of the next tries.
-func (w *Watcher) record(ctx context.Context, life string, runs []quarantine.BrokenRequest) {
-	failed := func(reason string) {
-		w.options.Logger.Warn("crash_not_recorded", "machine", life, "requests", len(runs), "error", reason)
+// record proposes a crash until it is in the log, however long there is no leader. Lost records
+// would cost further machines.
+func (w *Watcher) record(ctx context.Context, instance string, requests []quarantine.BrokenRequest) {
+	onFailure := func(reason string) {
+		w.options.Logger.Warn("crash_not_recorded", "machine", instance, "requests", len(requests), "error", reason)
 	}
-	if revision, recorded := w.commit(ctx, quarantine.RecordCommand(life, runs), failed); recorded {
-		w.options.Logger.Info("crash_recorded", "machine", life, "requests", len(runs), "revision", revision)
+	if revision, recorded := w.commit(ctx, quarantine.RecordCommand(instance, requests), onFailure); recorded {
+		w.options.Logger.Info("crash_recorded", "machine", instance, "requests", len(requests), "revision", revision)
 		w.awaitRevision(ctx, revision)
-		w.logQuarantined(runs)
+		w.logQuarantined(requests)
 	}
 }
 
-// logQuarantined tells which of the requests just recorded must not run any more.
-func (w *Watcher) logQuarantined(runs []quarantine.BrokenRequest) {
-	for _, run := range runs {
-		if held := w.options.View.Suspect(run.Identity); held != nil && held.Quarantined {
-			w.options.Logger.Warn("request_quarantined", "identity", run.Identity.String(), "route", run.Route, "tenant", run.Tenant, "machines", held.Machines)
+// logQuarantined logs which of the recorded requests are now quarantined.
+func (w *Watcher) logQuarantined(requests []quarantine.BrokenRequest) {
+	for _, request := range requests {
+		if suspect := w.options.View.Suspect(request.Identity); suspect != nil && suspect.Quarantined {
+			w.options.Logger.Warn("request_quarantined", "identity", request.Identity.String(), "route", request.Route, "tenant", request.Tenant, "machines", suspect.Machines)
 		}
 	}
 }
 
-// commit proposes a command until there is an answer to it. Failed is told of a refusal, and
-// of the first try without an answer.
-func (w *Watcher) commit(ctx context.Context, command *wirepb.Command, failed func(reason string)) (revision uint64, committed bool) {
-	for tries := 1; ctx.Err() == nil; tries++ {
-		limited, cancel := context.WithTimeout(ctx, recordTimeout)
-		result, err := w.options.Propose(limited, command)
+// commit proposes a command until there is a result. onFailure is called on a refusal, and on the
+// first attempt without a result.
+func (w *Watcher) commit(ctx context.Context, command *wirepb.Command, onFailure func(reason string)) (revision uint64, committed bool) {
+	for attempt := 1; ctx.Err() == nil; attempt++ {
+		attemptCtx, cancel := context.WithTimeout(ctx, recordTimeout)
+		result, err := w.options.Propose(attemptCtx, command)
 		cancel()
 		if err == nil {
 			if result.GetCode() != wirepb.ResultCode_RESULT_CODE_OK {
-				failed(result.GetMessage())
+				onFailure(result.GetMessage())
 				return 0, false
 			}
 			return result.GetWrite().GetRevision(), true
 		}
-		if tries == 1 {
-			failed(fault.Message(err))
+		if attempt == 1 {
+			onFailure(fault.Message(err))
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(recordPause):
+		case <-time.After(recordRetryInterval):
 		}
 	}
 	return 0, false
 }
 
-// awaitRevision waits until the view holds a revision.
+// awaitRevision waits until the view has reached a revision.
 func (w *Watcher) awaitRevision(ctx context.Context, revision uint64) {
 	for {
 		changed := w.options.View.Changed()
@@ -245,34 +239,34 @@
 	}
 }
 
-// suspects reports whether machines have ended under any request. While there are none, no
-// identity is asked for: it takes a hash of the whole request.
-func (w *Watcher) suspects() bool {
+// hasSuspects reports whether there are any suspect requests. It saves hashing every request while
+// there are none.
+func (w *Watcher) hasSuspects() bool {
 	w.mutex.Lock()
-	own := w.watch.HasSuspects()
+	local := w.tracker.HasSuspects()
 	w.mutex.Unlock()
-	return own || w.options.View.HasSuspects()
+	return local || w.options.View.HasSuspects()
 }
 
-// Refusal returns the answer to a request that must not run any more, or not for now, which is to say
-// "not run"; nil for any other.
+// Refusal returns the response to a request that is quarantined or waits for probes, and so is not
+// run; nil for any other.
 func (w *Watcher) Refusal(identityOf func() quarantine.Identity) *problem.Document {
-	if !w.suspects() {
+	if !w.hasSuspects() {
 		return nil
 	}
 	identity := identityOf()
-	held := w.options.View.Suspect(identity)
+	suspect := w.options.View.Suspect(identity)
 	w.mutex.Lock()
-	machines, quarantined := w.watch.Crashes(identity, held)
-	doubted := !quarantined && w.watch.IsPending(identity, held)
+	machines, quarantined := w.tracker.Crashes(identity, suspect)
+	pending := !quarantined && w.tracker.IsPending(identity, suspect)
 	w.mutex.Unlock()
 	switch {
-	case !quarantined && !doubted:
+	case !quarantined && !pending:
 		return nil
 	case !quarantined:
 		detail := "request " + identity.String() + " is not run until it is known what has become of the machines that broke its answers off"
 		document := problem.New(problem.TypeUnavailable, http.StatusServiceUnavailable, detail)
-		document.RetryAfter = retryAfterDoubt
+		document.RetryAfter = pendingRetryAfter
 		return document
 	}
 	detail := "request " + identity.String() + " is not run any more, since these machines ended under it: " + strings.Join(machines, ", ")
@@ -281,39 +275,39 @@
 	return document
 }
 
-// ReportCompleted takes a request that a machine has run to the end.
+// ReportCompleted reports a request that ran to completion on a machine.
 func (w *Watcher) ReportCompleted(identityOf func() quarantine.Identity) {
-	if !w.suspects() {
+	if !w.hasSuspects() {
 		return
 	}
 	identity := identityOf()
 	recorded := w.options.View.Suspect(identity) != nil
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if !w.watch.Complete(identity, recorded) {
+	if !w.tracker.Complete(identity, recorded) {
 		return
 	}
-	if !w.start(func(ctx context.Context) { w.clear(ctx, identity) }) {
-		w.watch.MarkCleared(identity)
+	if !w.startTask(func(ctx context.Context) { w.clear(ctx, identity) }) {
+		w.tracker.MarkCleared(identity)
 	}
 }
 
 func (w *Watcher) clear(ctx context.Context, identity quarantine.Identity) {
-	failed := func(reason string) {
+	onFailure := func(reason string) {
 		w.options.Logger.Warn("suspect_not_cleared", "identity", identity.String(), "error", reason)
 	}
-	if revision, committed := w.commit(ctx, quarantine.ClearCommand(identity), failed); committed {
+	if revision, committed := w.commit(ctx, quarantine.ClearCommand(identity), onFailure); committed {
 		w.options.Logger.Info("suspect_cleared", "identity", identity.String(), "revision", revision)
 		w.awaitRevision(ctx, revision)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.watch.MarkCleared(identity)
+	w.tracker.MarkCleared(identity)
 }
 
-// IsIdle reports whether all that is known of crashes has been recorded.
+// IsIdle reports whether all detected crashes have been recorded.
 func (w *Watcher) IsIdle() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.watch.IsIdle() && len(w.tasks) == 0
+	return w.tracker.IsIdle() && len(w.tasks) == 0
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -30,8 +30,8 @@
 
 const gibibyte = 1 << 30
 
-// deployment is a gateway before emulated engines, with the state machine
-// itself as control plane.
+// deployment is a gateway in front of emulated engines, with a state machine as
+// its control plane.
 type deployment struct {
 	t       testing.TB
 	world   *emulator.World
@@ -44,8 +44,8 @@
 	sequence uint64
 }
 
-// deploy starts one machine with replica r of model m, and a ledger of two
-// workers whose holds may not be repeated.
+// deploy starts one machine with replica r of model m, and a back end with two
+// workers whose path /holds is unrepeatable.
 func deploy(t testing.TB, configuration string) *deployment {
 	t.Helper()
 	config, err := emulator.ParseConfig([]byte("machines: {count: 1}\nengine: {tokenInterval: 1ms}\nbackends: [{name: ledger, workers: 2}]\n" + configuration))
@@ -70,7 +70,7 @@
 	return d
 }
 
-// propose applies a command and spreads what has changed.
+// propose applies a command and sends the changes to the view.
 func (d *deployment) propose(_ context.Context, command *wirepb.Command) (*wirepb.CommandResult, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// load orders the engine to load a replica and waits for it.
+// load loads a replica and waits until it is ready.
 func (d *deployment) load(replica string) {
 	d.t.Helper()
 	endpoint := d.world.Addresses().Engines["worker-001"]
@@ -161,15 +161,15 @@
 	return report
 }
 
-// answer is what a caller gets.
-type answer struct {
+// reply is the response that a client got.
+type reply struct {
 	status  int
 	header  http.Header
 	body    string
 	problem struct{ Type, Field, Outcome string }
 }
 
-func (d *deployment) ask(method, path, body string, headers ...string) answer {
+func (d *deployment) send(method, path, body string, headers ...string) reply {
 	d.t.Helper()
 	request, err := http.NewRequest(method, d.server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -187,7 +187,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	result := answer{status: response.StatusCode, header: response.Header, body: string(content)}
+	result := reply{status: response.StatusCode, header: response.Header, body: string(content)}
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "application/problem+json") {
 		if err := json.Unmarshal(content, &result.problem); err != nil {
 			d.t.Fatal(err)
@@ -196,9 +196,9 @@
 	return result
 }
 
-// TestPublishedClient asks by the published OpenAI client, plain and as a
-// stream, for a model and for an adapter.
-func TestPublishedClient(t *testing.T) {
+// TestOpenAIClient uses the published OpenAI client for plain and streaming
+// requests to a model and to an adapter.
+func TestOpenAIClient(t *testing.T) {
 	d := deploy(t, "")
 	client := openai.NewClient(option.WithBaseURL(d.server.URL+"/v1"), option.WithAPIKey("none"), option.WithMaxRetries(0))
 	ctx := context.Background()
@@ -227,9 +227,9 @@
 	}
 }
 
-// TestRefusalsAreTyped lists bad requests; each is refused as not run, with
-// the field at fault.
-func TestRefusalsAreTyped(t *testing.T) {
+// TestProblemTypes checks that bad requests are refused as not run, with the
+// field at fault.
+func TestProblemTypes(t *testing.T) {
 	d := deploy(t, "")
 	cases := []struct {
 		name, method, path, body string
@@ -253,7 +253,7 @@
 	}
 	for _, entry := range cases {
 		t.Run(entry.name, func(t *testing.T) {
-			got := d.ask(entry.method, entry.path, entry.body, entry.headers...)
+			got := d.send(entry.method, entry.path, entry.body, entry.headers...)
 			kind := got.problem.Type[strings.LastIndex(got.problem.Type, "/")+1:]
 			if got.status != entry.status || kind != entry.kind || got.problem.Field != entry.field || got.problem.Outcome != "not-run" {
 				t.Errorf("%d %+v", got.status, got.problem)
@@ -265,11 +265,11 @@
 	}
 }
 
-// TestHoldRunsOnce resends a hold, after its answer and at the same time.
-func TestHoldRunsOnce(t *testing.T) {
+// TestUnrepeatableRequestRunsOnce resends an unrepeatable request concurrently after its response.
+func TestUnrepeatableRequestRunsOnce(t *testing.T) {
 	d := deploy(t, "")
-	hold := func(body string) answer {
-		return d.ask("POST", "/v1/services/seats/holds/17", body, "Idempotency-Key", "key", gateway.HeaderCaller, "window")
+	hold := func(body string) reply {
+		return d.send("POST", "/v1/services/seats/holds/17", body, "Idempotency-Key", "key", gateway.HeaderCaller, "window")
 	}
 	first := hold("{}")
 	if first.status != http.StatusOK && first.status != http.StatusCreated {
@@ -290,18 +290,18 @@
 	if audit := d.world.Audit(); audit.DuplicateRuns != 0 {
 		t.Errorf("%+v", audit)
 	}
-	// Keys belong to callers: another caller's is another request.
-	if stranger := d.ask("POST", "/v1/services/seats/holds/17", "{}", "Idempotency-Key", "key", gateway.HeaderCaller, "other"); stranger.header.Get("Idempotent-Replayed") == "true" {
-		t.Error("another caller got the recorded answer")
+	// The same key of another caller is another request.
+	if stranger := d.send("POST", "/v1/services/seats/holds/17", "{}", "Idempotency-Key", "key", gateway.HeaderCaller, "other"); stranger.header.Get("Idempotent-Replayed") == "true" {
+		t.Error("another caller got the recorded response")
 	}
 }
 
-// TestLostAnswerIsUnknown has the ledger run a hold and lose its answer: the
-// caller is told so, and a resend does not run it again.
-func TestLostAnswerIsUnknown(t *testing.T) {
+// TestLostResponseHasUnknownOutcome checks that an unrepeatable request whose response is lost
+// has the outcome "unknown" and is not run again by a resend.
+func TestLostResponseHasUnknownOutcome(t *testing.T) {
 	d := deploy(t, "faults: {lostAnswer: 1}")
 	for range 2 {
-		got := d.ask("POST", "/v1/services/seats/holds/17", "{}", "Idempotency-Key", "key", gateway.HeaderDeadline, "2s")
+		got := d.send("POST", "/v1/services/seats/holds/17", "{}", "Idempotency-Key", "key", gateway.HeaderDeadline, "2s")
 		if got.status != http.StatusGatewayTimeout || got.problem.Outcome != "unknown" {
 			t.Fatalf("%d %+v", got.status, got.problem)
 		}
@@ -311,15 +311,15 @@
 	}
 }
 
-// TestBrokenStreamsAreResumed breaks every stream in the middle: each still
-// arrives whole, or ends with a typed error.
-func TestBrokenStreamsAreResumed(t *testing.T) {
+// TestBrokenStreamsResumed checks that broken streams arrive complete or end with
+// a typed error.
+func TestBrokenStreamsResumed(t *testing.T) {
 	whole := deploy(t, "")
 	broken := deploy(t, "faults: {brokenStream: 1}")
 	body := `{"model":"m","prompt":"hello","max_tokens":20,"stream":true}`
-	wanted := texts(t, whole.ask("POST", "/v1/completions", body).body)
+	wanted := texts(t, whole.send("POST", "/v1/completions", body).body)
 	for range 5 {
-		got := broken.ask("POST", "/v1/completions", body).body
+		got := broken.send("POST", "/v1/completions", body).body
 		if strings.Contains(got, "stream-broken") {
 			continue
 		}
@@ -329,7 +329,7 @@
 	}
 }
 
-// texts joins the texts of a stream's events.
+// texts returns the concatenated text of a stream's events.
 func texts(t *testing.T, stream string) string {
 	t.Helper()
 	var joined strings.Builder
@@ -353,15 +353,15 @@
 	return joined.String()
 }
 
-// TestDrainFinishesWhatIsInFlight begins streams, drains, and expects whole
-// answers to them and refusals to what comes after.
-func TestDrainFinishesWhatIsInFlight(t *testing.T) {
+// TestDrainCompletesRequestsInFlight checks that streams in flight complete during a
+// drain and that new requests are refused.
+func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	d := deploy(t, "")
 	const streams = 3
-	answers := make(chan answer, streams)
+	answers := make(chan reply, streams)
 	for range streams {
 		go func() {
-			answers <- d.ask("POST", "/v1/completions", `{"model":"m","prompt":"hello","max_tokens":200,"stream":true}`)
+			answers <- d.send("POST", "/v1/completions", `{"model":"m","prompt":"hello","max_tokens":200,"stream":true}`)
 		}()
 	}
 	endpoint := d.world.Addresses().Engines["worker-001"]
@@ -376,15 +376,15 @@
 	for !d.gateway.Draining() {
 		time.Sleep(time.Millisecond)
 	}
-	if late := d.ask("POST", "/v1/completions", `{"model":"m","prompt":"x"}`); late.status != http.StatusServiceUnavailable || late.problem.Outcome != "not-run" {
+	if late := d.send("POST", "/v1/completions", `{"model":"m","prompt":"x"}`); late.status != http.StatusServiceUnavailable || late.problem.Outcome != "not-run" {
 		t.Errorf("%d %+v", late.status, late.problem)
 	}
 	for range streams {
 		if got := <-answers; !strings.Contains(got.body, "[DONE]") || strings.Contains(got.body, "stream-broken") {
-			t.Errorf("cut: ...%s", got.body[max(0, len(got.body)-200):])
+			t.Errorf("truncated: ...%s", got.body[max(0, len(got.body)-200):])
 		}
 	}
 	if !<-drained {
-		t.Error("the drain did not end")
+		t.Error("the drain did not complete")
 	}
 }
--- a/internal/gateway/suspect.go
+++ b/internal/gateway/quarantine.go
@@ -11,37 +11,36 @@
 	"github.com/weldline/weldline/internal/upstream"
 )
 
-// identity tells the request by what it is.
+// identity returns the request's identity by its content.
 func (j *job) identity() quarantine.Identity {
 	return quarantine.Identify(quarantine.Content{Tenant: j.caller, Method: http.MethodPost, Target: j.path, Body: j.body})
 }
 
-// answerQuarantined answers a request that must not run any more.
-func (g *Gateway) answerQuarantined(writer http.ResponseWriter, created *job, document *problem.Document, mayHaveRun bool) string {
+func (g *Gateway) refuseQuarantined(writer http.ResponseWriter, j *job, document *problem.Document, mayHaveRun bool) string {
 	if mayHaveRun {
-		g.failEngine(writer, created)
+		g.failEngine(writer, j)
 		return "failed"
 	}
-	g.refuse(writer, created.id, document)
+	g.refuse(writer, j.id, document)
 	return "refused"
 }
 
-// noteBroken takes a request whose connection broke once the engine had it.
-func (g *Gateway) noteBroken(created *job, grant *dispatch.Grant) {
+// reportBroken reports a request whose connection broke after it was sent.
+func (g *Gateway) reportBroken(j *job, grant *dispatch.Grant) {
 	g.crashes.ReportBroken(quarantine.BrokenRequest{
 		Machine: grant.Target.Machine, Instance: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
-		Identity: created.identity(), Route: created.service, Tenant: created.caller,
+		Identity: j.identity(), Route: j.service, Tenant: j.caller,
 	})
 }
 
-// noteCompleted takes a request that an engine has run to its end.
-func (g *Gateway) noteCompleted(created *job, end attemptEnd) {
-	if end == endAnswered {
-		g.crashes.ReportCompleted(created.identity)
+// reportCompleted reports a request that an engine completed.
+func (g *Gateway) reportCompleted(j *job, outcome attemptOutcome) {
+	if outcome == outcomeAnswered {
+		g.crashes.ReportCompleted(j.identity)
 	}
 }
 
-// notConnected reports whether an exchange failed before the engine had anything of it.
+// notConnected reports whether err is a failed dial.
 func notConnected(err error) bool {
 	var failure *net.OpError
 	return errors.As(err, &failure) && failure.Op == "dial"
--- a/internal/nodeview/warming_bench_test.go
+++ b/internal/nodeview/warming_bench_test.go
@@ -9,8 +9,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// BenchmarkEachWarmUpCandidate is asked with each digest and each rebuild, also where no pool's
-// machines warm up.
+// BenchmarkEachWarmUpCandidate measures the visit for each digest, with and without warming pools.
 func BenchmarkEachWarmUpCandidate(b *testing.B) {
 	const machines, replicasOnEach = 3000, 3
 	for _, warming := range []*v1.WarmingSpec{nil, {RequestsPerSecond: 5}} {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,101 +7,97 @@
 )
 
 const (
-	// A new leader publishes nothing before it has heard of routers, and then of no new one
-	// for settleQuiet, or for settleTime: routers report as soon as they hear of it.
+	// A new ledger settles once it has met no new router for settleQuiet, or settleTime after
+	// the first one.
 	settleQuiet = 150 * time.Millisecond
 	settleTime  = time.Second
-	// offeredMemory is the time over which offered rates are averaged: long enough for a
-	// few requests of a small tenant.
+	// offeredMemory is the time constant of averaged demand. It spans a few requests of a
+	// small tenant.
 	offeredMemory = 2 * time.Second
-	// repayTime is the time within which a bucket's content is handed out, or its debt
-	// repaid. It is several times the delay between what a router does and what it hears
-	// of it, so that the regulation settles.
+	// repayTime is the time in which a bucket's content is spent or its debt repaid. It is
+	// several times the feedback delay, which keeps the control loop stable.
 	repayTime = 1500 * time.Millisecond
-	// A tenant is regulated from limitBelow of the bucket's depth until it holds
-	// freeAbove again.
-	limitBelow, freeAbove = 0.5, 0.95
-	// listedFrom is the share of its limit from which a tenant is listed: routers need
-	// not know of those that ask for less.
-	listedFrom = 0.25
-	// urgentChange is a change of a share that routers learn of at once.
+	// A tenant is limited once its bucket is below limitBelowLevel of its depth, until it is
+	// above unlimitAboveLevel.
+	limitBelowLevel, unlimitAboveLevel = 0.5, 0.95
+	// publishThreshold is the share of its limit from which a tenant is published.
+	publishThreshold = 0.25
+	// urgentChange is the relative change of a share that is published at once.
 	urgentChange = 0.25
-	// staleAfter is how long a router heeds the last it heard of the leader, and after
-	// which the leader takes a silent router to be on its own: an election and the next
-	// leader's settleTime mostly fit in.
+	// staleAfter is how long routers apply the last allowances, and after which the leader
+	// assumes that a router which does not report uses its own bucket. It allows for an
+	// election and settleTime.
 	staleAfter = 1500 * time.Millisecond
-	// staleLimitedAfter is the same for a tenant of which only a share is let through:
-	// demand may have grown, and a digest is due.
+	// staleLimitedAfter is the same for limited tenants, whose demand may have grown.
 	staleLimitedAfter = 1200 * time.Millisecond
-	// forgetWindows is for how many windows a silent router's share is set aside.
-	forgetWindows = 2
+	// expiryWindows is the number of windows for which the share of a router that does not
+	// report is reserved.
+	expiryWindows = 2
 )
 
-// Ledger is the leader's account of what tenants use of their limits. It begins anew with
-// each term and is not safe for concurrent use.
+// Ledger is the leader's account of the use of all tenants. Each term starts a new one. It
+// is not safe for concurrent use.
 type Ledger struct {
 	bound Bound
-	// expected is how many routers the term before had, and began when this one did.
-	expected int
-	began    time.Duration
-	// firstMet and met are when the first and the last router were heard of for the first
-	// time.
-	firstMet, met time.Duration
-	updated       time.Duration
-	settled       bool
-	nodes         map[string]*nodeUse
-	accounts      map[string]*account
+	// expected is the number of routers of the previous term.
+	expected  int
+	startedAt time.Duration
+	// firstMet and lastMet are the times of the first reports of the first and the last router.
+	firstMet, lastMet time.Duration
+	updated           time.Duration
+	settled           bool
+	nodes             map[string]*nodeUse
+	accounts          map[string]*account
 }
 
 // nodeUse is what one router has reported.
 type nodeUse struct {
 	incarnation uint64
 	heard       time.Duration
-	// unknown is the share of the last window that lies before the router's start, and so
-	// is not known, at the first report.
-	unknown float64
-	// reported is what it told last of each tenant.
+	// unknownShare is the share of the last window before the router's start.
+	unknownShare float64
+	// reported is the last use by tenant.
 	reported map[string]reportedUse
 }
 
-// reportedUse is what a router told of one tenant.
+// reportedUse is the last use of one tenant that a router reported.
 type reportedUse struct {
 	admitted float64
-	// offered is the rate at a time; it decays from then on.
+	// offered is the averaged demand at the time at.
 	offered float64
 	at      time.Duration
 }
 
-// account is one tenant's bucket.
+// account is one tenant's token bucket.
 type account struct {
-	// level is below 0 where the tenant is in debt.
+	// level is negative if the tenant is in debt.
 	level float64
-	// used is what was admitted since the last update.
+	// used is the cost admitted since the last update.
 	used float64
-	// offered is the averaged rate of what is asked for, at offeredAt.
-	offered   float64
-	offeredAt time.Duration
-	limited   bool
-	// published is the share that routers heard last.
-	published float64
-	// before is what was admitted in parts of the window before the term, by the number
-	// of the part; nil once it has been replayed.
-	before map[int64]float64
+	// offered is the averaged demand at offeredAt.
+	offered        float64
+	offeredAt      time.Duration
+	limited        bool
+	publishedShare float64
+	// priorUse is the cost admitted in each slot of the last window before the term, by slot
+	// number. It is nil once the ledger has settled.
+	priorUse map[int64]float64
 }
 
-// NewLedger returns the ledger of a term that begins at now, after one with so many routers.
+// NewLedger returns the ledger of a term that begins at now. The argument routers is their
+// number in the previous term.
 func NewLedger(now time.Duration, bound Bound, routers int) *Ledger {
-	return &Ledger{bound: bound, expected: routers, began: now, updated: now, nodes: map[string]*nodeUse{}, accounts: map[string]*account{}}
+	return &Ledger{bound: bound, expected: routers, startedAt: now, updated: now, nodes: map[string]*nodeUse{}, accounts: map[string]*account{}}
 }
 
-// ApplyReport takes a router's report, the newest of it so far.
+// ApplyReport applies a router's report. The reports of a router must be in order.
 func (l *Ledger) ApplyReport(now time.Duration, report Report) {
 	node := l.nodes[report.Node]
 	if node == nil {
-		// The first report over a new connection may come before the router has heard of
-		// the new leader: it holds news only, and none of the window before.
+		// A report that is not full lacks the recent use. The router sends a full one once
+		// it knows of this leader.
 		if report.Full {
-			l.meet(now, report)
+			l.addNode(now, report)
 		}
 		return
 	}
@@ -115,68 +111,68 @@
 	}
 	for _, use := range report.Uses {
 		account := l.account(now, use.Tenant)
-		// What was given back since counts negative.
+		// The difference is negative after refunds.
 		account.used += use.Admitted - node.reported[use.Tenant].admitted
-		node.note(now, use, account)
+		node.record(now, use, account)
 	}
 }
 
-// note keeps what a router told of a tenant, and puts its rate in the place of the one
-// before in the tenant's.
-func (n *nodeUse) note(now time.Duration, use Use, account *account) {
+// record records a router's use of a tenant, and replaces its previous part of the tenant's
+// demand.
+func (n *nodeUse) record(now time.Duration, use Use, account *account) {
 	before := n.reported[use.Tenant]
 	account.decay(now)
-	account.offered += use.Offered - before.offered*decayed(now-before.at)
+	account.offered += use.Offered - before.offered*decayFactor(now-before.at)
 	n.reported[use.Tenant] = reportedUse{admitted: use.Admitted, offered: use.Offered, at: now}
 }
 
-// decayed is what is left of an averaged rate after a time without requests.
-func decayed(elapsed time.Duration) float64 {
+// decayFactor returns the factor by which an averaged rate decreases without requests.
+func decayFactor(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / offeredMemory.Seconds())
 }
 
 func (a *account) decay(now time.Duration) {
-	a.offered = max(0, a.offered*decayed(now-a.offeredAt))
+	a.offered = max(0, a.offered*decayFactor(now-a.offeredAt))
 	a.offeredAt = now
 }
 
-// meet takes the first report of a router in this term: its totals tell nothing of when
-// they came about, the parts of the last window do.
-func (l *Ledger) meet(now time.Duration, report Report) {
+// addNode applies the first report of a router in this term. It counts only the recent use,
+// as the totals don't say when requests were admitted.
+func (l *Ledger) addNode(now time.Duration, report Report) {
 	node := &nodeUse{incarnation: report.Incarnation, heard: now, reported: map[string]reportedUse{}}
-	node.unknown = max(0, 1-report.Uptime.Seconds()/l.bound.Window.Seconds())
+	node.unknownShare = max(0, 1-report.Uptime.Seconds()/l.bound.Window.Seconds())
 	if len(l.nodes) == 0 {
 		l.firstMet = now
 	}
 	l.nodes[report.Node] = node
-	l.met = now
+	l.lastMet = now
 	for _, use := range report.Uses {
 		account := l.account(now, use.Tenant)
-		node.note(now, use, account)
+		node.record(now, use, account)
 		for age, admitted := range use.Recent {
-			if account.before == nil {
-				account.used += admitted // The bucket has been replayed already.
+			if account.priorUse == nil {
+				account.used += admitted // The ledger has settled already.
 				continue
 			}
-			account.before[int64((now-time.Duration(age)*l.bound.slot())/l.bound.slot())] += admitted
+			account.priorUse[int64((now-time.Duration(age)*l.bound.slot())/l.bound.slot())] += admitted
 		}
 	}
 }
 
 func (l *Ledger) account(now time.Duration, tenant string) *account {
-	held := l.accounts[tenant]
-	if held == nil {
-		// A bucket that nothing was taken from is full.
-		held = &account{published: 1, offeredAt: now, level: math.MaxFloat64}
+	found := l.accounts[tenant]
+	if found == nil {
+		// The level is reduced to the depth by the next update.
+		found = &account{publishedShare: 1, offeredAt: now, level: math.MaxFloat64}
 		if !l.settled {
-			held.before = map[int64]float64{}
+			found.priorUse = map[int64]float64{}
 		}
-		l.accounts[tenant] = held
+		l.accounts[tenant] = found
 	}
-	return held
+	return found
 }
 
-// Update brings the buckets up to date. It returns whether routers should hear at once.
+// Update updates the buckets. It reports whether allowances are to be published at once.
 func (l *Ledger) Update(now time.Duration, limits map[string]Limit) (urgent bool) {
 	if !l.settled {
 		if !l.maySettle(now) {
@@ -187,7 +183,7 @@
 	}
 	elapsed := max(0, now-l.updated).Seconds()
 	l.updated = now
-	own := 1 - l.silentShare(now)
+	reporting := 1 - l.unreportedShare(now)
 	for tenant, held := range l.accounts {
 		limit, declared := limits[tenant]
 		if !declared {
@@ -195,98 +191,98 @@
 			continue
 		}
 		held.decay(now)
-		held.update(elapsed, limit, l.bound.depth(limit), own)
-		admit := held.admit(limit, own)
-		urgent = urgent || math.Abs(admit-held.published) > urgentChange*held.published
+		held.update(elapsed, limit, l.bound.depth(limit), reporting)
+		admit := held.admitShare(limit, reporting)
+		urgent = urgent || math.Abs(admit-held.publishedShare) > urgentChange*held.publishedShare
 	}
 	return urgent
 }
 
 func (l *Ledger) maySettle(now time.Duration) bool {
-	return len(l.nodes) > 0 && (now-l.met >= settleQuiet || now-l.firstMet >= settleTime)
+	return len(l.nodes) > 0 && (now-l.lastMet >= settleQuiet || now-l.firstMet >= settleTime)
 }
 
-// settle replays the buckets over the window before, in which a new leader has seen
-// nothing itself.
+// settle computes the levels of the buckets from the use that routers reported for the
+// last window.
 func (l *Ledger) settle(now time.Duration, limits map[string]Limit) {
 	l.settled = true
 	l.updated = now
 	unknown := 0.0
 	for _, node := range l.nodes {
-		unknown += node.unknown / float64(len(l.nodes))
+		unknown += node.unknownShare / float64(len(l.nodes))
 	}
 	for tenant, held := range l.accounts {
 		limit := limits[tenant]
 		depth := l.bound.depth(limit)
-		// The bucket is taken to have been empty: what stays below the limit fills it
-		// within the window.
+		// The replay starts with an empty bucket, which use below the limit fills within the
+		// window.
 		held.level = 0
-		present := int64(now / l.bound.slot())
-		for number := present - slots + 1; number <= present; number++ {
+		current := int64(now / l.bound.slot())
+		for number := current - slotsPerWindow + 1; number <= current; number++ {
 			passed := min(l.bound.slot(), now-time.Duration(number)*l.bound.slot())
-			held.level = min(depth, held.level+limit.Rate*passed.Seconds()) - held.before[number]
+			held.level = min(depth, held.level+limit.Rate*passed.Seconds()) - held.priorUse[number]
 		}
-		// What routers used before they started is taken to be all that there was.
+		// For the time before a router's start the worst case is assumed.
 		held.level -= unknown*depth + held.used
-		held.before, held.used = nil, 0
+		held.priorUse, held.used = nil, 0
 	}
 }
 
-// silentShare is the share of the routers that are not heard of, or not yet in this term, and
-// may go on by themselves. Routers that have been silent for long are forgotten.
-func (l *Ledger) silentShare(now time.Duration) float64 {
-	silent := 0
+// unreportedShare returns the share of routers that don't report, or not yet in this term, and
+// may use their own buckets. It removes routers that have not reported for expiryWindows.
+func (l *Ledger) unreportedShare(now time.Duration) float64 {
+	unreported := 0
 	for name, node := range l.nodes {
 		switch age := now - node.heard; {
-		case age > forgetWindows*l.bound.Window:
+		case age > expiryWindows*l.bound.Window:
 			delete(l.nodes, name)
 		case age > staleAfter:
-			silent++
+			unreported++
 		}
 	}
 	routers := len(l.nodes)
-	if now-l.began <= forgetWindows*l.bound.Window {
+	if now-l.startedAt <= expiryWindows*l.bound.Window {
 		routers = max(routers, l.expected)
 	}
-	silent += routers - len(l.nodes)
-	return float64(silent) / float64(max(1, routers))
+	unreported += routers - len(l.nodes)
+	return float64(unreported) / float64(max(1, routers))
 }
 
-func (a *account) update(elapsed float64, limit Limit, depth, own float64) {
-	a.level = min(depth, a.level+own*limit.Rate*elapsed) - a.used
+func (a *account) update(elapsed float64, limit Limit, depth, reporting float64) {
+	a.level = min(depth, a.level+reporting*limit.Rate*elapsed) - a.used
 	a.used = 0
 	switch {
-	case a.level < limitBelow*depth:
+	case a.level < limitBelowLevel*depth:
 		a.limited = true
-	case a.level >= freeAbove*depth:
+	case a.level >= unlimitAboveLevel*depth:
 		a.limited = false
 	}
 }
 
-// admit is the share of what is offered that the limit has room for.
-func (a *account) admit(limit Limit, own float64) float64 {
+// admitShare returns the share of the demand that the limit allows.
+func (a *account) admitShare(limit Limit, reporting float64) float64 {
 	if !a.limited || limit.Rate <= 0 {
 		return 1
 	}
-	allowed := max(0, own*limit.Rate+a.level/repayTime.Seconds())
+	allowed := max(0, reporting*limit.Rate+a.level/repayTime.Seconds())
 	if a.offered <= allowed {
 		return 1
 	}
 	return allowed / a.offered
 }
 
-// Allowances lists the tenants that come near their limits, by name, for routers. It
-// reports whether the ledger knows enough to be heeded.
+// Allowances returns the allowances of tenants near their limits, by name. It reports
+// whether the ledger has settled.
 func (l *Ledger) Allowances(now time.Duration, limits map[string]Limit) (allowances []Allowance, known bool) {
 	if !l.settled {
 		return nil, false
 	}
-	own := 1 - l.silentShare(now)
+	reporting := 1 - l.unreportedShare(now)
 	for tenant, held := range l.accounts {
 		limit := limits[tenant]
-		held.published = held.admit(limit, own)
-		if limit.Rate > 0 && (held.limited || held.offered > listedFrom*limit.Rate) {
-			allowances = append(allowances, Allowance{Tenant: tenant, Offered: held.offered, Admit: held.published})
+		held.publishedShare = held.admitShare(limit, reporting)
+		if limit.Rate > 0 && (held.limited || held.offered > publishThreshold*limit.Rate) {
+			allowances = append(allowances, Allowance{Tenant: tenant, Offered: held.offered, Admit: held.publishedShare})
 		}
 	}
 	sort.Slice(allowances, func(i, j int) bool { return allowances[i].Tenant < allowances[j].Tenant })
