--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -47,7 +47,7 @@
 	// the report was requested.
 	report   *wirepb.MachineReport
 	observed time.Time
-	refused  Refusals
+	refused  RefusedLoads
 }
 
 // New returns an agent. It calls requestReport when a change should reach the
@@ -114,7 +114,7 @@
 		}
 		watcherContext, cancel := context.WithCancel(ctx)
 		created := &watcher{
-			agent: a, machine: name, cancel: cancel, refused: Refusals{},
+			agent: a, machine: name, cancel: cancel, refused: RefusedLoads{},
 			client: &engineClient{client: a.client, endpoint: machine.Spec.Endpoint},
 		}
 		a.watchers[name] = created
@@ -205,7 +205,7 @@
 func (w *watcher) sendOrders(ctx context.Context, orders []engine.Order) int {
 	accepted := 0
 	for _, order := range orders {
-		if w.refused.Covers(order) {
+		if w.refused.Contains(order) {
 			continue
 		}
 		result, err := w.client.order(ctx, order)
@@ -219,7 +219,7 @@
 		}
 		w.agent.logger.Warn("order_refused", "machine", w.machine, "replica", order.Replica,
 			"kind", string(order.Kind), "reason", result.Reason)
-		w.refused.Note(order, time.Now())
+		w.refused.Record(order, time.Now())
 	}
 	return accepted
 }
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -61,14 +61,14 @@
 // failed and not sent again, until it expires.
 func TestRefusedLoadsAreReportedAsFailed(t *testing.T) {
 	now := time.Unix(1000, 0)
-	refused := Refusals{}
-	refused.Note(engine.Order{Kind: engine.OrderLoad, Replica: "a"}, now)
-	refused.Note(engine.Order{Kind: engine.OrderUnload, Replica: "b"}, now)
+	refused := RefusedLoads{}
+	refused.Record(engine.Order{Kind: engine.OrderLoad, Replica: "a"}, now)
+	refused.Record(engine.Order{Kind: engine.OrderUnload, Replica: "b"}, now)
 	report := MachineReport("m", &engine.Report{}, refused, now)
 	if len(report.GetReplicas()) != 1 || report.GetReplicas()[0].GetPhase() != engine.PhaseFailed {
 		t.Errorf("%v", report)
 	}
-	if !refused.Covers(engine.Order{Kind: engine.OrderLoad, Replica: "a"}) || refused.Covers(engine.Order{Kind: engine.OrderUnload, Replica: "a"}) {
+	if !refused.Contains(engine.Order{Kind: engine.OrderLoad, Replica: "a"}) || refused.Contains(engine.Order{Kind: engine.OrderUnload, Replica: "a"}) {
 		t.Error("Covers must match the refused load and no other order")
 	}
 	if later := MachineReport("m", &engine.Report{}, refused, now.Add(time.Minute)); len(later.GetReplicas()) != 0 {
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -10,19 +10,19 @@
 
 const refusedLoadTTL = 10 * time.Second
 
-// Refusals maps replicas to the time at which the engine refused their load.
+// RefusedLoads maps replicas to the time at which the engine refused their load.
 // Entries are reported to the leader as failed replicas until they expire.
-type Refusals map[string]time.Time
+type RefusedLoads map[string]time.Time
 
-// Note records a refused order if it is a load.
-func (r Refusals) Note(order engine.Order, now time.Time) {
+// Record records a refused order if it is a load.
+func (r RefusedLoads) Record(order engine.Order, now time.Time) {
 	if order.Kind == engine.OrderLoad {
 		r[order.Replica] = now
 	}
 }
 
-// Covers reports whether an order is a load of a replica recorded as refused.
-func (r Refusals) Covers(order engine.Order) bool {
+// Contains reports whether an order is a load of a replica recorded as refused.
+func (r RefusedLoads) Contains(order engine.Order) bool {
 	_, known := r[order.Replica]
 	return known && order.Kind == engine.OrderLoad
 }
@@ -30,7 +30,7 @@
 // MachineReport converts an engine's report to the message for the leader.
 // Refused loads, which the engine doesn't list, are added as failed replicas.
 // Expired and listed entries are removed from refused.
-func MachineReport(machine string, report *engine.Report, refused Refusals, requestedAt time.Time) *wirepb.MachineReport {
+func MachineReport(machine string, report *engine.Report, refused RefusedLoads, requestedAt time.Time) *wirepb.MachineReport {
 	message := &wirepb.MachineReport{
 		Machine: machine, Incarnation: report.Incarnation, Reachable: true,
 		Running: uint32(report.Running), Queued: uint32(report.Queued), Fence: report.Fence,
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -54,7 +54,7 @@
 type machineWatch struct {
 	machine  *machine
 	busy     bool
-	refused  agent.Refusals
+	refused  agent.RefusedLoads
 	report   *wirepb.MachineReport
 	observed time.Duration
 }
@@ -199,7 +199,7 @@
 		case !assigned:
 			delete(r.watches, machine.name)
 		case watch == nil:
-			r.watches[machine.name] = &machineWatch{machine: machine, refused: agent.Refusals{}}
+			r.watches[machine.name] = &machineWatch{machine: machine, refused: agent.RefusedLoads{}}
 		case !watch.busy:
 			r.cycle(watch)
 		}
@@ -248,7 +248,7 @@
 		return
 	}
 	order := orders[0]
-	if watch.refused.Covers(order) {
+	if watch.refused.Contains(order) {
 		r.give(watch, orders[1:], next)
 		return
 	}
@@ -262,7 +262,7 @@
 				return
 			}
 			if !result.Accepted {
-				watch.refused.Note(order, r.wall())
+				watch.refused.Record(order, r.wall())
 			}
 			r.give(watch, orders[1:], next)
 		})
--- a/internal/policysim/machine.go
+++ b/internal/policysim/machine.go
@@ -29,7 +29,7 @@
 	up          bool
 	leaving     bool
 	leftAt      time.Duration
-	refused     agent.Refusals
+	refused     agent.RefusedLoads
 	// decided is the revision of the newest decision seen.
 	decided uint64
 	// life numbers the engine's lives, for what was scheduled in an old one.
@@ -46,7 +46,7 @@
 
 func (s *simulation) newMachine(number int) *machine {
 	created := &machine{
-		simulation: s, name: numbered("machine", number), up: true, refused: agent.Refusals{},
+		simulation: s, name: numbered("machine", number), up: true, refused: agent.RefusedLoads{},
 		caches: enginemodel.NewCheckpointCache(s.scenario.tiers()),
 	}
 	bytes := int64(s.scenario.Machines.AcceleratorGiB * gibibyte)
@@ -97,12 +97,12 @@
 	report := m.engine.Report()
 	replicas, revision := s.view.ReplicasOn(m.name)
 	for _, order := range agent.Orders(replicas, revision, &report) {
-		if m.refused.Covers(order) {
+		if m.refused.Contains(order) {
 			continue
 		}
 		result, effect := m.engine.Apply(order)
 		if !result.Accepted {
-			m.refused.Note(order, s.wall())
+			m.refused.Record(order, s.wall())
 		}
 		if result.Reason == engine.ReasonNoMemory {
 			s.meter.memoryOvercommits++
