--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -46,8 +46,8 @@
 	return created
 }
 
-// BreakFence makes the engine ignore fences and incarnations, for mutation tests.
-func (e *Engine) BreakFence() {
+// DisableFencing makes the engine ignore fences and incarnations, for mutation tests.
+func (e *Engine) DisableFencing() {
 	e.ignoreFence = true
 }
 
--- a/internal/faultsim/machine.go
+++ b/internal/faultsim/machine.go
@@ -55,7 +55,7 @@
 	created := &machine{process: w.newProcess(numbered("machine", position), zone)}
 	created.engine = enginemodel.New(created.name, acceleratorsPerMachine, acceleratorBytes, 0)
 	if w.mutation == MutationNoFence {
-		created.engine.BreakFence()
+		created.engine.DisableFencing()
 	}
 	created.startEngine()
 	return created
