--- a/internal/emulator/inference.go
+++ b/internal/emulator/inference.go
@@ -84,7 +84,7 @@
 		return nil, false
 	}
 	if held.admits(bytes) {
-		e.model.Begin(name)
+		e.model.BeginRequest(name)
 		held.cacheUsed += bytes
 		e.mutex.Unlock()
 		return held, true
@@ -136,12 +136,12 @@
 }
 
 func (e *Engine) leaveLocked(held *replica, bytes int64) {
-	e.model.End(held.Replica)
+	e.model.EndRequest(held.Replica)
 	held.cacheUsed -= bytes
 	for len(held.waiting) > 0 && held.Phase == engine.PhaseReady && held.admits(held.waiting[0].bytes) {
 		next := held.waiting[0]
 		held.waiting = held.waiting[1:]
-		e.model.Begin(held.Order.Replica)
+		e.model.BeginRequest(held.Order.Replica)
 		held.cacheUsed += next.bytes
 		close(next.granted)
 	}
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -175,8 +175,8 @@
 	return true
 }
 
-// Begin starts a request on a replica. It returns nil if the replica is not ready.
-func (e *Engine) Begin(name string) *Replica {
+// BeginRequest starts a request on a replica. It returns nil if the replica is not ready.
+func (e *Engine) BeginRequest(name string) *Replica {
 	replica := e.replicas[name]
 	if replica == nil || replica.Phase != engine.PhaseReady {
 		return nil
@@ -185,8 +185,8 @@
 	return replica
 }
 
-// End ends a request that Begin started.
-func (e *Engine) End(replica *Replica) {
+// EndRequest ends a request that Begin started.
+func (e *Engine) EndRequest(replica *Replica) {
 	replica.Running--
 	if e.replicas[replica.Order.Replica] == replica {
 		e.release(replica)
--- a/internal/faultsim/machine.go
+++ b/internal/faultsim/machine.go
@@ -135,7 +135,7 @@
 		reply(m.answer(runRejected))
 		return
 	}
-	held := m.engine.Begin(replica)
+	held := m.engine.BeginRequest(replica)
 	if held == nil {
 		reply(m.answer(runRefused))
 		return
@@ -150,7 +150,7 @@
 		return
 	}
 	m.after(took, func() {
-		m.engine.End(held)
+		m.engine.EndRequest(held)
 		if !m.world.breaksRuns || m.close(run) {
 			m.world.checks.truthOf(entry.sent.identity).whole = true
 			reply(m.answer(runWhole))
--- a/internal/policysim/router.go
+++ b/internal/policysim/router.go
@@ -140,7 +140,7 @@
 	s := e.router.simulation
 	e.machine = s.byName[e.grant.Target.Machine]
 	if e.machine.up {
-		e.held = e.machine.engine.Begin(e.grant.Target.Replica)
+		e.held = e.machine.engine.BeginRequest(e.grant.Target.Replica)
 	}
 	if !e.machine.up || e.held == nil {
 		e.again(dispatch.ResultNotRun)
@@ -167,7 +167,7 @@
 		return // The engine died meanwhile.
 	}
 	e.finished++
-	e.machine.engine.End(e.held)
+	e.machine.engine.EndRequest(e.held)
 	e.machine.free(e)
 	e.machine.account()
 	e.router.release(e.grant, dispatch.ResultOK)
@@ -182,7 +182,7 @@
 // expire gives up a request that still waits at its engine when its deadline
 // comes: it was sent, so its router can't say that it did not run.
 func (e *request) expire() {
-	e.machine.engine.End(e.held)
+	e.machine.engine.EndRequest(e.held)
 	e.machine.account()
 	e.router.release(e.grant, dispatch.ResultOK)
 	e.end(outcomeUnknown)
