--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -82,7 +82,7 @@
 	e.model.Restart(uint64(time.Now().UnixNano()))
 	e.replicas = map[string]*replica{}
 	e.streams = map[string]*stream{}
-	e.caches.DropMemory()
+	e.caches.ClearMemory()
 	e.life, e.kill = context.WithCancel(context.Background())
 }
 
@@ -167,7 +167,7 @@
 		loading.readyAt = time.Now().Add(remaining)
 		e.mutex.Unlock()
 	}
-	if speed := e.caches.Speed(tier); speed > 0 {
+	if speed := e.caches.BytesPerSecond(tier); speed > 0 {
 		needed := time.Duration(float64(bytes) / speed * float64(time.Second))
 		progress(needed)
 		select {
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -43,8 +43,8 @@
 	c.disk.add(checkpoint, bytes)
 }
 
-// DropMemory empties the memory tier, as when the engine process exits.
-func (c *CheckpointCache) DropMemory() {
+// ClearMemory empties the memory tier, as when the engine process exits.
+func (c *CheckpointCache) ClearMemory() {
 	c.memory = lruSet{limit: c.tiers.MemoryCacheBytes}
 }
 
@@ -59,9 +59,9 @@
 	return TierRemote
 }
 
-// Speed returns the bandwidth of a local tier in bytes per second, or 0 for a
+// BytesPerSecond returns the bandwidth of a local tier in bytes per second, or 0 for a
 // remote one.
-func (c *CheckpointCache) Speed(tier string) float64 {
+func (c *CheckpointCache) BytesPerSecond(tier string) float64 {
 	switch tier {
 	case TierMemory:
 		return c.tiers.MemoryBytesPerSecond
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -112,7 +112,7 @@
 }
 
 func (e *Engine) hasRoom(order engine.Order) bool {
-	used := e.Used()
+	used := e.UsedBytes()
 	for _, accelerator := range order.Accelerators {
 		if accelerator < 0 || accelerator >= e.Accelerators {
 			return false
@@ -124,8 +124,8 @@
 	return true
 }
 
-// Used returns the bytes reserved on each accelerator.
-func (e *Engine) Used() []int64 {
+// UsedBytes returns the bytes reserved on each accelerator.
+func (e *Engine) UsedBytes() []int64 {
 	used := make([]int64, e.Accelerators)
 	for _, replica := range e.replicas {
 		if replica.Phase == engine.PhaseFailed {
--- a/internal/faultsim/checks.go
+++ b/internal/faultsim/checks.go
@@ -208,7 +208,7 @@
 			c.violate(CheckDecided, "%s holds %s, which nobody decided there", m.name, held.Order.Replica)
 		}
 	}
-	for accelerator, used := range m.engine.Used() {
+	for accelerator, used := range m.engine.UsedBytes() {
 		if used > acceleratorBytes {
 			c.violate(CheckMemory, "%s uses %d bytes of accelerator %d", m.name, used, accelerator)
 		}
--- a/internal/policysim/machine.go
+++ b/internal/policysim/machine.go
@@ -136,7 +136,7 @@
 		m.account()
 		s.wake()
 	}
-	if speed := m.caches.Speed(m.caches.Tier(checkpoint)); speed > 0 {
+	if speed := m.caches.BytesPerSecond(m.caches.Tier(checkpoint)); speed > 0 {
 		s.After(time.Duration(float64(bytes)/speed*float64(time.Second)), finish)
 		return
 	}
@@ -157,7 +157,7 @@
 	m.up = false
 	m.life++
 	m.engine.Restart(m.incarnation)
-	m.caches.DropMemory()
+	m.caches.ClearMemory()
 	m.dropSlots()
 	m.account()
 	m.simulation.dropRequestsOn(m)
--- a/internal/policysim/router.go
+++ b/internal/policysim/router.go
@@ -100,7 +100,7 @@
 		if !machine.up || machine.leaving {
 			continue
 		}
-		speed = max(speed, machine.caches.Speed(machine.caches.Tier(version)))
+		speed = max(speed, machine.caches.BytesPerSecond(machine.caches.Tier(version)))
 	}
 	return time.Duration(float64(s.weights[version]) / speed * float64(time.Second))
 }
