--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -47,7 +47,7 @@
 	return func(ctx context.Context, machine, address string) (bool, error) {
 		connection, err := dial(ctx, machine, address)
 		if err != nil {
-			return tcpopt.Refused(err), fault.Unavailable.Wrap(err, "connecting to machine %s", machine)
+			return tcpopt.IsConnectionRefused(err), fault.Unavailable.Wrap(err, "connecting to machine %s", machine)
 		}
 		_ = connection.Close()
 		return false, nil
--- a/internal/tcpopt/tcpopt.go
+++ b/internal/tcpopt/tcpopt.go
@@ -34,9 +34,9 @@
 	return optionErr
 }
 
-// Refused reports whether a connection was refused: the host is reachable, but no process
+// IsConnectionRefused reports whether a connection was refused: the host is reachable, but no process
 // listens on the port. An unreachable host causes a timeout instead.
-func Refused(err error) bool {
+func IsConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
