--- a/internal/drainlog/drainlog.go
+++ b/internal/drainlog/drainlog.go
@@ -34,8 +34,8 @@
 	}, []string{"zone"})
 }
 
-// InForce records the drains that the node has applied, and logs changes.
-func (l *Log) InForce(now time.Time, drains map[string]nodeview.ZoneDrain) {
+// Update records the drains that the node has applied, and logs changes.
+func (l *Log) Update(now time.Time, drains map[string]nodeview.ZoneDrain) {
 	for zone, drain := range drains {
 		previous := l.drains[zone]
 		l.drains[zone] = drain
--- a/internal/drainlog/drainlog_test.go
+++ b/internal/drainlog/drainlog_test.go
@@ -20,7 +20,7 @@
 	log := New(logger, NewGauge(prometheus.NewRegistry(), "test_zone_drained"))
 	now := time.Unix(1000, 0)
 	for revision, drained := range []bool{false, true, true, false} {
-		log.InForce(now, map[string]nodeview.ZoneDrain{"z": {Drained: drained, Revision: uint64(revision), OrderedAt: now.Add(-time.Second)}})
+		log.Update(now, map[string]nodeview.ZoneDrain{"z": {Drained: drained, Revision: uint64(revision), OrderedAt: now.Add(-time.Second)}})
 	}
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	if len(lines) != 2 || !strings.Contains(lines[0], "drained=true revision=1 age_ms=1000") || !strings.Contains(lines[1], "drained=false revision=3") {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -160,7 +160,7 @@
 		drains := g.options.View.ZoneDrains()
 		g.dispatcher.ChangeTargets(now, g.options.View.AllReplicaTargets())
 		g.services.SetTargets(now, g.options.View.ServiceTargets())
-		g.drains.InForce(now, drains)
+		g.drains.Update(now, drains)
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -165,7 +165,7 @@
 	drains := i.options.View.ZoneDrains()
 	i.dispatcher.SetWarming(i.permits.warming.machines())
 	i.dispatcher.ChangeTargets(time.Now(), i.options.View.TakeTargetChanges())
-	i.drains.InForce(time.Now(), drains)
+	i.drains.Update(time.Now(), drains)
 	i.queued.each((*job).updateRegions)
 	if current && !i.serving.Swap(true) {
 		i.servingChange.Notify()
