--- a/internal/faultsim/run.go
+++ b/internal/faultsim/run.go
@@ -139,7 +139,7 @@
 }
 
 func (w *world) outcome(schedule Schedule) Outcome {
-	outcome := Outcome{Events: w.Ran(), Faults: w.faults, Committed: len(w.checks.entries), Undecided: w.checks.undecided}
+	outcome := Outcome{Events: w.EventsRun(), Faults: w.faults, Committed: len(w.checks.entries), Undecided: w.checks.undecided}
 	outcome.InnocentsRefused = w.checks.innocentsRefused
 	for _, culprit := range w.checks.culprits {
 		outcome.Ended = append(outcome.Ended, len(w.checks.truthOf(culprit.identity).lives))
--- a/internal/policysim/run.go
+++ b/internal/policysim/run.go
@@ -99,7 +99,7 @@
 		IdleHours: m.idle.Hours(), Loads: m.loads,
 		ReplicasOverDecided: m.replicasOverDecided, MemoryOvercommits: m.memoryOvercommits,
 		DuplicateRuns: m.duplicateRuns, FalseNotRun: m.falseNotRun,
-		CutInFlight: m.cutInFlight, LateWork: m.lateWork, Events: s.Ran(),
+		CutInFlight: m.cutInFlight, LateWork: m.lateWork, Events: s.EventsRun(),
 	}
 }
 
--- a/internal/virtualtime/scheduler.go
+++ b/internal/virtualtime/scheduler.go
@@ -53,8 +53,8 @@
 // Now returns the time since the start of the simulation.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// Ran returns the number of events that have run.
-func (s *Scheduler) Ran() int { return s.ran }
+// EventsRun returns the number of events that have run.
+func (s *Scheduler) EventsRun() int { return s.ran }
 
 // After schedules an action after a delay. Actions due at the same time run in the
 // order in which they were scheduled. A negative delay counts as 0.
--- a/internal/virtualtime/scheduler_test.go
+++ b/internal/virtualtime/scheduler_test.go
@@ -24,7 +24,7 @@
 	scheduler.After(time.Hour, record("after the end"))
 	scheduler.RunUntil(3 * time.Second)
 	want := []string{"a at 1s", "b at 1s", "immediate at 1s", "c at 2s", "d at 2s"}
-	if !slices.Equal(ran, want) || scheduler.Now() != 3*time.Second || scheduler.Ran() != 5 {
-		t.Errorf("%q at %s, %d ran", ran, scheduler.Now(), scheduler.Ran())
+	if !slices.Equal(ran, want) || scheduler.Now() != 3*time.Second || scheduler.EventsRun() != 5 {
+		t.Errorf("%q at %s, %d ran", ran, scheduler.Now(), scheduler.EventsRun())
 	}
 }
