--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -25,8 +25,8 @@
 	return sinceBoot()
 }
 
-// Slept returns the total time that the machine was suspended since Watch was started.
-func Slept() time.Duration {
+// TotalSuspended returns the total time that the machine was suspended since Watch was started.
+func TotalSuspended() time.Duration {
 	return time.Duration(totalSuspendedNanos.Load())
 }
 
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -59,7 +59,7 @@
 	Permit feed.PermitFunc
 	// Now is a monotonic clock that includes time suspended. It defaults to clock.Now.
 	Now func() time.Duration
-	// Suspended returns the total time that this host has been suspended. It defaults to clock.Slept.
+	// Suspended returns the total time that this host has been suspended. It defaults to clock.TotalSuspended.
 	Suspended func() time.Duration
 }
 
@@ -96,7 +96,7 @@
 	config := dispatch.Config{MaxWaiting: options.MaxWaiting, SharedSlots: true, PlacedAdapters: true, LeastWork: true, Seed: rand.Uint64()}
 	requestsCtx, cancelRequests := context.WithCancel(context.Background())
 	if options.Suspended == nil {
-		options.Suspended = clock.Slept
+		options.Suspended = clock.TotalSuspended
 	}
 	if options.Now == nil {
 		options.Now = clock.Now
