--- a/api/v1/routing.go
+++ b/api/v1/routing.go
@@ -214,8 +214,8 @@
 // References implements Spec.
 func (s *DeclarationSpec) References() []Reference { return nil }
 
-// CheckRoutes returns an error if two routes have the same host and prefix.
-func CheckRoutes(routes map[string]*RouteSpec) error {
+// ValidateRoutes returns an error if two routes have the same host and prefix.
+func ValidateRoutes(routes map[string]*RouteSpec) error {
 	names := make([]string, 0, len(routes))
 	for name := range routes {
 		names = append(names, name)
--- a/api/v1/tenant.go
+++ b/api/v1/tenant.go
@@ -127,8 +127,8 @@
 	Position      int
 }
 
-// CheckTenants returns a key that two tenants share, or nil.
-func CheckTenants(tenants map[string]*TenantSpec) *SharedKey {
+// FindSharedKey returns a key that two tenants share, or nil.
+func FindSharedKey(tenants map[string]*TenantSpec) *SharedKey {
 	names := make([]string, 0, len(tenants))
 	for name := range tenants {
 		names = append(names, name)
--- a/internal/state/declare.go
+++ b/internal/state/declare.go
@@ -76,7 +76,7 @@
 			routes[object.GetName()] = route
 		}
 	}
-	return v1.CheckRoutes(routes)
+	return v1.ValidateRoutes(routes)
 }
 
 // declarationWrites puts what is declared and deletes what no longer is.
--- a/internal/state/overlay.go
+++ b/internal/state/overlay.go
@@ -201,7 +201,7 @@
 			delete(tenants, key.Name)
 		}
 	}
-	shared := v1.CheckTenants(tenants)
+	shared := v1.FindSharedKey(tenants)
 	if shared == nil {
 		return nil
 	}
