--- a/api/v1/validate.go
+++ b/api/v1/validate.go
@@ -47,9 +47,9 @@
 	Optional bool
 }
 
-// IsReferred reports whether specs can refer to resources of a kind. Machines and replicas, the most
+// IsReferenceable reports whether specs can refer to resources of a kind. Machines and replicas, the most
 // numerous resources, are excluded.
-func (k Kind) IsReferred() bool {
+func (k Kind) IsReferenceable() bool {
 	switch k {
 	case KindModel, KindModelVersion, KindService, KindPool:
 		return true
--- a/internal/state/overlay.go
+++ b/internal/state/overlay.go
@@ -142,7 +142,7 @@
 	for _, key := range o.order {
 		staged := o.staged[key]
 		if staged.object == nil {
-			referred = referred || key.Kind.IsReferred()
+			referred = referred || key.Kind.IsReferenceable()
 			continue
 		}
 		if failure := o.checkReferencesOf(key, staged.spec); failure != nil {
--- a/internal/state/references_test.go
+++ b/internal/state/references_test.go
@@ -39,7 +39,7 @@
 		&v1.SuspectSpec{}, &v1.ZoneDrainSpec{}, &v1.DeclarationSpec{},
 	} {
 		for _, reference := range spec.References() {
-			if !reference.Kind.IsReferred() {
+			if !reference.Kind.IsReferenceable() {
 				t.Errorf("%T refers to a %s", spec, reference.Kind)
 			}
 		}
