--- a/api/v1/suspect.go
+++ b/api/v1/suspect.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MaxCrashesRecorded bounds the machines that a Suspect names.
-const MaxCrashesRecorded = 16
+// MaxRecordedCrashes bounds the machines that a Suspect names.
+const MaxRecordedCrashes = 16
 
 // SuspectSpec records a request that was running on machines when their processes crashed. The
 // resource is named by the request's identity. Deleting it lifts the quarantine.
@@ -22,7 +22,7 @@
 func (s *SuspectSpec) setDefaults() {}
 
 func (s *SuspectSpec) validate() error {
-	return requireRange("spec.machines", int64(len(s.Machines)), 0, MaxCrashesRecorded)
+	return requireRange("spec.machines", int64(len(s.Machines)), 0, MaxRecordedCrashes)
 }
 
 // References implements Spec. The machines usually no longer exist.
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -21,7 +21,7 @@
 	if current != nil {
 		*updated = *current
 	}
-	if len(updated.Machines) >= v1.MaxCrashesRecorded || slices.Contains(updated.Machines, machine) {
+	if len(updated.Machines) >= v1.MaxRecordedCrashes || slices.Contains(updated.Machines, machine) {
 		return current, false
 	}
 	updated.Machines = append(slices.Clone(updated.Machines), machine)
