--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -168,7 +168,7 @@
 }
 
 func (g *Gateway) answerUnknown(writer http.ResponseWriter, c *call, detail string) string {
-	document := problem.New(problem.TypeUnknown, http.StatusGatewayTimeout, detail)
+	document := problem.New(problem.TypeOutcomeUnknown, http.StatusGatewayTimeout, detail)
 	document.Outcome = problem.OutcomeUnknown
 	document.RetryAfter = time.Second
 	g.fail(writer, c.id, document)
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -46,51 +46,51 @@
 
 // The problem types, without typePrefix. docs/API.md lists them.
 const (
-	TypeInvalid       = "invalid"
-	TypeConflict      = "conflict"
-	TypeNotFound      = "not-found"
-	TypeInUse         = "in-use"
-	TypeUnauthorized  = "unauthorized"
-	TypeExpired       = "expired"
-	TypeUnavailable   = "unavailable"
-	TypeDeadline      = "deadline"
-	TypeOverloaded    = "overloaded"
-	TypeLimited       = "limited"
-	TypeTooLarge      = "too-large"
-	TypeKeyMismatch   = "idempotency-key-mismatch"
-	TypeKeyMissing    = "idempotency-key-missing"
-	TypeUnknown       = "outcome-unknown"
-	TypeEngineFailed  = "engine-failed"
-	TypeStreamBroken  = "stream-broken"
-	TypeNotLoadable   = "not-loadable"
-	TypeStopping      = "stopping"
-	TypeQuarantined   = "quarantined"
-	TypeNoRegion      = "no-allowed-region"
-	TypeInternalError = "internal"
+	TypeInvalid        = "invalid"
+	TypeConflict       = "conflict"
+	TypeNotFound       = "not-found"
+	TypeInUse          = "in-use"
+	TypeUnauthorized   = "unauthorized"
+	TypeExpired        = "expired"
+	TypeUnavailable    = "unavailable"
+	TypeDeadline       = "deadline"
+	TypeOverloaded     = "overloaded"
+	TypeLimited        = "limited"
+	TypeTooLarge       = "too-large"
+	TypeKeyMismatch    = "idempotency-key-mismatch"
+	TypeKeyMissing     = "idempotency-key-missing"
+	TypeOutcomeUnknown = "outcome-unknown"
+	TypeEngineFailed   = "engine-failed"
+	TypeStreamBroken   = "stream-broken"
+	TypeNotLoadable    = "not-loadable"
+	TypeStopping       = "stopping"
+	TypeQuarantined    = "quarantined"
+	TypeNoRegion       = "no-allowed-region"
+	TypeInternalError  = "internal"
 )
 
 var titles = map[string]string{
-	TypeInvalid:       "The request is not valid",
-	TypeConflict:      "The resource has another version",
-	TypeNotFound:      "There is no such thing",
-	TypeInUse:         "The resource is in use",
-	TypeUnauthorized:  "The key or token does not allow this",
-	TypeExpired:       "The position is too old; list again",
-	TypeUnavailable:   "The service can't answer now",
-	TypeDeadline:      "The deadline can't be met",
-	TypeOverloaded:    "Too many requests wait already",
-	TypeLimited:       "A declared limit is reached",
-	TypeTooLarge:      "The request is too large",
-	TypeKeyMismatch:   "The key was used for another request",
-	TypeKeyMissing:    "An Idempotency-Key is required",
-	TypeUnknown:       "The outcome is not known",
-	TypeEngineFailed:  "The back end failed",
-	TypeStreamBroken:  "The stream broke before its end",
-	TypeNotLoadable:   "The model can't be loaded",
-	TypeStopping:      "This node is stopping",
-	TypeQuarantined:   "Machines have ended each time that they ran this request",
-	TypeNoRegion:      "No machine in an allowed region may serve the request",
-	TypeInternalError: "An internal error",
+	TypeInvalid:        "The request is not valid",
+	TypeConflict:       "The resource has another version",
+	TypeNotFound:       "There is no such thing",
+	TypeInUse:          "The resource is in use",
+	TypeUnauthorized:   "The key or token does not allow this",
+	TypeExpired:        "The position is too old; list again",
+	TypeUnavailable:    "The service can't answer now",
+	TypeDeadline:       "The deadline can't be met",
+	TypeOverloaded:     "Too many requests wait already",
+	TypeLimited:        "A declared limit is reached",
+	TypeTooLarge:       "The request is too large",
+	TypeKeyMismatch:    "The key was used for another request",
+	TypeKeyMissing:     "An Idempotency-Key is required",
+	TypeOutcomeUnknown: "The outcome is not known",
+	TypeEngineFailed:   "The back end failed",
+	TypeStreamBroken:   "The stream broke before its end",
+	TypeNotLoadable:    "The model can't be loaded",
+	TypeStopping:       "This node is stopping",
+	TypeQuarantined:    "Machines have ended each time that they ran this request",
+	TypeNoRegion:       "No machine in an allowed region may serve the request",
+	TypeInternalError:  "An internal error",
 }
 
 // New returns a document of a problem type.
