--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("%v", report)
 	}
 	if !refused.Contains(engine.Order{Kind: engine.OrderLoad, Replica: "a"}) || refused.Contains(engine.Order{Kind: engine.OrderUnload, Replica: "a"}) {
-		t.Error("Covers must match the refused load and no other order")
+		t.Error("Contains must match the refused load and no other order")
 	}
 	if later := MachineReport("m", &engine.Report{}, refused, now.Add(time.Minute)); len(later.GetReplicas()) != 0 {
 		t.Errorf("%v", later)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// watchInterval bounds how long Slept lags behind after the machine wakes up.
+	// watchInterval bounds how long TotalSuspended lags behind after the machine wakes up.
 	watchInterval = 50 * time.Millisecond
 	// minSuspend is the shortest suspend to report. Shorter differences can come from reading the
 	// two clocks at different times.
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -59,8 +59,7 @@
 	return TierRemote
 }
 
-// BytesPerSecond returns the bandwidth of a local tier in bytes per second, or 0 for a
-// remote one.
+// BytesPerSecond returns the read bandwidth of a local tier, or 0 for the remote one.
 func (c *CheckpointCache) BytesPerSecond(tier string) float64 {
 	switch tier {
 	case TierMemory:
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -185,7 +185,7 @@
 	return replica
 }
 
-// EndRequest ends a request that Begin started.
+// EndRequest ends a request that BeginRequest started.
 func (e *Engine) EndRequest(replica *Replica) {
 	replica.Running--
 	if e.replicas[replica.Order.Replica] == replica {
