--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -37,10 +37,10 @@
 	return history.versions, age
 }
 
-// Serves implements feed.Backend. A node does not serve before it is a member, nor while its
+// Ready implements feed.Backend. A node does not serve before it is a member, nor while its
 // messages do not reach the leader: it may then lag behind the log and can't forward calls. It does
 // serve without a leader, since every other node is in the same situation.
-func (n *Node) Serves() bool {
+func (n *Node) Ready() bool {
 	return len(n.membership.Load().GetVoters()) > 0 && !n.isIsolated()
 }
 
@@ -53,7 +53,7 @@
 func (n *Node) ChangesAfter(revision uint64) feed.Changes {
 	n.stateMutex.RLock()
 	defer n.stateMutex.RUnlock()
-	return feed.ChangesOf(n.member.State, revision)
+	return feed.ChangesSince(n.member.State, revision)
 }
 
 // Changed implements feed.Backend.
@@ -109,7 +109,7 @@
 
 // receiveDigest keeps the digest if it is newer than the current one.
 func (n *Node) receiveDigest(digest *wirepb.ClusterDigest) {
-	if !feed.Newer(digest, n.digest.Load()) {
+	if !feed.IsNewerDigest(digest, n.digest.Load()) {
 		return
 	}
 	if history := controller.HistoryOf(digest); history != nil {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -401,7 +401,7 @@
 			}
 		case *wirepb.Envelope_Proposal:
 			workers.Go(func() {
-				feed.AnswerProposal(ctx, conn, envelope.GetRequestId(), body.Proposal, n.proposeLocally)
+				feed.HandleProposal(ctx, conn, envelope.GetRequestId(), body.Proposal, n.proposeLocally)
 			})
 		case *wirepb.Envelope_JoinRequest:
 			n.receiveJoin(body.JoinRequest.GetMember(), conn.Peer.GetControlId())
@@ -409,7 +409,7 @@
 			n.receiveForwardedReport(conn, body.InstanceReport)
 		case *wirepb.Envelope_PermitRequest:
 			workers.Go(func() {
-				feed.AnswerPermit(ctx, conn, envelope.GetRequestId(), body.PermitRequest, n.permitLocally, n.logger)
+				feed.HandlePermitRequest(ctx, conn, envelope.GetRequestId(), body.PermitRequest, n.permitLocally, n.logger)
 			})
 		case *wirepb.Envelope_StatusRequest:
 			workers.Go(func() { n.answerStatus(conn, envelope.GetRequestId(), body.StatusRequest) })
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -221,7 +221,7 @@
 	} else if urgent {
 		c.pass()
 	}
-	return watchReply{changes: feed.ChangesOf(c.member.State, revision), digest: c.digest}
+	return watchReply{changes: feed.ChangesSince(c.member.State, revision), digest: c.digest}
 }
 
 // take keeps a router's report. It reports whether the leader should act on it at once.
@@ -304,7 +304,7 @@
 }
 
 func (c *controlNode) takeDigest(digest *wirepb.ClusterDigest) {
-	if feed.Newer(digest, c.digest) {
+	if feed.IsNewerDigest(digest, c.digest) {
 		c.digest = digest
 		c.mergeLimits(digest.GetLimits())
 	}
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -145,7 +145,7 @@
 }
 
 func (r *routerNode) take(answer watchReply) {
-	changes, fresh := feed.Fresh(r.view.Revision(), answer.changes)
+	changes, fresh := feed.NewerChanges(r.view.Revision(), answer.changes)
 	if r.world.mutation == MutationRevert && answer.changes.Revision < r.view.Revision() {
 		r.view = nodeview.New()
 		changes, fresh = answer.changes, true
@@ -159,9 +159,9 @@
 	if answer.digest == nil {
 		return
 	}
-	r.liveness.Take(r.wall(), answer.digest, r.heldForLiveness(answer.digest))
+	r.liveness.DigestReceived(r.wall(), answer.digest, r.heldForLiveness(answer.digest))
 	before := r.view.Digest()
-	r.view.TakeDigest(answer.digest)
+	r.view.ApplyDigest(answer.digest)
 	if r.view.Digest() == before {
 		return
 	}
--- a/internal/feed/balance.go
+++ b/internal/feed/balance.go
@@ -44,7 +44,7 @@
 func (c *Client) moveTo(better, current connection) {
 	c.mutex.Lock()
 	c.handover = &better
-	c.liveness.reason = LostMoved
+	c.liveness.reason = DisconnectRebalanced
 	c.mutex.Unlock()
 	current.conn.Close()
 }
@@ -115,7 +115,7 @@
 		digest := digests.Complete(body.ClusterDigest)
 		c.mutex.Lock()
 		// Who holds no digest yet can't tell an old one from news.
-		newer := digest != nil && c.liveness.newest != nil && Newer(digest, c.liveness.newest)
+		newer := digest != nil && c.liveness.newest != nil && IsNewerDigest(digest, c.liveness.newest)
 		c.mutex.Unlock()
 		if newer {
 			return digest
--- a/internal/feed/balance_test.go
+++ b/internal/feed/balance_test.go
@@ -45,9 +45,9 @@
 // nullSink takes everything.
 type nullSink struct{}
 
-func (nullSink) Revision() uint64                 { return 1 }
-func (nullSink) Apply(Changes)                    {}
-func (nullSink) TakeDigest(*wirepb.ClusterDigest) {}
+func (nullSink) Revision() uint64                  { return 1 }
+func (nullSink) Apply(Changes)                     {}
+func (nullSink) ApplyDigest(*wirepb.ClusterDigest) {}
 
 func identityOf(name string) wire.Identity {
 	return wire.Identity{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "c", Node: name}}
@@ -73,18 +73,18 @@
 		addresses = append(addresses, listener.Addr().String())
 	}
 	var order []string
-	for _, server := range byPreference("client", places.Location{}, Upstreams(addresses)) {
+	for _, server := range byPreference("client", places.Location{}, UpstreamsFromAddresses(addresses)) {
 		order = append(order, server.Address)
 	}
 	backends[order[0]].stands = true
 	client := NewClient([]string{order[2]}, identityOf("client"), nullSink{}, slog.New(slog.DiscardHandler))
 	client.rebalanceAfter = time.Millisecond
 	var known sync.Map
-	client.Discover(func() []Upstream {
+	client.SetDiscovery(func() []Upstream {
 		if _, all := known.Load("all"); all {
-			return Upstreams(order)
+			return UpstreamsFromAddresses(order)
 		}
-		return Upstreams(order[1:])
+		return UpstreamsFromAddresses(order[1:])
 	})
 	workers.Go(func() { client.Run(ctx) })
 	follows := func() string {
@@ -201,7 +201,7 @@
 	if _, proved := client.prove(ctx, address); proved {
 		t.Error("a server with more than twice its fair share takes another for nearness")
 	}
-	if connected, err := connectAny(ctx, Upstreams([]string{address}), client.dial); err != nil {
+	if connected, err := connectAny(ctx, UpstreamsFromAddresses([]string{address}), client.dial); err != nil {
 		t.Error("a crowded server refuses a node that has no other")
 	} else {
 		connected.conn.Close()
@@ -220,13 +220,13 @@
 	return digest
 }
 
-// zonedSink holds nothing before it is sent a state, and remembers the digest.
-type zonedSink struct {
-	sinkOf
+// digestSink holds nothing before it is sent a state, and remembers the digest.
+type digestSink struct {
+	recordingSink
 	digest atomic.Pointer[wirepb.ClusterDigest]
 }
 
-func (s *zonedSink) TakeDigest(digest *wirepb.ClusterDigest) { s.digest.Store(digest) }
+func (s *digestSink) ApplyDigest(digest *wirepb.ClusterDigest) { s.digest.Store(digest) }
 
 // TestNodesListAtANearServer: a node that knows a far server by its settings learns of a near one
 // there, and is sent the state by that one only.
@@ -252,10 +252,10 @@
 		server := NewServer(backends[zone], identity, zones, slog.New(slog.DiscardHandler), nil)
 		workers.Go(func() { _ = server.Serve(ctx, listener) })
 	}
-	sink := &zonedSink{sinkOf: sinkOf{changed: signal.New()}}
+	sink := &digestSink{recordingSink: recordingSink{changed: signal.New()}}
 	client := NewClient(roster.GetControl()[:1], identityOf("client"), sink, slog.New(slog.DiscardHandler))
-	client.Discover(func() []Upstream { return UpstreamsOf(sink.digest.Load().GetRoster()) })
-	client.Prefer(places.Location{Zone: "near", Zones: zones})
+	client.SetDiscovery(func() []Upstream { return UpstreamsFromRoster(sink.digest.Load().GetRoster()) })
+	client.SetLocation(places.Location{Zone: "near", Zones: zones})
 	workers.Go(func() { client.Run(ctx) })
 	sink.await(t, "the state", func() bool { return sink.Revision() == 100 })
 	if backends["far"].lists != 0 || backends["near"].lists == 0 {
--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -38,8 +38,8 @@
 	return created
 }
 
-// Attach sets the client that feeds the cache.
-func (c *Cache) Attach(client *Client) {
+// SetClient sets the client that feeds the cache.
+func (c *Cache) SetClient(client *Client) {
 	c.client = client
 }
 
@@ -102,16 +102,16 @@
 	c.events = append([]*wirepb.WatchEvent(nil), c.events[dropped:]...)
 }
 
-// TakeDigest implements Sink.
-func (c *Cache) TakeDigest(digest *wirepb.ClusterDigest) {
+// ApplyDigest implements Sink.
+func (c *Cache) ApplyDigest(digest *wirepb.ClusterDigest) {
 	c.mutex.Lock()
 	defer c.digestChanged.Notify()
 	defer c.mutex.Unlock()
 	c.digest = digest
 }
 
-// Serves implements Backend: nodes may wait at a relay for what it is sent.
-func (c *Cache) Serves() bool { return true }
+// Ready implements Backend: nodes may wait at a relay for what it is sent.
+func (c *Cache) Ready() bool { return true }
 
 // ChangesAfter implements Backend.
 func (c *Cache) ChangesAfter(revision uint64) Changes {
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -19,8 +19,8 @@
 	Revision() uint64
 	// Apply takes changes; a batch with Reset holds the whole state.
 	Apply(changes Changes)
-	// TakeDigest takes soft state.
-	TakeDigest(digest *wirepb.ClusterDigest)
+	// ApplyDigest takes soft state.
+	ApplyDigest(digest *wirepb.ClusterDigest)
 }
 
 // Client follows one of several servers and changes to the next when it is
@@ -87,8 +87,8 @@
 func (c *Client) leave(connected connection, since time.Time) {
 	c.mutex.Lock()
 	reason, newest := c.liveness.reason, c.liveness.newest
-	if reason != LostMoved {
-		cutOff := reason == LostSilent || reason == LostBehind
+	if reason != DisconnectRebalanced {
+		cutOff := reason == DisconnectNoDigest || reason == DisconnectBehind
 		c.left.note(since, connected.address, departure{at: time.Now(), cutOff: cutOff, zone: connected.conn.Peer.GetZone()})
 	}
 	c.mutex.Unlock()
@@ -96,15 +96,15 @@
 		"revision", c.sink.Revision(), "leader_term", newest.GetTerm(), "leader_revision", newest.GetRevision())
 }
 
-// Discover makes the client try further servers, which the function returns;
+// SetDiscovery makes the client try further servers, which the function returns;
 // call it before Run. Nodes that are told a few servers to begin with learn of
 // the others from the feed.
-func (c *Client) Discover(discover func() []Upstream) {
+func (c *Client) SetDiscovery(discover func() []Upstream) {
 	c.discover = discover
 }
 
-// Prefer makes the client prefer servers that are near a position; call it before Run.
-func (c *Client) Prefer(position places.Location) {
+// SetLocation makes the client prefer servers that are near a position; call it before Run.
+func (c *Client) SetLocation(position places.Location) {
 	c.position = position
 }
 
@@ -126,7 +126,7 @@
 // servers returns the servers known by now: in the order of preference, or as listed where no
 // others can become known.
 func (c *Client) servers() []Upstream {
-	servers := Upstreams(c.upstreams)
+	servers := UpstreamsFromAddresses(c.upstreams)
 	if c.discover == nil {
 		return servers
 	}
@@ -185,20 +185,20 @@
 func (c *Client) noteLoss() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	reason, lost := c.liveness.Look(time.Now())
+	reason, lost := c.liveness.Check(time.Now())
 	if lost {
 		c.liveness.reason = reason
 	}
 	return lost
 }
 
-// Woke begins anew with a server after a sleep of this machine. The clock of the liveness has
+// Resumed begins anew with a server after a sleep of this machine. The clock of the liveness has
 // stood still, so that it would take what it holds for new.
-func (c *Client) Woke() {
+func (c *Client) Resumed() {
 	c.mutex.Lock()
 	conn := c.conn
 	if conn != nil {
-		c.liveness.reason = LostSlept
+		c.liveness.reason = DisconnectSuspended
 	}
 	c.mutex.Unlock()
 	if conn != nil {
@@ -261,7 +261,7 @@
 	if batch.GetReset_() {
 		list = append(list, batch.GetEvents()...)
 		if batch.GetMore() {
-			c.note(c.liveness.TakePart)
+			c.note(c.liveness.ListPartReceived)
 			return list
 		}
 		c.applyList(Changes{Events: list, Revision: batch.GetRevision(), Reset: true})
@@ -274,7 +274,7 @@
 		}
 		return nil
 	}
-	if fresh, any := Fresh(c.sink.Revision(), changes); any {
+	if fresh, any := NewerChanges(c.sink.Revision(), changes); any {
 		c.sink.Apply(fresh)
 		c.noteApplied()
 	}
@@ -284,8 +284,8 @@
 // takeDigest notes a digest and passes it on.
 func (c *Client) takeDigest(digest *wirepb.ClusterDigest) {
 	held := c.sink.Revision()
-	c.note(func(now time.Time) { c.liveness.Take(now, digest, held) })
-	c.sink.TakeDigest(digest)
+	c.note(func(now time.Time) { c.liveness.DigestReceived(now, digest, held) })
+	c.sink.ApplyDigest(digest)
 }
 
 // noteApplied brings the liveness in step with the sink.
@@ -297,7 +297,7 @@
 // takeListPart takes a part of a compressed list. It returns whether the server may be
 // followed on.
 func (c *Client) takeListPart(lists *listReceiver, part *wirepb.WatchListPart) bool {
-	c.note(c.liveness.TakePart)
+	c.note(c.liveness.ListPartReceived)
 	listed, done, err := lists.take(part)
 	if err != nil {
 		c.logger.Warn("list_not_taken", "server", c.last, "error", fault.Message(err))
@@ -312,13 +312,13 @@
 // applyList takes over a whole state. That takes a while where there are thousands of
 // machines.
 func (c *Client) applyList(listed Changes) {
-	fresh, any := Fresh(c.sink.Revision(), listed)
+	fresh, any := NewerChanges(c.sink.Revision(), listed)
 	if !any {
 		return
 	}
-	c.note(func(now time.Time) { c.liveness.Apply(now, true) })
+	c.note(func(now time.Time) { c.liveness.SetApplying(now, true) })
 	c.sink.Apply(fresh)
-	c.note(func(now time.Time) { c.liveness.Apply(now, false) })
+	c.note(func(now time.Time) { c.liveness.SetApplying(now, false) })
 	c.noteApplied()
 }
 
--- a/internal/feed/confirm.go
+++ b/internal/feed/confirm.go
@@ -18,9 +18,9 @@
 	confirmPoll = 5 * time.Millisecond
 )
 
-// Confirmed is a Sink that must not be used before it holds what the leader
+// ConfirmableSink is a Sink that must not be used before it holds what the leader
 // held after it had started.
-type Confirmed interface {
+type ConfirmableSink interface {
 	// Current reports whether it may be used.
 	Current() bool
 	// Confirm takes a revision that the leader held after the start.
@@ -29,7 +29,7 @@
 
 // ConfirmUntilCurrent asks the leader for its revision, through whichever
 // server is connected, until the sink is current.
-func (c *Client) ConfirmUntilCurrent(ctx context.Context, sink Confirmed) {
+func (c *Client) ConfirmUntilCurrent(ctx context.Context, sink ConfirmableSink) {
 	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
 	for !sink.Current() {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (c *Client) confirmOnce(ctx context.Context, sink Confirmed) {
+func (c *Client) confirmOnce(ctx context.Context, sink ConfirmableSink) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if revision, err := c.Confirm(ctx); err == nil {
--- a/internal/feed/connect_test.go
+++ b/internal/feed/connect_test.go
@@ -34,7 +34,7 @@
 		{},
 	}
 	for _, test := range tests {
-		connected, err := connectAny(t.Context(), Upstreams(test.servers), dial)
+		connected, err := connectAny(t.Context(), UpstreamsFromAddresses(test.servers), dial)
 		if answers := err == nil; answers != test.answers {
 			t.Errorf("%v: answered %v", test.servers, answers)
 		}
@@ -52,7 +52,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if _, err := connectAny(ctx, Upstreams([]string{"silent", "silent too"}), dial); err == nil {
+	if _, err := connectAny(ctx, UpstreamsFromAddresses([]string{"silent", "silent too"}), dial); err == nil {
 		t.Error("connected to a silent server")
 	}
 }
--- a/internal/feed/digest.go
+++ b/internal/feed/digest.go
@@ -6,10 +6,10 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// Newer reports whether a digest is to replace the held one, which may be
+// IsNewerDigest reports whether a digest is to replace the held one, which may be
 // nil. Order is by term, then sequence, so that a deposed leader's late digest
 // changes nothing.
-func Newer(digest, held *wirepb.ClusterDigest) bool {
+func IsNewerDigest(digest, held *wirepb.ClusterDigest) bool {
 	if held == nil || digest.GetTerm() != held.GetTerm() {
 		return held == nil || digest.GetTerm() > held.GetTerm()
 	}
--- a/internal/feed/digest_test.go
+++ b/internal/feed/digest_test.go
@@ -50,11 +50,11 @@
 	}
 }
 
-func TestNewer(t *testing.T) {
+func TestIsNewerDigest(t *testing.T) {
 	order := []*wirepb.ClusterDigest{nil, digestOf(1, 5, 1), digestOf(1, 6, 1), digestOf(2, 1, 1)}
 	for older, held := range order {
 		for position, digest := range order[1:] {
-			if Newer(digest, held) != (position+1 > older) {
+			if IsNewerDigest(digest, held) != (position+1 > older) {
 				t.Errorf("digest %d over %d", position+1, older)
 			}
 		}
--- a/internal/feed/harness_test.go
+++ b/internal/feed/harness_test.go
@@ -53,7 +53,7 @@
 // relay runs a relay behind a server.
 func (r *running) relay(address string) *Cache {
 	relay := NewCache()
-	relay.Attach(client("relay", address, relay))
+	relay.SetClient(client("relay", address, relay))
 	r.run(relay.Run)
 	return relay
 }
--- a/internal/feed/list_test.go
+++ b/internal/feed/list_test.go
@@ -62,7 +62,7 @@
 
 func (b *listBackend) DigestChanged() <-chan struct{} { return nil }
 func (b *listBackend) Report(...*wirepb.NodeReport)   {}
-func (b *listBackend) Serves() bool                   { return true }
+func (b *listBackend) Ready() bool                    { return true }
 
 func (b *listBackend) Permit(context.Context, *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 	return nil, nil
--- a/internal/feed/liveness.go
+++ b/internal/feed/liveness.go
@@ -23,23 +23,23 @@
 	stallLimit   = 2 * lookInterval
 )
 
-// LossReason is why a client follows a server no more; empty while it follows one.
-type LossReason string
+// DisconnectReason is why a client follows a server no more; empty while it follows one.
+type DisconnectReason string
 
 // The reasons for leaving a server.
 const (
-	// LostClosed is a connection that the server closed, or that broke.
-	LostClosed LossReason = "closed"
-	// LostSilent is a server without news from a leader.
-	LostSilent LossReason = "silent"
-	// LostBehind is a server that lacks changes its digests tell of: it hears the leader, and
+	// DisconnectClosed is a connection that the server closed, or that broke.
+	DisconnectClosed DisconnectReason = "closed"
+	// DisconnectNoDigest is a server without news from a leader.
+	DisconnectNoDigest DisconnectReason = "silent"
+	// DisconnectBehind is a server that lacks changes its digests tell of: it hears the leader, and
 	// what it holds is not what the leader holds.
-	LostBehind LossReason = "behind"
-	// LostSlept is a sleep of this machine: what came before it is out of date, and the server
+	DisconnectBehind DisconnectReason = "behind"
+	// DisconnectSuspended is a sleep of this machine: what came before it is out of date, and the server
 	// may have given the connection up.
-	LostSlept LossReason = "slept"
-	// LostMoved is a change to a server that the client prefers.
-	LostMoved LossReason = "moved"
+	DisconnectSuspended DisconnectReason = "slept"
+	// DisconnectRebalanced is a change to a server that the client prefers.
+	DisconnectRebalanced DisconnectReason = "moved"
 )
 
 // Liveness tells whether a server still hears from a leader, and holds what the leader
@@ -59,19 +59,19 @@
 	// applying is set while the client takes over a state and reads nothing.
 	applying bool
 	// reason is why the present server is left, or was.
-	reason LossReason
+	reason DisconnectReason
 }
 
 // Connected begins the time of a new server.
 func (l *Liveness) Connected(now time.Time) {
 	l.due = now.Add(firstLimit)
-	l.reason = LostClosed
+	l.reason = DisconnectClosed
 	l.missingSince, l.looked = now, now
 }
 
-// Take notes a digest; held is the revision applied by then.
-func (l *Liveness) Take(now time.Time, digest *wirepb.ClusterDigest, held uint64) {
-	if !Newer(digest, l.newest) {
+// DigestReceived notes a digest; held is the revision applied by then.
+func (l *Liveness) DigestReceived(now time.Time, digest *wirepb.ClusterDigest, held uint64) {
+	if !IsNewerDigest(digest, l.newest) {
 		return
 	}
 	l.newest = digest
@@ -96,20 +96,20 @@
 	}
 }
 
-// TakePart notes a part of the state that more is to come of. Digests wait behind it: with
+// ListPartReceived notes a part of the state that more is to come of. Digests wait behind it: with
 // thousands of machines the whole state takes seconds on a slow link, and a client that gave
 // up then would begin anew with the next server, for ever. A server that is cut off has no
 // more parts once it has sent what it holds.
-func (l *Liveness) TakePart(now time.Time) {
+func (l *Liveness) ListPartReceived(now time.Time) {
 	if due := now.Add(firstLimit); due.After(l.due) {
 		l.due = due
 	}
 	l.missingSince = now
 }
 
-// Apply notes that the client begins to take over what it received, or is done with it.
+// SetApplying notes that the client begins to take over what it received, or is done with it.
 // It hears nothing meanwhile.
-func (l *Liveness) Apply(now time.Time, begins bool) {
+func (l *Liveness) SetApplying(now time.Time, begins bool) {
 	l.applying = begins
 	if due := now.Add(firstLimit); !begins && due.After(l.due) {
 		l.due = due
@@ -117,10 +117,10 @@
 	l.missingSince = now
 }
 
-// Look is Lost for a client that looks every lookInterval. One that stood still meanwhile has not read
+// Check is Lost for a client that looks every lookInterval. One that stood still meanwhile has not read
 // what its server sent: it would leave a server that brings news for whichever is next, and that may be
 // one that is cut off.
-func (l *Liveness) Look(now time.Time) (reason LossReason, lost bool) {
+func (l *Liveness) Check(now time.Time) (reason DisconnectReason, lost bool) {
 	if now.Sub(l.looked) > stallLimit {
 		if due := now.Add(firstLimit); due.After(l.due) {
 			l.due = due
@@ -132,14 +132,14 @@
 }
 
 // Lost reports whether another server should be tried, and why.
-func (l *Liveness) Lost(now time.Time) (reason LossReason, lost bool) {
+func (l *Liveness) Lost(now time.Time) (reason DisconnectReason, lost bool) {
 	switch {
 	case l.applying:
 		return "", false
 	case now.After(l.due):
-		return LostSilent, true
+		return DisconnectNoDigest, true
 	case l.missing != 0 && now.After(l.missingSince.Add(behindLimit)):
-		return LostBehind, true
+		return DisconnectBehind, true
 	}
 	return "", false
 }
--- a/internal/feed/liveness_test.go
+++ b/internal/feed/liveness_test.go
@@ -12,8 +12,8 @@
 // knew came back to the same one once it had learned of more, and stayed with a
 // server that was cut off.
 func TestNextServerLeavesTheLast(t *testing.T) {
-	seeds := Upstreams([]string{"a", "b", "c"})
-	grown := Upstreams([]string{"a", "b", "c", "d"})
+	seeds := UpstreamsFromAddresses([]string{"a", "b", "c"})
+	grown := UpstreamsFromAddresses([]string{"a", "b", "c", "d"})
 	now := time.Unix(1000, 0)
 	for _, last := range grown {
 		order := departures{last.Address: {at: now}}.inTurn(places.ZoneMap{}, grown)
@@ -48,7 +48,7 @@
 	}
 	held := &Liveness{}
 	held.Connected(start)
-	held.Take(start, digest(2, 7), 0)
+	held.DigestReceived(start, digest(2, 7), 0)
 	if isLost(held, start.Add(silenceLimit)) {
 		t.Error("lost within the limit")
 	}
@@ -57,11 +57,11 @@
 		t.Error("not lost after the limit")
 	}
 	held.Connected(later)
-	held.Take(later, digest(2, 7), 0)
+	held.DigestReceived(later, digest(2, 7), 0)
 	if !isLost(held, later.Add(firstLimit+time.Millisecond)) {
 		t.Error("the digest held before counts as a sign of life")
 	}
-	held.Take(later, digest(2, 8), 0)
+	held.DigestReceived(later, digest(2, 8), 0)
 	if isLost(held, later.Add(firstLimit+time.Millisecond)) {
 		t.Error("a newer digest does not count")
 	}
@@ -79,14 +79,14 @@
 		if isLost(held, now) {
 			t.Fatal("lost while parts of the state come")
 		}
-		held.TakePart(now)
+		held.ListPartReceived(now)
 	}
-	held.Apply(now, true)
+	held.SetApplying(now, true)
 	now = now.Add(10 * firstLimit)
 	if isLost(held, now) {
 		t.Error("lost while the state is taken over")
 	}
-	held.Apply(now, false)
+	held.SetApplying(now, false)
 	if isLost(held, now.Add(firstLimit)) {
 		t.Error("lost before a digest could be read")
 	}
@@ -109,16 +109,16 @@
 	}
 	held := &Liveness{}
 	held.Connected(now)
-	held.Take(now, digest(1, 40), 40)
+	held.DigestReceived(now, digest(1, 40), 40)
 	if isLost(held, now.Add(silenceLimit)) {
 		t.Error("lost although nothing is missing")
 	}
-	held.Take(now, digest(2, 45), 40)
-	held.Take(now.Add(behindLimit/2), digest(3, 46), 40)
+	held.DigestReceived(now, digest(2, 45), 40)
+	held.DigestReceived(now.Add(behindLimit/2), digest(3, 46), 40)
 	if isLost(held, now.Add(behindLimit)) {
 		t.Error("lost within the limit")
 	}
-	if reason, lost := held.Lost(now.Add(behindLimit + time.Millisecond)); !lost || reason != LostBehind {
+	if reason, lost := held.Lost(now.Add(behindLimit + time.Millisecond)); !lost || reason != DisconnectBehind {
 		t.Errorf("revision 45 has been missing for longer than the limit: %q, %t", reason, lost)
 	}
 	// What was missing has come; what the newest digest tells of has a time of its own.
@@ -132,7 +132,7 @@
 	}
 	// Another server gets the same time, and parts of a list stretch it.
 	held.Connected(later.Add(behindLimit))
-	held.TakePart(later.Add(2 * behindLimit))
+	held.ListPartReceived(later.Add(2 * behindLimit))
 	if isLost(held, later.Add(2*behindLimit+behindLimit/2)) {
 		t.Error("lost while parts of the state come")
 	}
@@ -150,16 +150,16 @@
 	now := time.Unix(1000, 0)
 	look := func(held *Liveness, span time.Duration) bool {
 		now = now.Add(span)
-		_, lost := held.Look(now)
+		_, lost := held.Check(now)
 		return lost
 	}
 	held := &Liveness{}
 	held.Connected(now)
-	held.Take(now, &wirepb.ClusterDigest{Term: 1, Sequence: 1, Revision: 5}, 4)
+	held.DigestReceived(now, &wirepb.ClusterDigest{Term: 1, Sequence: 1, Revision: 5}, 4)
 	if look(held, 2*time.Second) {
 		t.Error("lost right after the client stood still")
 	}
-	held.Take(now, &wirepb.ClusterDigest{Term: 1, Sequence: 2, Revision: 5}, 5)
+	held.DigestReceived(now, &wirepb.ClusterDigest{Term: 1, Sequence: 2, Revision: 5}, 5)
 	held.Applied(now, 5)
 	for range int(silenceLimit / lookInterval) {
 		if look(held, lookInterval) {
--- a/internal/feed/permit.go
+++ b/internal/feed/permit.go
@@ -35,10 +35,10 @@
 	return c.client.Permit(ctx, request)
 }
 
-// AnswerPermit asks for the permit that a request on a connection is about, and sends the reply
+// HandlePermitRequest asks for the permit that a request on a connection is about, and sends the reply
 // back under the same request id. Without an answer there is no permit; why, is logged here, since
 // the reply does not carry it.
-func AnswerPermit(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.PermitRequest, ask PermitFunc, logger *slog.Logger) {
+func HandlePermitRequest(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.PermitRequest, ask PermitFunc, logger *slog.Logger) {
 	ctx, cancel := context.WithTimeout(ctx, permits.Lifetime)
 	defer cancel()
 	reply, err := ask(ctx, request)
--- a/internal/feed/preference.go
+++ b/internal/feed/preference.go
@@ -18,8 +18,8 @@
 	Zone string
 }
 
-// Upstreams returns servers of which only the addresses are known.
-func Upstreams(addresses []string) []Upstream {
+// UpstreamsFromAddresses returns servers of which only the addresses are known.
+func UpstreamsFromAddresses(addresses []string) []Upstream {
 	servers := make([]Upstream, 0, len(addresses))
 	for _, address := range addresses {
 		servers = append(servers, Upstream{Address: address})
@@ -27,9 +27,9 @@
 	return servers
 }
 
-// UpstreamsOf returns the control nodes that a roster lists.
-func UpstreamsOf(roster *wirepb.Roster) []Upstream {
-	servers := Upstreams(roster.GetControl())
+// UpstreamsFromRoster returns the control nodes that a roster lists.
+func UpstreamsFromRoster(roster *wirepb.Roster) []Upstream {
+	servers := UpstreamsFromAddresses(roster.GetControl())
 	for position, zone := range roster.GetControlZones() {
 		if position < len(servers) {
 			servers[position].Zone = zone
--- a/internal/feed/preference_test.go
+++ b/internal/feed/preference_test.go
@@ -133,7 +133,7 @@
 // TestAddressesGetTheirZones: the settings name some control nodes without their zones.
 func TestAddressesGetTheirZones(t *testing.T) {
 	roster := &wirepb.Roster{Control: []string{"a", "b", "c"}, ControlZones: []string{"east", ""}}
-	merged := merge(append(Upstreams([]string{"b", "a"}), UpstreamsOf(roster)...))
+	merged := merge(append(UpstreamsFromAddresses([]string{"b", "a"}), UpstreamsFromRoster(roster)...))
 	wanted := []Upstream{{Address: "b"}, {Address: "a", Zone: "east"}, {Address: "c"}}
 	if !slices.Equal(merged, wanted) {
 		t.Errorf("merged %v", merged)
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -42,9 +42,9 @@
 	Reset bool
 }
 
-// ChangesOf returns the changes of a state after a revision, or the whole
+// ChangesSince returns the changes of a state after a revision, or the whole
 // state where they are no longer kept.
-func ChangesOf(machine *state.Machine, revision uint64) Changes {
+func ChangesSince(machine *state.Machine, revision uint64) Changes {
 	changes := Changes{Revision: machine.Revision()}
 	events, err := machine.EventsAfter(revision)
 	if err == nil {
@@ -58,10 +58,10 @@
 	return changes
 }
 
-// Fresh returns what is new to a watcher that holds everything up to a
+// NewerChanges returns what is new to a watcher that holds everything up to a
 // revision. It is what keeps a configuration from reverting: a watcher may be
 // answered late, twice, or by a server that is behind the one before.
-func Fresh(held uint64, changes Changes) (Changes, bool) {
+func NewerChanges(held uint64, changes Changes) (Changes, bool) {
 	if changes.Reset {
 		return changes, changes.Revision >= held
 	}
@@ -86,9 +86,9 @@
 	Report(reports ...*wirepb.NodeReport)
 	// Status returns the leader's view of the cluster, as much as is asked for.
 	Status(ctx context.Context, request *wirepb.StatusRequest) (*wirepb.StatusReply, error)
-	// Serves reports whether nodes may follow the backend: it holds a state, and that is
+	// Ready reports whether nodes may follow the backend: it holds a state, and that is
 	// kept up to date as far as it knows.
-	Serves() bool
+	Ready() bool
 	// Permit asks the leader whether one request may be sent to a machine that warms up.
 	Permit(ctx context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error)
 	// Propose carries a command to the leader and returns its result.
@@ -119,7 +119,7 @@
 func NewServer(backend Backend, self wire.Identity, zones places.ZoneMap, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
 	refuse := self.Refuse
 	self.Refuse = func(hello *wirepb.Hello) string {
-		if hello.GetControlId() == 0 && !backend.Serves() {
+		if hello.GetControlId() == 0 && !backend.Ready() {
 			return notServing
 		}
 		if refuse == nil {
@@ -179,7 +179,7 @@
 			return
 		case <-ticker.C:
 		}
-		if s.backend.Serves() {
+		if s.backend.Ready() {
 			continue
 		}
 		if ended := s.endSessions(); ended > 0 {
@@ -252,25 +252,25 @@
 		case *wirepb.Envelope_NodeReportBatch:
 			s.backend.Report(body.NodeReportBatch.GetReports()...)
 		case *wirepb.Envelope_StatusRequest:
-			workers.Go(func() { s.answerStatus(ctx, conn, envelope.GetRequestId(), body.StatusRequest) })
+			workers.Go(func() { s.handleStatusRequest(ctx, conn, envelope.GetRequestId(), body.StatusRequest) })
 		case *wirepb.Envelope_PermitRequest:
 			slots <- struct{}{}
 			workers.Go(func() {
 				defer func() { <-slots }()
-				AnswerPermit(ctx, conn, envelope.GetRequestId(), body.PermitRequest, s.backend.Permit, s.logger)
+				HandlePermitRequest(ctx, conn, envelope.GetRequestId(), body.PermitRequest, s.backend.Permit, s.logger)
 			})
 		case *wirepb.Envelope_Proposal:
 			slots <- struct{}{}
 			workers.Go(func() {
 				defer func() { <-slots }()
-				AnswerProposal(ctx, conn, envelope.GetRequestId(), body.Proposal, s.backend.Propose)
+				HandleProposal(ctx, conn, envelope.GetRequestId(), body.Proposal, s.backend.Propose)
 			})
 		}
 	}
 }
 
-// answerStatus asks the leader; the empty reply stands for "none answers".
-func (s *Server) answerStatus(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.StatusRequest) {
+// handleStatusRequest asks the leader; the empty reply stands for "none answers".
+func (s *Server) handleStatusRequest(ctx context.Context, conn *wire.Conn, requestID uint64, request *wirepb.StatusRequest) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	var reply *wirepb.StatusReply
@@ -297,9 +297,9 @@
 // ProposeFunc carries a command towards the leader.
 type ProposeFunc func(ctx context.Context, command *wirepb.Command) (*wirepb.CommandResult, error)
 
-// AnswerProposal carries out a proposal that came on a connection and sends
+// HandleProposal carries out a proposal that came on a connection and sends
 // the result back under the same request id.
-func AnswerProposal(ctx context.Context, conn *wire.Conn, requestID uint64, command *wirepb.Command, propose ProposeFunc) {
+func HandleProposal(ctx context.Context, conn *wire.Conn, requestID uint64, command *wirepb.Command, propose ProposeFunc) {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	result, err := propose(ctx, command)
--- a/internal/feed/subsets_test.go
+++ b/internal/feed/subsets_test.go
@@ -61,21 +61,21 @@
 		`"accelerators":[0],"bytesPerAccelerator":1,"weightBytes":1,"cacheBytes":1,"maxConcurrent":8,"phase":"Ready"}`, number), "")
 }
 
-// sinkOf holds what a client was sent.
-type sinkOf struct {
+// recordingSink holds what a client was sent.
+type recordingSink struct {
 	mutex    sync.Mutex
 	revision uint64
 	objects  map[state.Key]*wirepb.Object
 	changed  *signal.Broadcast
 }
 
-func (s *sinkOf) Revision() uint64 {
+func (s *recordingSink) Revision() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.revision
 }
 
-func (s *sinkOf) Apply(changes Changes) {
+func (s *recordingSink) Apply(changes Changes) {
 	s.mutex.Lock()
 	defer s.changed.Notify()
 	defer s.mutex.Unlock()
@@ -95,9 +95,9 @@
 	s.revision = changes.Revision
 }
 
-func (s *sinkOf) TakeDigest(*wirepb.ClusterDigest) {}
+func (s *recordingSink) ApplyDigest(*wirepb.ClusterDigest) {}
 
-func (s *sinkOf) count(kind v1.Kind) int {
+func (s *recordingSink) count(kind v1.Kind) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := 0
@@ -110,7 +110,7 @@
 }
 
 // await waits until the sink is as wanted.
-func (s *sinkOf) await(t *testing.T, what string, reached func() bool) {
+func (s *recordingSink) await(t *testing.T, what string, reached func() bool) {
 	t.Helper()
 	for {
 		changed := s.changed.Wait()
@@ -146,17 +146,17 @@
 	}
 	server := NewServer(backend, identityOf("server"), places.NewZoneMap(map[string]string{"z": "r"}), slog.New(slog.DiscardHandler), nil)
 	workers.Go(func() { _ = server.Serve(ctx, listener) })
-	follow := func(name string, part bool) (*sinkOf, *Client) {
+	follow := func(name string, part bool) (*recordingSink, *Client) {
 		identity := identityOf(name)
 		identity.Hello.Subset, identity.Hello.Zone = part, "z"
-		sink := &sinkOf{changed: signal.New()}
+		sink := &recordingSink{changed: signal.New()}
 		client := NewClient([]string{listener.Addr().String()}, identity, sink, slog.New(slog.DiscardHandler))
 		workers.Go(func() { client.Run(ctx) })
 		return sink, client
 	}
 	whole, _ := follow("whole", false)
 	part, client := follow("part", true)
-	for _, sink := range []*sinkOf{whole, part} {
+	for _, sink := range []*recordingSink{whole, part} {
 		sink.await(t, "the list", func() bool { return sink.Revision() == backend.revision && sink.count(v1.KindLimit) == 1 })
 	}
 	known := part.count(v1.KindReplica)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	result := d.state.Apply(data)
-	d.view.Apply(feed.ChangesOf(d.state, d.view.Revision()))
+	d.view.Apply(feed.ChangesSince(d.state, d.view.Revision()))
 	return result, nil
 }
 
@@ -119,7 +119,7 @@
 	}))
 	for range 2 { // The second digest proves that the view is current.
 		d.sequence++
-		d.view.TakeDigest(&wirepb.ClusterDigest{Term: 1, Sequence: d.sequence, Routers: 1, Revision: 1})
+		d.view.ApplyDigest(&wirepb.ClusterDigest{Term: 1, Sequence: d.sequence, Routers: 1, Revision: 1})
 	}
 }
 
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -41,7 +41,7 @@
 		declared(v1.KindMachine, "b", `{"endpoint":"http://10.0.0.1:80","zone":"z","pool":"bounded","slots":10}`),
 		declared(v1.KindMachine, "o", `{"endpoint":"http://10.0.0.2:80","zone":"z","pool":"open","slots":10}`),
 	}})
-	view.TakeDigest(&wirepb.ClusterDigest{Term: 1, Sequence: 1, Routers: 40, Roster: &wirepb.Roster{}})
+	view.ApplyDigest(&wirepb.ClusterDigest{Term: 1, Sequence: 1, Routers: 40, Roster: &wirepb.Roster{}})
 	for machine, wanted := range map[string]int{"b": 2, "o": maxIdlePerMachine, "unknown": maxIdlePerMachine} {
 		if most := maxIdle(view)(machine); most != wanted {
 			t.Errorf("%s: %d", machine, most)
--- a/internal/ingress/limits_test.go
+++ b/internal/ingress/limits_test.go
@@ -68,7 +68,7 @@
 			d.sendWithShortTimeout("first")
 		}, 1},
 		{"by a digest", func(d *deployment, _ *limitingMachine) {
-			d.view.TakeDigest(&wirepb.ClusterDigest{Term: 1, Sequence: 1, Roster: &wirepb.Roster{}, Limits: []*wirepb.MachineLimit{
+			d.view.ApplyDigest(&wirepb.ClusterDigest{Term: 1, Sequence: 1, Roster: &wirepb.Roster{}, Limits: []*wirepb.MachineLimit{
 				{Machine: "m0", Limited: true, PerSecond: 0.5},
 			}})
 			for len(d.handler.MachineLimits()) == 0 {
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -65,7 +65,7 @@
 	for position := range units {
 		digest.Roster.Machines = append(digest.Roster.Machines, "m"+string(rune('0'+position)))
 	}
-	d.view.TakeDigest(digest)
+	d.view.ApplyDigest(digest)
 	warmUp := 0
 	for _, unit := range units {
 		if unit > 0 {
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -43,8 +43,8 @@
 	// An ingress sends no orders to machines and only needs those that may serve its requests.
 	identity.Hello.Subset = true
 	created.client = feed.NewClient(settings.Formation.Addresses(), identity, created.view, node.logger)
-	created.client.Discover(created.controlNodes)
-	created.client.Prefer(settings.Position())
+	created.client.SetDiscovery(created.controlNodes)
+	created.client.SetLocation(settings.Position())
 	created.reports.client = created.client
 	created.ingress = ingress.New(ingress.Options{
 		View: created.view, Logger: node.logger, Metrics: ingress.NewMetrics(node.registry),
@@ -62,7 +62,7 @@
 
 // controlNodes returns the control nodes to connect to: the seeds and those in the newest roster.
 func (r *ingressRole) controlNodes() []feed.Upstream {
-	return append(feed.Upstreams(r.node.seeds.Load().Addresses()), feed.UpstreamsOf(r.view.Digest().GetRoster())...)
+	return append(feed.UpstreamsFromAddresses(r.node.seeds.Load().Addresses()), feed.UpstreamsFromRoster(r.view.Digest().GetRoster())...)
 }
 
 func (r *ingressRole) start(ctx context.Context) error {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -213,14 +213,14 @@
 // needs no notice, since its clock includes time in suspension.
 func (n *Node) handleResume(time.Duration) {
 	if n.ingress != nil {
-		n.ingress.client.Woke()
+		n.ingress.client.Resumed()
 		n.ingress.ingress.Resumed()
 	}
 	if n.router != nil {
-		n.router.client.Woke()
+		n.router.client.Resumed()
 	}
 	if n.relay != nil {
-		n.relay.client.Woke()
+		n.relay.client.Resumed()
 	}
 }
 
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -18,7 +18,7 @@
 func newRelay(node *Node) *relay {
 	created := &relay{node: node, cache: feed.NewCache()}
 	created.client = feed.NewClient(node.settings.Relay.Upstreams, node.identity(), created.cache, node.logger)
-	created.cache.Attach(created.client)
+	created.cache.SetClient(created.client)
 	created.server = feed.NewServer(created.cache, node.identity(), node.settings.Position().Zones, node.logger, nil)
 	return created
 }
--- a/internal/nodeview/view.go
+++ b/internal/nodeview/view.go
@@ -280,11 +280,11 @@
 	}
 }
 
-// TakeDigest implements feed.Sink. Older digests are ignored.
-func (v *View) TakeDigest(digest *wirepb.ClusterDigest) {
+// ApplyDigest implements feed.Sink. Older digests are ignored.
+func (v *View) ApplyDigest(digest *wirepb.ClusterDigest) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if v.digest != nil && !feed.Newer(digest, v.digest) {
+	if v.digest != nil && !feed.IsNewerDigest(digest, v.digest) {
 		return
 	}
 	if v.firstDigest == nil {
@@ -301,7 +301,7 @@
 	if v.isConfirmed && v.revision >= v.confirmed {
 		v.current = true
 	}
-	if v.current || v.digest == nil || !feed.Newer(v.digest, v.firstDigest) {
+	if v.current || v.digest == nil || !feed.IsNewerDigest(v.digest, v.firstDigest) {
 		return
 	}
 	v.current = v.revision >= v.digest.GetRevision()
--- a/internal/policysim/simulation.go
+++ b/internal/policysim/simulation.go
@@ -173,7 +173,7 @@
 
 // spread brings the view up to date, and routers and agents with it.
 func (s *simulation) spread() {
-	changes, fresh := feed.Fresh(s.view.Revision(), feed.ChangesOf(s.state, s.view.Revision()))
+	changes, fresh := feed.NewerChanges(s.view.Revision(), feed.ChangesSince(s.state, s.view.Revision()))
 	if !fresh {
 		return
 	}
