--- a/cmd/weldline/main.go
+++ b/cmd/weldline/main.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	if !configuration.Has(settings.RoleControl) {
+	if !configuration.HasRole(settings.RoleControl) {
 		return fault.InvalidField("roles", "only control nodes have a data directory")
 	}
 	return datadir.Init(configuration.DataDir, datadir.Identity{
--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -271,7 +271,7 @@
 func (n *Node) NewServer() *feed.Server {
 	self := n.self
 	self.Refuse = n.levelRefusal
-	return feed.NewServer(n, self, n.settings.Position().Zones, n.logger, n.servePeer)
+	return feed.NewServer(n, self, n.settings.Location().Zones, n.logger, n.servePeer)
 }
 
 // Read calls visit with the state, which visit must not retain or modify.
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -95,7 +95,7 @@
 	knowledge := drains.ZoneUnknown
 	o.node.Read(func(machine *state.Machine) {
 		held = machine.Get(v1.KindZoneDrain, o.zone)
-		knowledge = drains.ZoneStatusOf(machine, o.node.settings.Position().Zones.Zones(), o.zone)
+		knowledge = drains.ZoneStatusOf(machine, o.node.settings.Location().Zones.Zones(), o.zone)
 	})
 	switch {
 	case held != nil || knowledge == drains.ZoneKnown:
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -77,7 +77,7 @@
 	created := &orderDispatcher{
 		node: node, term: term, startedAt: node.now(), cancel: cancel, wakeup: make(chan struct{}, 1),
 		core: orders.NewPlanner(pacer), pacer: pacer, lastReport: map[string]reportKey{}, grantExpiry: map[string]time.Duration{},
-		registered: controller.RegisteredFleetCache{Places: node.settings.Position().Zones},
+		registered: controller.RegisteredFleetCache{Places: node.settings.Location().Zones},
 	}
 	if node.engines != nil {
 		created.workers.Go(func() { created.run(running) })
--- a/internal/control/fleetorders.go
+++ b/internal/control/fleetorders.go
@@ -65,7 +65,7 @@
 	holders := make(map[string]string, len(machines))
 	d.node.Read(func(machine *state.Machine) {
 		for _, name := range machines {
-			holders[name] = machine.Holder(name)
+			holders[name] = machine.OrderHolder(name)
 		}
 	})
 	now := d.node.now()
--- a/internal/control/grant_test.go
+++ b/internal/control/grant_test.go
@@ -58,7 +58,7 @@
 	cluster.eventually("a leader", node.leads)
 	engines.granted = func() bool {
 		holder := ""
-		node.Read(func(machine *state.Machine) { holder = machine.Holder("m") })
+		node.Read(func(machine *state.Machine) { holder = machine.OrderHolder("m") })
 		return holder == node.holder
 	}
 	dispatcher := newOrderDispatcher(ctx, node, node.status.Load().Term)
@@ -127,7 +127,7 @@
 		t.Errorf("connected to %s and %d more, want only the machine without another holder", machine, len(engines.connected))
 	}
 	holder := ""
-	node.Read(func(machine *state.Machine) { holder = machine.Holder("another") })
+	node.Read(func(machine *state.Machine) { holder = machine.OrderHolder("another") })
 	if holder != "another leader" {
 		t.Errorf("the machine was granted to %s before the previous holder's grant expired", holder)
 	}
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -85,15 +85,15 @@
 func (n *Node) membershipPolicy() membership.Policy {
 	formation := n.settings.Formation
 	return membership.Policy{
-		Voters: formation.Voters(), Zones: formation.TolerateZones, Regions: formation.TolerateRegions,
-		Places: n.settings.Position().Zones, ReplaceAfter: n.settings.Control.ReplaceAfter, RemoveLearnerAfter: removeLearnerAfter,
+		Voters: formation.VoterCount(), Zones: formation.TolerateZones, Regions: formation.TolerateRegions,
+		Places: n.settings.Location().Zones, ReplaceAfter: n.settings.Control.ReplaceAfter, RemoveLearnerAfter: removeLearnerAfter,
 	}
 }
 
 // logTolerance logs how many losses the voters of a new membership tolerate, and a warning if that
 // is less than configured.
 func (n *Node) logTolerance(current *wirepb.Membership) {
-	if !n.settings.Formation.Forms() || len(current.GetVoters()) == 0 {
+	if !n.settings.Formation.UsesSeeds() || len(current.GetVoters()) == 0 {
 		return
 	}
 	formation := n.settings.Formation
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -116,7 +116,7 @@
 	n.logger.Info("term_begun", "term", term, "versions_known", len(history), "history_age_ms", historyAge.Milliseconds())
 	config := controller.Config{
 		Node: n.settings.Node, Term: term, MachineTimeout: n.settings.Policy.MachineTimeout,
-		Places: n.settings.Position().Zones, Quota: n.settings.Quota.Bound(), Routers: int(n.digest.Load().GetRouters()),
+		Places: n.settings.Location().Zones, Quota: n.settings.Quota.Bound(), Routers: int(n.digest.Load().GetRouters()),
 		Planner: placement.Config{
 			Speeds:               placement.DefaultTierSpeeds,
 			StoreLoadsPerSecond:  platformSettings.StoreLoadsPerSecond,
@@ -298,7 +298,7 @@
 	l.runOnLoop(ctx, func() {
 		raftNode := node.member.Raft
 		next := controller.NextMembership(raftNode.Status(), raftNode.Peers(), target, node.settings.Control.ReplaceAfter)
-		if node.settings.Formation.Forms() {
+		if node.settings.Formation.UsesSeeds() {
 			next = node.nextMembership(raftNode)
 		}
 		if next == nil {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -54,7 +54,7 @@
 	FirstVoters []string
 	Metrics     *Metrics
 	// Self is the identity that the node sends when it connects, including its ID.
-	Self wire.Identity
+	Self wire.Config
 	// Seeds returns the seed addresses from the current settings.
 	Seeds func() []string
 	// Engines reaches machines that register themselves; nil if agents execute the orders.
@@ -67,7 +67,7 @@
 	settings *settings.Settings
 	logger   *slog.Logger
 	metrics  *Metrics
-	self     wire.Identity
+	self     wire.Config
 	id       uint64
 	// started is the clock's reading when the node was created.
 	clock   func() time.Duration
@@ -208,7 +208,7 @@
 	n.peers.start(ctx, &workers)
 	workers.Go(func() { n.watchStalls(ctx) })
 	workers.Go(func() { n.runLeader(ctx) })
-	if n.settings.Formation.Forms() {
+	if n.settings.Formation.UsesSeeds() {
 		workers.Go(func() { n.runJoin(ctx, &workers) })
 	}
 	return n.loop(ctx)
--- a/internal/control/oneway_test.go
+++ b/internal/control/oneway_test.go
@@ -155,8 +155,8 @@
 	return created
 }
 
-func identityOf(name string, controlID uint64) wire.Identity {
-	return wire.Identity{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "test", Node: name, Zone: "z", ControlId: controlID}}
+func identityOf(name string, controlID uint64) wire.Config {
+	return wire.Config{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "test", Node: name, Zone: "z", ControlId: controlID}}
 }
 
 func (c *testCluster) newNode(position int) *Node {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -231,7 +231,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wire.RetryPause(time.Since(lost))):
+		case <-time.After(wire.RetryDelay(time.Since(lost))):
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -166,7 +166,7 @@
 		return false
 	}
 	c.lastSweep = now
-	open, _ := machine.OpenClaims()
+	open, _ := machine.ClaimCounts()
 	return open > 0
 }
 
--- a/internal/datadir/datadir.go
+++ b/internal/datadir/datadir.go
@@ -31,9 +31,9 @@
 	// Join is set for a node that joins a running cluster. It knows no
 	// members until it has heard of them, and does not vote before.
 	Join bool `json:"join,omitempty"`
-	// First are the addresses of the first voters, where this node is one of
+	// FirstVoters are the addresses of the first voters, where this node is one of
 	// them and they found each other by formation.
-	First []string `json:"first,omitempty"`
+	FirstVoters []string `json:"first,omitempty"`
 }
 
 // Dir is a locked data folder.
@@ -70,10 +70,10 @@
 	return dir, identity, nil
 }
 
-// OpenOrForm takes the lock of a folder; where it holds no identity, form gives
+// OpenOrInit takes the lock of a folder; where it holds no identity, form gives
 // it one. An identity lives and dies with its disk: a node whose disk was lost
 // must not go on as the one that made promises.
-func OpenOrForm(path, cluster string, form func() Identity) (*Dir, Identity, error) {
+func OpenOrInit(path, cluster string, form func() Identity) (*Dir, Identity, error) {
 	dir, err := lockFolder(path)
 	if err != nil {
 		return nil, Identity{}, err
--- a/internal/faultsim/checks.go
+++ b/internal/faultsim/checks.go
@@ -365,7 +365,7 @@
 	}
 	c.finishRouters()
 	c.finishMachines()
-	if _, open := c.truth.OpenClaims(); open > 0 {
+	if _, open := c.truth.ClaimCounts(); open > 0 {
 		c.violate(CheckConverge, "%d claims are open", open)
 	}
 }
--- a/internal/faultsim/conformance.go
+++ b/internal/faultsim/conformance.go
@@ -55,7 +55,7 @@
 }
 
 var specOperations = map[wirepb.ClaimCommand_Operation]spec.ClaimOperation{
-	wirepb.ClaimCommand_OPERATION_OPEN:     spec.ClaimAsk,
+	wirepb.ClaimCommand_OPERATION_OPEN:     spec.ClaimRequest,
 	wirepb.ClaimCommand_OPERATION_COMPLETE: spec.ClaimComplete,
 	wirepb.ClaimCommand_OPERATION_NOT_RUN:  spec.ClaimCloseNotRun,
 	wirepb.ClaimCommand_OPERATION_UNKNOWN:  spec.ClaimCloseUnknown,
--- a/internal/feed/balance_test.go
+++ b/internal/feed/balance_test.go
@@ -49,8 +49,8 @@
 func (nullSink) Apply(Changes)                     {}
 func (nullSink) ApplyDigest(*wirepb.ClusterDigest) {}
 
-func identityOf(name string) wire.Identity {
-	return wire.Identity{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "c", Node: name}}
+func identityOf(name string) wire.Config {
+	return wire.Config{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "c", Node: name}}
 }
 
 // TestClientsMoveToTheirFirstChoice once that has shown a newer digest, and not to one that
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -54,7 +54,7 @@
 }
 
 // NewClient returns a client; Run starts it.
-func NewClient(upstreams []string, self wire.Identity, sink Sink, logger *slog.Logger) *Client {
+func NewClient(upstreams []string, self wire.Config, sink Sink, logger *slog.Logger) *Client {
 	dial := func(ctx context.Context, address string) (*wire.Conn, error) { return wire.Dial(ctx, address, self) }
 	return &Client{
 		name: self.Hello.GetNode(), upstreams: upstreams, dial: dial, sink: sink, logger: logger, rebalanceAfter: rebalanceAfter,
@@ -77,7 +77,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wire.RetryPause(time.Since(lost))):
+		case <-time.After(wire.RetryDelay(time.Since(lost))):
 		}
 	}
 }
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -98,7 +98,7 @@
 // Server serves a Backend to the connections that it is given.
 type Server struct {
 	backend Backend
-	self    wire.Identity
+	self    wire.Config
 	logger  *slog.Logger
 	// peer handles connections of control nodes; nil refuses them.
 	peer func(ctx context.Context, conn *wire.Conn)
@@ -116,7 +116,7 @@
 
 // NewServer returns a server in a place whose zones are known. The peer function takes over
 // connections whose hello carries a control id.
-func NewServer(backend Backend, self wire.Identity, zones places.ZoneMap, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
+func NewServer(backend Backend, self wire.Config, zones places.ZoneMap, logger *slog.Logger, peer func(context.Context, *wire.Conn)) *Server {
 	refuse := self.Refuse
 	self.Refuse = func(hello *wirepb.Hello) string {
 		if hello.GetControlId() == 0 && !backend.Ready() {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -77,7 +77,7 @@
 // Collect implements prometheus.Collector.
 func (c *trafficCollector) Collect(metrics chan<- prometheus.Metric) {
 	send := func(description *prometheus.Desc, value uint64, traffic wire.KindTraffic, direction string) {
-		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), traffic.Kind, traffic.Nearness.String(), direction)
+		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), traffic.Kind, traffic.Proximity.String(), direction)
 	}
 	for _, traffic := range c.counters.Traffic() {
 		send(c.bytes, traffic.BytesSent, traffic, "sent")
@@ -86,7 +86,7 @@
 		send(c.messages, traffic.MessagesReceived, traffic, "received")
 	}
 	for _, traffic := range c.counters.Network() {
-		nearness := traffic.Nearness.String()
+		nearness := traffic.Proximity.String()
 		metrics <- prometheus.MustNewConstMetric(c.network, prometheus.CounterValue, float64(traffic.Sent), nearness, "sent")
 		metrics <- prometheus.MustNewConstMetric(c.network, prometheus.CounterValue, float64(traffic.Received), nearness, "received")
 	}
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -36,7 +36,7 @@
 }
 
 func newIngressRole(node *Node) *ingressRole {
-	created := &ingressRole{node: node, view: nodeview.NewAt(node.settings.Position()), demand: nodeview.NewDemandReporter(), answers: nodeview.NewAnswerReporter()}
+	created := &ingressRole{node: node, view: nodeview.NewAt(node.settings.Location()), demand: nodeview.NewDemandReporter(), answers: nodeview.NewAnswerReporter()}
 	settings := node.settings
 	created.reports = newReporter(settings.Ingress.ReportInterval, created.nodeReport)
 	identity := node.identity()
@@ -44,7 +44,7 @@
 	identity.Hello.Subset = true
 	created.client = feed.NewClient(settings.Formation.Addresses(), identity, created.view, node.logger)
 	created.client.SetDiscovery(created.controlNodes)
-	created.client.SetLocation(settings.Position())
+	created.client.SetLocation(settings.Location())
 	created.reports.client = created.client
 	created.ingress = ingress.New(ingress.Options{
 		View: created.view, Logger: node.logger, Metrics: ingress.NewMetrics(node.registry),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 	created := &Node{
 		extensions: extensions,
 		settings:   configuration, logger: logger, registry: prometheus.NewRegistry(),
-		counters: wire.NewCounters(configuration.Position()), incarnation: uint64(time.Now().UnixNano()), failed: make(chan error, 8),
+		counters: wire.NewCounters(configuration.Location()), incarnation: uint64(time.Now().UnixNano()), failed: make(chan error, 8),
 	}
 	created.seeds.Store(&configuration.Formation)
 	created.registry.MustRegister(
@@ -90,18 +90,18 @@
 		}
 		created.keys = loaded
 	}
-	if configuration.Has(settings.RoleControl) {
+	if configuration.HasRole(settings.RoleControl) {
 		if err := created.openControl(); err != nil {
 			return nil, err
 		}
 	}
-	if configuration.Has(settings.RoleRouter) {
+	if configuration.HasRole(settings.RoleRouter) {
 		created.router = newRouter(created)
 	}
-	if configuration.Has(settings.RoleRelay) {
+	if configuration.HasRole(settings.RoleRelay) {
 		created.relay = newRelay(created)
 	}
-	if configuration.Has(settings.RoleIngress) {
+	if configuration.HasRole(settings.RoleIngress) {
 		if extensions.Translator == nil {
 			return nil, fault.InvalidField("roles", "this program does not support the ingress role")
 		}
@@ -118,14 +118,14 @@
 // openDataDir opens the data directory. If the cluster is formed from seeds, it creates an identity in
 // an empty one.
 func (n *Node) openDataDir() (*datadir.Dir, datadir.Identity, error) {
-	if !n.settings.Formation.Forms() {
+	if !n.settings.Formation.UsesSeeds() {
 		return datadir.Open(n.settings.DataDir, n.settings.Cluster, n.settings.Control.ID)
 	}
-	return datadir.OpenOrForm(n.settings.DataDir, n.settings.Cluster, func() datadir.Identity {
+	return datadir.OpenOrInit(n.settings.DataDir, n.settings.Cluster, func() datadir.Identity {
 		identity := datadir.Identity{Cluster: n.settings.Cluster}
 		own := n.settings.Control.Advertise
 		if seeds := n.settings.Formation.Addresses(); n.settings.Formation.First && slices.Contains(seeds, own) {
-			identity.ControlID, identity.First = membership.SeedID(own), seeds
+			identity.ControlID, identity.FirstVoters = membership.SeedID(own), seeds
 			return identity
 		}
 		identity.ControlID, identity.Join = max(1, rand.Uint64()), true
@@ -138,13 +138,13 @@
 	if err != nil {
 		return err
 	}
-	n.logger.Info("identity", "control_id", identity.ControlID, "join", identity.Join, "first", identity.First)
+	n.logger.Info("identity", "control_id", identity.ControlID, "join", identity.Join, "first", identity.FirstVoters)
 	disk, recovered, err := storage.Open(dir)
 	if err != nil {
 		_ = dir.Close()
 		return err
 	}
-	disk.OnFailure = func(err error, attempt int) {
+	disk.OnWriteFailure = func(err error, attempt int) {
 		if attempt == 1 {
 			n.logger.Error("storage_failed", "error", fault.Message(err))
 		}
@@ -152,20 +152,20 @@
 	n.dataDir, n.disk = dir, disk
 	self := n.identity()
 	self.Hello.ControlId = identity.ControlID
-	if n.settings.Formation.Forms() {
+	if n.settings.Formation.UsesSeeds() {
 		self.Hello.Address = n.settings.Control.Advertise
 	}
 	n.control, err = control.New(control.Options{
 		Settings: n.settings, Logger: n.logger, Storage: disk, Recovered: recovered, Join: identity.Join,
-		ID: identity.ControlID, FirstVoters: identity.First, Engines: n.extensions.Engines,
+		ID: identity.ControlID, FirstVoters: identity.FirstVoters, Engines: n.extensions.Engines,
 		Seeds:   func() []string { return n.seeds.Load().Addresses() },
 		Metrics: control.NewMetrics(n.registry), Self: self,
 	})
 	return err
 }
 
-func (n *Node) identity() wire.Identity {
-	return wire.Identity{
+func (n *Node) identity() wire.Config {
+	return wire.Config{
 		Hello: &wirepb.Hello{
 			ProtocolVersion: wire.ProtocolVersion, Cluster: n.settings.Cluster,
 			Node: n.settings.Node, Zone: n.settings.Zone, Level: uint32(level.Supported),
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -19,7 +19,7 @@
 	created := &relay{node: node, cache: feed.NewCache()}
 	created.client = feed.NewClient(node.settings.Relay.Upstreams, node.identity(), created.cache, node.logger)
 	created.cache.SetClient(created.client)
-	created.server = feed.NewServer(created.cache, node.identity(), node.settings.Position().Zones, node.logger, nil)
+	created.server = feed.NewServer(created.cache, node.identity(), node.settings.Location().Zones, node.logger, nil)
 	return created
 }
 
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -27,7 +27,7 @@
 }
 
 func newRouter(node *Node) *router {
-	created := &router{node: node, view: nodeview.NewAt(node.settings.Position()), demand: nodeview.NewDemandReporter()}
+	created := &router{node: node, view: nodeview.NewAt(node.settings.Location()), demand: nodeview.NewDemandReporter()}
 	settings := node.settings
 	created.reports = newReporter(settings.Router.ReportInterval, created.nodeReport)
 	created.client = feed.NewClient(settings.Router.Upstreams, node.identity(), created.view, node.logger)
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -42,7 +42,7 @@
 	spans := make([]wire.KindTraffic, 0, len(now))
 	for _, traffic := range now {
 		for _, earlier := range before {
-			if earlier.Kind == traffic.Kind && earlier.Nearness == traffic.Nearness {
+			if earlier.Kind == traffic.Kind && earlier.Proximity == traffic.Proximity {
 				traffic.BytesSent -= earlier.BytesSent
 				traffic.BytesReceived -= earlier.BytesReceived
 			}
@@ -56,7 +56,7 @@
 	})
 	var attributes []any
 	for _, traffic := range spans[:min(len(spans), maxTrafficKindsLogged)] {
-		attributes = append(attributes, slog.Group(traffic.Nearness.String()+"."+traffic.Kind,
+		attributes = append(attributes, slog.Group(traffic.Proximity.String()+"."+traffic.Kind,
 			"sent", traffic.BytesSent, "received", traffic.BytesReceived))
 	}
 	return attributes
@@ -67,7 +67,7 @@
 func networkSince(before, now []wire.NetworkTraffic) []any {
 	var attributes []any
 	for position, traffic := range now {
-		attributes = append(attributes, slog.Group(traffic.Nearness.String(),
+		attributes = append(attributes, slog.Group(traffic.Proximity.String(),
 			"sent", traffic.Sent-before[position].Sent, "received", traffic.Received-before[position].Received))
 	}
 	return attributes
--- a/internal/resourceapi/api_test.go
+++ b/internal/resourceapi/api_test.go
@@ -45,7 +45,7 @@
 	logger := slog.New(slog.DiscardHandler)
 	node, err := control.New(control.Options{
 		Settings: configuration, Logger: logger, Storage: discardStorage{}, ID: 1,
-		Metrics: control.NewMetrics(prometheus.NewRegistry()), Self: wire.Identity{Hello: &wirepb.Hello{Cluster: "test", Node: "control-1", ControlId: 1}},
+		Metrics: control.NewMetrics(prometheus.NewRegistry()), Self: wire.Config{Hello: &wirepb.Hello{Cluster: "test", Node: "control-1", ControlId: 1}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,8 +74,8 @@
 	Warming   WarmingSettings   `yaml:"warming"`
 }
 
-// Position returns where the node stands.
-func (s *Settings) Position() places.Location {
+// Location returns where the node stands.
+func (s *Settings) Location() places.Location {
 	return places.Location{Zone: s.Zone, Zones: places.NewZoneMap(s.Zones)}
 }
 
@@ -344,8 +344,8 @@
 	setDefault(&s.Policy.MachineTimeout, 3*time.Second)
 }
 
-// Forms reports whether control nodes find each other by seeds.
-func (f FormationSettings) Forms() bool {
+// UsesSeeds reports whether control nodes find each other by seeds.
+func (f FormationSettings) UsesSeeds() bool {
 	return len(f.Seeds) > 0
 }
 
@@ -362,12 +362,12 @@
 	return addresses
 }
 
-// Voters returns how many voters survive the losses to be borne.
-func (f FormationSettings) Voters() int {
+// VoterCount returns how many voters survive the losses to be borne.
+func (f FormationSettings) VoterCount() int {
 	return 2*f.Tolerate + 1
 }
 
-// Has reports whether the node plays a role.
-func (s *Settings) Has(role Role) bool {
+// HasRole reports whether the node plays a role.
+func (s *Settings) HasRole(role Role) bool {
 	return slices.Contains(s.Roles, role)
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -70,7 +70,7 @@
 }
 
 func (s *Settings) validateControl() error {
-	if !s.Has(RoleControl) {
+	if !s.HasRole(RoleControl) {
 		return nil
 	}
 	if err := require("dataDir", s.DataDir); err != nil {
@@ -79,7 +79,7 @@
 	if err := require("control.api", s.Control.API); err != nil {
 		return err
 	}
-	if s.Formation.Forms() {
+	if s.Formation.UsesSeeds() {
 		return s.validateFormedControl()
 	}
 	ids := map[uint64]bool{}
@@ -108,7 +108,7 @@
 }
 
 func (s *Settings) validateFormation() error {
-	if !s.Formation.Forms() {
+	if !s.Formation.UsesSeeds() {
 		return nil
 	}
 	for position, seed := range s.Formation.Seeds {
@@ -135,13 +135,13 @@
 }
 
 func (s *Settings) validateIngress() error {
-	if !s.Has(RoleIngress) {
+	if !s.HasRole(RoleIngress) {
 		return nil
 	}
 	if err := require("ingress.listen", s.Ingress.Listen); err != nil {
 		return err
 	}
-	if !s.Formation.Forms() {
+	if !s.Formation.UsesSeeds() {
 		return fault.InvalidField("formation.seeds", "is required for the ingress role")
 	}
 	if s.Ingress.RetryRatio < 0 || s.Ingress.RetrySlack < 0 {
@@ -185,7 +185,7 @@
 }
 
 func (s *Settings) validateRouter() error {
-	if !s.Has(RoleRouter) {
+	if !s.HasRole(RoleRouter) {
 		return nil
 	}
 	if err := require("router.listen", s.Router.Listen); err != nil {
@@ -198,7 +198,7 @@
 }
 
 func (s *Settings) validateRelay() error {
-	if !s.Has(RoleRelay) {
+	if !s.HasRole(RoleRelay) {
 		return nil
 	}
 	if err := require("relay.listen", s.Relay.Listen); err != nil {
--- a/internal/spec/claim.go
+++ b/internal/spec/claim.go
@@ -22,7 +22,7 @@
 
 // The operations on a claim.
 const (
-	ClaimAsk ClaimOperation = iota
+	ClaimRequest ClaimOperation = iota
 	ClaimComplete
 	ClaimCloseNotRun
 	ClaimCloseUnknown
@@ -38,7 +38,7 @@
 // owner, and whether the owner is granted the claim by it.
 func (c Claim[O]) Step(operation ClaimOperation, owner O) (next Claim[O], granted bool) {
 	mine := c.Owner == owner
-	if operation == ClaimAsk {
+	if operation == ClaimRequest {
 		if c.Phase == ClaimOpen && mine {
 			return c, true // Asked twice: the grant stands.
 		}
@@ -146,7 +146,7 @@
 		return []attemptStep{dies}
 	}
 	return []attemptStep{dies, {"asks", func(next *ClaimState, own *AttemptState) {
-		claim, granted := next.Claim.Step(ClaimAsk, owner)
+		claim, granted := next.Claim.Step(ClaimRequest, owner)
 		next.Claim = claim
 		own.Granted = own.Granted || granted
 	}}}
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -111,8 +111,8 @@
 	return listed
 }
 
-// OpenClaims returns how many claims are held, and how many of them are open.
-func (m *Machine) OpenClaims() (held, open int) {
+// ClaimCounts returns how many claims are held, and how many of them are open.
+func (m *Machine) ClaimCounts() (held, open int) {
 	for _, record := range m.claims.records {
 		if record.GetState() == wirepb.ClaimState_CLAIM_STATE_OPEN {
 			open++
--- a/internal/state/claims_bench_test.go
+++ b/internal/state/claims_bench_test.go
@@ -43,7 +43,7 @@
 	b.ReportMetric(b.Elapsed().Seconds()*1e6/float64(number), "µs/request")
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if held, _ := machine.OpenClaims(); held != number {
+	if held, _ := machine.ClaimCounts(); held != number {
 		b.Fatalf("%d records of %d", held, number)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(number), "B/record")
--- a/internal/state/holders_test.go
+++ b/internal/state/holders_test.go
@@ -38,13 +38,13 @@
 		t.Fatal(err)
 	}
 	for _, machine := range []*Machine{held, restored} {
-		if machine.Holder("m") != "2" || machine.Holder("n") != "1" || machine.Holder("o") != "" {
-			t.Errorf("holders %q, %q, %q", machine.Holder("m"), machine.Holder("n"), machine.Holder("o"))
+		if machine.OrderHolder("m") != "2" || machine.OrderHolder("n") != "1" || machine.OrderHolder("o") != "" {
+			t.Errorf("holders %q, %q, %q", machine.OrderHolder("m"), machine.OrderHolder("n"), machine.OrderHolder("o"))
 		}
 	}
 	apply(restored, register(&wirepb.RegisterCommand{Machine: "m", Phase: "Gone"}))
 	apply(restored, register(&wirepb.RegisterCommand{Machine: "m", Phase: "Gone", Forget: true}))
-	if restored.Holder("m") != "" {
-		t.Errorf("a machine that is forgotten has the holder %q", restored.Holder("m"))
+	if restored.OrderHolder("m") != "" {
+		t.Errorf("a machine that is forgotten has the holder %q", restored.OrderHolder("m"))
 	}
 }
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -375,9 +375,9 @@
 	return nil
 }
 
-// Holder returns the node that was granted orders to a machine last; empty if none
+// OrderHolder returns the node that was granted orders to a machine last; empty if none
 // was.
-func (m *Machine) Holder(machine string) string {
+func (m *Machine) OrderHolder(machine string) string {
 	return m.holders[machine]
 }
 
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -43,7 +43,7 @@
 		d.ScanArgs(t, "after", &seconds)
 		s.clock += seconds * 1000
 		s.apply(&wirepb.Command{Body: &wirepb.Command_ClaimSweep{ClaimSweep: &wirepb.ClaimSweep{}}})
-		held, open := s.machine.OpenClaims()
+		held, open := s.machine.ClaimCounts()
 		return fmt.Sprintf("held %d, open %d\n", held, open)
 	case "restore":
 		return s.restore()
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -22,9 +22,9 @@
 type Disk struct {
 	dir *datadir.Dir
 	log *wal.Log
-	// OnFailure is told of each failed append; may be nil.
-	OnFailure func(err error, attempt int)
-	stopped   chan struct{}
+	// OnWriteFailure is told of each failed append; may be nil.
+	OnWriteFailure func(err error, attempt int)
+	stopped        chan struct{}
 }
 
 // Open reads everything stored and opens the log for appending.
@@ -56,8 +56,8 @@
 func (d *Disk) persist(store func() error) error {
 	err := store()
 	for attempt := 1; err != nil; attempt++ {
-		if d.OnFailure != nil {
-			d.OnFailure(err, attempt)
+		if d.OnWriteFailure != nil {
+			d.OnWriteFailure(err, attempt)
 		}
 		select {
 		case <-d.stopped:
--- a/internal/wire/compressors_test.go
+++ b/internal/wire/compressors_test.go
@@ -8,7 +8,7 @@
 )
 
 // shake makes a server's connection up to the end of the handshake.
-func shake(t *testing.T, server Identity, controlID uint64) *Conn {
+func shake(t *testing.T, server Config, controlID uint64) *Conn {
 	t.Helper()
 	dialled, accepted := net.Pipe()
 	client, conn := newConn(dialled, nil), newConn(accepted, server.Counters)
@@ -28,7 +28,7 @@
 // TestCompressorsAreBoundedAtOnce: after a server's start all nodes connect in the same moment,
 // before any of their streams has begun; each compressor is memory of a small machine.
 func TestCompressorsAreBoundedAtOnce(t *testing.T) {
-	server := Identity{Hello: &wirepb.Hello{ProtocolVersion: ProtocolVersion, Node: "server", Zone: "z"}, Counters: &Counters{}}
+	server := Config{Hello: &wirepb.Hello{ProtocolVersion: ProtocolVersion, Node: "server", Zone: "z"}, Counters: &Counters{}}
 	var conns []*Conn
 	compressed := 0
 	for range 2 * maxCompressors {
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -57,8 +57,8 @@
 	UnchangedInstances bool
 }
 
-// Identity is what a process shows of itself on every connection.
-type Identity struct {
+// Config is what a process shows of itself on every connection.
+type Config struct {
 	Hello *wirepb.Hello
 	// Keys secures connections; nil leaves them in plain text.
 	Keys     *keys.Store
@@ -71,7 +71,7 @@
 }
 
 // Dial connects, shakes hands and starts the writer.
-func Dial(ctx context.Context, address string, self Identity) (*Conn, error) {
+func Dial(ctx context.Context, address string, self Config) (*Conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout, Control: tcpopt.Control, KeepAliveConfig: tcpopt.KeepAlive}
 	network, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -96,7 +96,7 @@
 }
 
 // Accept performs the server's side of the handshake on a fresh connection.
-func Accept(network net.Conn, self Identity) (*Conn, error) {
+func Accept(network net.Conn, self Config) (*Conn, error) {
 	tcpopt.Apply(network)
 	if self.Keys != nil {
 		network = tls.Server(network, self.Keys.PeerServer())
@@ -167,7 +167,7 @@
 	return c.network.SetDeadline(time.Time{})
 }
 
-func (c *Conn) welcome(self Identity) error {
+func (c *Conn) welcome(self Config) error {
 	_ = c.network.SetDeadline(time.Now().Add(handshakeTimeout))
 	envelope, _, err := ReadFrame(c.reader)
 	if err != nil {
--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -13,9 +13,9 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-func identity(t *testing.T, node string, files *keys.Files) wire.Identity {
+func identity(t *testing.T, node string, files *keys.Files) wire.Config {
 	t.Helper()
-	self := wire.Identity{
+	self := wire.Config{
 		Hello:    &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "test", Node: node},
 		Counters: &wire.Counters{},
 	}
@@ -32,7 +32,7 @@
 
 // connect lets a client meet a server and returns both sides' errors. Where
 // both agree, a message goes through.
-func connect(t *testing.T, server, client wire.Identity) (serverErr, clientErr error) {
+func connect(t *testing.T, server, client wire.Config) (serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,7 +89,7 @@
 	peer.Hello.ControlId = 7
 	cases := []struct {
 		name           string
-		server, client wire.Identity
+		server, client wire.Config
 		accepted       bool
 	}{
 		{"plain text", identity(t, "server", nil), identity(t, "client", nil), true},
@@ -141,7 +141,7 @@
 			t.Fatal(serverErr, clientErr)
 		}
 		for side, counters := range map[string]*wire.Counters{"server": server.Counters, "client": client.Counters} {
-			if listed := counters.Traffic(); len(listed) != 1 || listed[0].Nearness != wanted {
+			if listed := counters.Traffic(); len(listed) != 1 || listed[0].Proximity != wanted {
 				t.Errorf("%s, client in %s: %+v", side, zone, listed)
 			}
 		}
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -49,7 +49,7 @@
 // NetworkTraffic is how many bytes went over the network, compressed, to and from processes of
 // one nearness since the start.
 type NetworkTraffic struct {
-	Nearness       places.Proximity
+	Proximity      places.Proximity
 	Sent, Received uint64
 }
 
@@ -59,8 +59,8 @@
 	for nearness := range c.near {
 		counters := &c.near[nearness]
 		listed = append(listed, NetworkTraffic{
-			Nearness: places.Proximity(nearness),
-			Sent:     counters.networkSent.Load(), Received: counters.networkReceived.Load(),
+			Proximity: places.Proximity(nearness),
+			Sent:      counters.networkSent.Load(), Received: counters.networkReceived.Load(),
 		})
 	}
 	return listed
@@ -72,7 +72,7 @@
 	// Kind is the name of the envelope's body, such as "node_report"; messages of the log are
 	// told apart by their type, such as "raft_heartbeat".
 	Kind                           string
-	Nearness                       places.Proximity
+	Proximity                      places.Proximity
 	BytesSent, BytesReceived       uint64
 	MessagesSent, MessagesReceived uint64
 }
@@ -116,7 +116,7 @@
 			if traffic.MessagesSent+traffic.MessagesReceived == 0 {
 				continue
 			}
-			traffic.Kind, traffic.Nearness = kindName(number), places.Proximity(nearness)
+			traffic.Kind, traffic.Proximity = kindName(number), places.Proximity(nearness)
 			listed = append(listed, traffic)
 		}
 	}
--- a/internal/wire/retry.go
+++ b/internal/wire/retry.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// SoonRetry is the mean pause between attempts to connect while a peer has been
-	// lost for less than SoonRetries: processes that restart are mostly back by then,
+	// FastRetryDelay is the mean pause between attempts to connect while a peer has been
+	// lost for less than FastRetryPeriod: processes that restart are mostly back by then,
 	// and everything waits for them.
-	SoonRetry   = 30 * time.Millisecond
-	SoonRetries = 3 * time.Second
-	// LateRetry is the mean pause after that: five attempts a second to each of a few
+	FastRetryDelay  = 30 * time.Millisecond
+	FastRetryPeriod = 3 * time.Second
+	// SlowRetryDelay is the mean pause after that: five attempts a second to each of a few
 	// peers cost little.
-	LateRetry = 200 * time.Millisecond
+	SlowRetryDelay = 200 * time.Millisecond
 )
 
-// RetryPause is how long to wait before the next attempt to connect to a peer that has
+// RetryDelay is how long to wait before the next attempt to connect to a peer that has
 // been lost for a while. Pauses differ by half to either side, so that hundreds of nodes
 // that lost a peer at the same moment don't come back at the same moment.
-func RetryPause(lost time.Duration) time.Duration {
-	mean := SoonRetry
-	if lost >= SoonRetries {
-		mean = LateRetry
+func RetryDelay(lost time.Duration) time.Duration {
+	mean := FastRetryDelay
+	if lost >= FastRetryPeriod {
+		mean = SlowRetryDelay
 	}
 	return mean/2 + rand.N(mean)
 }
--- a/internal/wire/retry_test.go
+++ b/internal/wire/retry_test.go
@@ -10,11 +10,11 @@
 func TestRetryPause(t *testing.T) {
 	const draws = 1000
 	for _, test := range []struct{ lost, mean time.Duration }{
-		{0, wire.SoonRetry}, {wire.SoonRetries - 1, wire.SoonRetry}, {wire.SoonRetries, wire.LateRetry}, {time.Hour, wire.LateRetry},
+		{0, wire.FastRetryDelay}, {wire.FastRetryPeriod - 1, wire.FastRetryDelay}, {wire.FastRetryPeriod, wire.SlowRetryDelay}, {time.Hour, wire.SlowRetryDelay},
 	} {
 		different := map[time.Duration]bool{}
 		for range draws {
-			pause := wire.RetryPause(test.lost)
+			pause := wire.RetryDelay(test.lost)
 			if pause < test.mean/2 || pause > test.mean*3/2 {
 				t.Fatalf("lost for %s: a pause of %s", test.lost, pause)
 			}
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -52,7 +52,7 @@
 }
 
 // passOn takes a connection and passes on what it receives.
-func passOn(t *testing.T, listener net.Listener, server wire.Identity, received chan<- *wirepb.Envelope) {
+func passOn(t *testing.T, listener net.Listener, server wire.Config, received chan<- *wirepb.Envelope) {
 	t.Helper()
 	network, err := listener.Accept()
 	if err != nil {
@@ -75,7 +75,7 @@
 
 // exchange sends digests over a new connection to a listener whose server passes on what comes,
 // and checks that all of them arrive whole.
-func exchange(t *testing.T, address string, client wire.Identity, received <-chan *wirepb.Envelope) {
+func exchange(t *testing.T, address string, client wire.Config, received <-chan *wirepb.Envelope) {
 	t.Helper()
 	conn, err := wire.Dial(t.Context(), address, client)
 	if err != nil {
