--- a/cmd/weldbench/load.go
+++ b/cmd/weldbench/load.go
@@ -51,9 +51,9 @@
 		if err != nil {
 			return err
 		}
-		recorder.JudgeAudit(*audit)
+		recorder.AddAuditViolations(*audit)
 	}
-	summary.Judge()
+	summary.SetResult()
 	summary.WriteTable(os.Stdout)
 	encoded, err := json.Marshal(summary)
 	if err != nil {
--- a/cmd/weldbench/report.go
+++ b/cmd/weldbench/report.go
@@ -55,12 +55,12 @@
 			return nil, err
 		}
 		scales := []float64{1}
-		if policy == policysim.OwnPolicy || policy == "clairvoyant" {
+		if policy == policysim.DefaultPolicy || policy == "clairvoyant" {
 			scales = c.Scales
 		}
 		for _, scale := range scales {
 			for seed := first; seed <= last; seed++ {
-				jobs = append(jobs, policysim.Job{Policy: policy, Scale: scale, Seed: seed})
+				jobs = append(jobs, policysim.Job{Policy: policy, WeightScale: scale, Seed: seed})
 			}
 		}
 	}
@@ -77,9 +77,9 @@
 	if err := os.WriteFile(filepath.Join(c.Out, name+".md"), table.Bytes(), 0o644); err != nil {
 		return fault.Storage.Wrap(err, "writing the table")
 	}
-	for chart, quantity := range policysim.Drawings {
+	for chart, quantity := range policysim.Plots {
 		path := filepath.Join(c.Out, name+"-"+chart+"."+c.Format)
-		if err := policysim.Draw(path, quantity, comparisons); err != nil {
+		if err := policysim.WritePlot(path, quantity, comparisons); err != nil {
 			return err
 		}
 	}
--- a/cmd/weldbench/simulate.go
+++ b/cmd/weldbench/simulate.go
@@ -42,7 +42,7 @@
 		}
 		fmt.Println(string(encoded))
 	}
-	if violations := result.Broken(); violations > 0 {
+	if violations := result.Violations(); violations > 0 {
 		return fault.Refused.New("%d invariants were violated", violations)
 	}
 	return nil
--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -6,20 +6,20 @@
 type Audit struct {
 	// MemoryOvercommits counts loads that asked for memory that is not there.
 	MemoryOvercommits int `json:"memoryOvercommits"`
-	// Abandoned counts generations that ended because nobody followed them
+	// AbandonedStreams counts generations that ended because nobody followed them
 	// any more: their router stopped, or gave up.
-	Abandoned int `json:"abandoned"`
-	// LateWork counts requests begun on a machine that had been leaving for
+	AbandonedStreams int `json:"abandoned"`
+	// WorkAfterLeaving counts requests begun on a machine that had been leaving for
 	// longer than LeaveGrace.
-	LateWork int `json:"lateWorkToLeaving"`
+	WorkAfterLeaving int `json:"lateWorkToLeaving"`
 	// DuplicateRuns counts unrepeatable requests that ran more than once.
 	DuplicateRuns int `json:"duplicateRuns"`
 	// Runs counts inference requests that ran to their end.
 	Runs int `json:"runs"`
 	// Loads counts finished loads, StaleOrders refused orders.
-	Loads       int `json:"loads"`
-	StaleOrders int `json:"staleOrders"`
-	StoreBusy   int `json:"storeBusy"`
+	Loads           int `json:"loads"`
+	StaleOrders     int `json:"staleOrders"`
+	StoreRejections int `json:"storeBusy"`
 	// MaxReplicas is, for each version, the most replicas held at once.
 	MaxReplicas map[string]int `json:"maxReplicas"`
 	// Executions is how often each unrepeatable key ran.
--- a/internal/emulator/grey.go
+++ b/internal/emulator/grey.go
@@ -9,7 +9,7 @@
 
 // greyed returns the handler of one of some workers: the first ones are grey, as many as
 // the configuration says.
-func (w *World) greyed(handler http.Handler, position, workers int) http.Handler {
+func (w *Environment) greyed(handler http.Handler, position, workers int) http.Handler {
 	if position >= w.config.Grey.count(workers) {
 		return handler
 	}
--- a/internal/emulator/inference.go
+++ b/internal/emulator/inference.go
@@ -56,8 +56,8 @@
 	return strconv.FormatUint(xxhash.Sum64String(prompt)%1_000_000, 36) + "-" + strconv.Itoa(position) + " "
 }
 
-// Answer returns the whole answer to a prompt.
-func Answer(prompt string, tokens int) string {
+// Completion returns the whole answer to a prompt.
+func Completion(prompt string, tokens int) string {
 	var text strings.Builder
 	for position := range tokens {
 		text.WriteString(Token(prompt, position))
@@ -226,7 +226,7 @@
 		return nil
 	}
 	if since, leaving := e.leavingSince(e.machine); leaving && time.Since(since) > LeaveGrace {
-		e.auditor.count(func(audit *Audit) { audit.LateWork++ })
+		e.auditor.count(func(audit *Audit) { audit.WorkAfterLeaving++ })
 	}
 	e.mutex.Lock()
 	life, cancel := context.WithCancel(e.life)
@@ -285,7 +285,7 @@
 		case <-time.After(wait):
 		}
 		if output.abandoned(time.Now()) {
-			e.auditor.count(func(audit *Audit) { audit.Abandoned++ })
+			e.auditor.count(func(audit *Audit) { audit.AbandonedStreams++ })
 			output.end(true)
 			return
 		}
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -57,7 +57,7 @@
 	if s.admitted.Allow() {
 		return true
 	}
-	s.auditor.count(func(audit *Audit) { audit.StoreBusy++ })
+	s.auditor.count(func(audit *Audit) { audit.StoreRejections++ })
 	return false
 }
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -22,8 +22,8 @@
 	Backends map[string][]string `json:"backends"`
 }
 
-// World is the running surroundings.
-type World struct {
+// Environment is the running surroundings.
+type Environment struct {
 	config    *Config
 	auditor   *auditor
 	faults    *faultSource
@@ -45,8 +45,8 @@
 }
 
 // Start listens on ports that the kernel chooses.
-func Start(config *Config) (*World, error) {
-	world := &World{
+func Start(config *Config) (*Environment, error) {
+	world := &Environment{
 		config: config, auditor: newAuditor(), faults: newFaultSource(config.Seed, config.Faults),
 		engines: map[string]*Engine{}, leaving: map[string]time.Time{},
 		addresses: Addresses{Engines: map[string]string{}, Backends: map[string][]string{}},
@@ -63,7 +63,7 @@
 	return world, nil
 }
 
-func (w *World) listen(handler http.Handler) (string, error) {
+func (w *Environment) listen(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(w.config.Host, "0"))
 	if err != nil {
 		return "", fault.Unavailable.Wrap(err, "listening for the emulator")
@@ -74,7 +74,7 @@
 	return "http://" + listener.Addr().String(), nil
 }
 
-func (w *World) startEngines() error {
+func (w *Environment) startEngines() error {
 	for position := range w.config.Machines.Count {
 		name := fmt.Sprintf("worker-%03d", position+1)
 		created := newEngine(name, w.config, w.faults, w.store, w.auditor, w.leavingSince)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (w *World) startBackends() error {
+func (w *Environment) startBackends() error {
 	for _, pool := range w.config.Backends {
 		for position := range pool.Workers {
 			worker := &Backend{config: pool, faults: w.faults, auditor: w.auditor}
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (w *World) startPlatform() error {
+func (w *Environment) startPlatform() error {
 	routes := mux.NewRouter()
 	routes.HandleFunc("/v1/machines", w.serveMachines).Methods(http.MethodGet)
 	routes.HandleFunc("/emulator/audit", w.serveAudit).Methods(http.MethodGet)
@@ -124,22 +124,22 @@
 }
 
 // Addresses tells where everything listens.
-func (w *World) Addresses() Addresses {
+func (w *Environment) Addresses() Addresses {
 	return w.addresses
 }
 
 // Engine returns an engine by its machine's name.
-func (w *World) Engine(machine string) *Engine {
+func (w *Environment) Engine(machine string) *Engine {
 	return w.engines[machine]
 }
 
 // Audit returns the present counts.
-func (w *World) Audit() Audit {
+func (w *Environment) Audit() Audit {
 	return w.auditor.snapshot()
 }
 
 // Close stops listening and ends everything in flight.
-func (w *World) Close() {
+func (w *Environment) Close() {
 	for _, server := range w.servers {
 		_ = server.Close()
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-func (w *World) leavingSince(machine string) (time.Time, bool) {
+func (w *Environment) leavingSince(machine string) (time.Time, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	since, leaving := w.leaving[machine]
@@ -158,13 +158,13 @@
 }
 
 // remember keeps the present list, for readers who get it late.
-func (w *World) remember() {
+func (w *Environment) remember() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.history = append(w.history, listVersion{time.Now(), append([]platform.Machine(nil), w.current...)})
 }
 
-func (w *World) serveMachines(writer http.ResponseWriter, _ *http.Request) {
+func (w *Environment) serveMachines(writer http.ResponseWriter, _ *http.Request) {
 	w.mutex.Lock()
 	shown := w.history[0].machines
 	for _, version := range w.history {
@@ -176,11 +176,11 @@
 	_ = json.NewEncoder(writer).Encode(platform.MachineList{Machines: shown})
 }
 
-func (w *World) serveAudit(writer http.ResponseWriter, _ *http.Request) {
+func (w *Environment) serveAudit(writer http.ResponseWriter, _ *http.Request) {
 	_ = json.NewEncoder(writer).Encode(w.Audit())
 }
 
-func (w *World) serveFaults(writer http.ResponseWriter, request *http.Request) {
+func (w *Environment) serveFaults(writer http.ResponseWriter, request *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(request.Body).Decode(&faults); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
@@ -190,7 +190,7 @@
 }
 
 // Leave lists a machine as leaving.
-func (w *World) Leave(machine string) {
+func (w *Environment) Leave(machine string) {
 	w.mutex.Lock()
 	for position := range w.current {
 		if w.current[position].Name == machine {
@@ -205,12 +205,12 @@
 	w.remember()
 }
 
-func (w *World) serveLeave(writer http.ResponseWriter, request *http.Request) {
+func (w *Environment) serveLeave(writer http.ResponseWriter, request *http.Request) {
 	w.Leave(mux.Vars(request)["machine"])
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-func (w *World) serveRemove(writer http.ResponseWriter, request *http.Request) {
+func (w *Environment) serveRemove(writer http.ResponseWriter, request *http.Request) {
 	name := mux.Vars(request)["machine"]
 	w.mutex.Lock()
 	var kept []platform.Machine
@@ -229,7 +229,7 @@
 }
 
 // serveRestart ends an engine process and starts the next.
-func (w *World) serveRestart(writer http.ResponseWriter, request *http.Request) {
+func (w *Environment) serveRestart(writer http.ResponseWriter, request *http.Request) {
 	restarted := w.Engine(mux.Vars(request)["machine"])
 	if restarted == nil {
 		http.Error(writer, "no such machine", http.StatusNotFound)
--- a/internal/faultsim/campaign.go
+++ b/internal/faultsim/campaign.go
@@ -27,15 +27,15 @@
 	Undecided int `json:"undecided"`
 	// Replays holds the first schedule of each broken check, shortened.
 	Replays []Violation `json:"replays"`
-	// EnginesEnded counts the requests that end engines by how many ended under them.
-	EnginesEnded map[int]int `json:"engines_ended"`
-	// InnocentsRefused counts the sends of other requests that were refused like those.
-	InnocentsRefused int     `json:"innocents_refused"`
-	Seconds          float64 `json:"seconds"`
+	// EngineCrashes counts the requests that end engines by how many ended under them.
+	EngineCrashes map[int]int `json:"engines_ended"`
+	// HealthyRefused counts the sends of other requests that were refused like those.
+	HealthyRefused int     `json:"innocents_refused"`
+	Seconds        float64 `json:"seconds"`
 }
 
 func newSummary() *Summary {
-	summary := &Summary{Faults: map[string]int{}, Requests: map[string]int{}, Violations: map[string]int{}, Replays: []Violation{}, EnginesEnded: map[int]int{}}
+	summary := &Summary{Faults: map[string]int{}, Requests: map[string]int{}, Violations: map[string]int{}, Replays: []Violation{}, EngineCrashes: map[int]int{}}
 	for _, check := range Checks {
 		summary.Violations[check] = 0
 	}
@@ -53,9 +53,9 @@
 	s.Requests["answered"] += outcome.Answered
 	s.Requests["refused_not_run"] += outcome.NotRun
 	s.Requests["unknown"] += outcome.Unknown
-	s.InnocentsRefused += outcome.InnocentsRefused
-	for _, ended := range outcome.Ended {
-		s.EnginesEnded[ended]++
+	s.HealthyRefused += outcome.HealthyRefused
+	for _, ended := range outcome.CrashCounts {
+		s.EngineCrashes[ended]++
 	}
 	for _, violation := range outcome.Violations {
 		if s.Violations[violation.Check] == 0 {
@@ -82,7 +82,7 @@
 	}
 	for position := range summary.Replays {
 		replay := &summary.Replays[position]
-		replay.Schedule = Shorten(replay.Schedule, replay.Check)
+		replay.Schedule = Minimize(replay.Schedule, replay.Check)
 	}
 	summary.Result = "ok"
 	if len(summary.Replays) > 0 {
@@ -111,7 +111,7 @@
 
 func (f Fault) check() (field, problem string) {
 	switch {
-	case !slices.Contains(Kinds, f.Kind) && !slices.Contains(KindsDrawnApart, f.Kind):
+	case !slices.Contains(Kinds, f.Kind) && !slices.Contains(AdditionalKinds, f.Kind):
 		return "kind", "unknown kind of fault " + string(f.Kind)
 	case f.At < 0 || f.At > faultsEnd:
 		return "at", "must be between 0s and " + faultsEnd.String()
--- a/internal/faultsim/checks.go
+++ b/internal/faultsim/checks.go
@@ -30,24 +30,24 @@
 	CheckDurable = "acknowledged_writes"
 	// CheckResend: a resent request gets its first result.
 	CheckResend = "resent_requests"
-	// CheckLinear: the resource API is linearizable.
-	CheckLinear = "linearizable_api"
-	// CheckDecided: engines hold decided replicas only.
-	CheckDecided = "replicas_over_decided"
+	// CheckLinearizable: the resource API is linearizable.
+	CheckLinearizable = "linearizable_api"
+	// CheckUnassigned: engines hold decided replicas only.
+	CheckUnassigned = "replicas_over_decided"
 	// CheckMemory: no order meets an engine without memory for it.
 	CheckMemory = "memory_overcommits"
 	// CheckRevert: no node's configuration goes back.
 	CheckRevert = "configuration_reverts"
-	// CheckInForce: in calm, a change is in force everywhere within 3 s.
-	CheckInForce = "configuration_late"
-	// CheckStale: a started node serves no configuration from before its start.
-	CheckStale = "stale_start"
+	// CheckPropagation: in calm, a change is in force everywhere within 3 s.
+	CheckPropagation = "configuration_late"
+	// CheckStaleStart: a started node serves no configuration from before its start.
+	CheckStaleStart = "stale_start"
 	// CheckDropped: each request ends in time with an outcome.
 	CheckDropped = "dropped"
 	// CheckWrongAnswer: answers belong to their requests.
 	CheckWrongAnswer = "wrong_answers"
-	// CheckOnce: an unrepeatable request runs at most once.
-	CheckOnce = "duplicate_runs"
+	// CheckAtMostOnce: an unrepeatable request runs at most once.
+	CheckAtMostOnce = "duplicate_runs"
 	// CheckNotRun: what was told to be not run never runs.
 	CheckNotRun = "false_not_run"
 	// CheckLeaving: a leaving machine gets no new work after a few seconds.
@@ -55,28 +55,28 @@
 	// CheckSpec: what engines, claims and voters did is a behaviour of the
 	// specification in internal/spec.
 	CheckSpec = "specification"
-	// CheckRepeats: a request under which three engines ended is sent on three times more at
+	// CheckCrashRepeats: a request under which three engines ended is sent on three times more at
 	// most, 3 s later, by routers in contact.
-	CheckRepeats = "crash_repeats"
-	// CheckConvicted: only requests under which engines ended are convicted, and stay so until
+	CheckCrashRepeats = "crash_repeats"
+	// CheckQuarantine: only requests under which engines ended are convicted, and stay so until
 	// they run to their end.
-	CheckConvicted = "convictions"
+	CheckQuarantine = "convictions"
 	// CheckDrains: an acknowledged drain of a zone, or its end, stays until the next order; while
 	// it is drained, routers in contact send nothing there.
 	CheckDrains = "zone_drains"
-	// CheckRests: an engine that asked a router for a rest gets two requests from it at most until it is over.
-	CheckRests = "engine_rests"
+	// CheckBackoff: an engine that asked a router for a rest gets two requests from it at most until it is over.
+	CheckBackoff = "engine_rests"
 	// CheckLimits: an engine that states a limit gets no more than that from all routers in contact together.
 	CheckLimits = "engine_limits"
-	// CheckConverge: after everything healed, all agree and nothing is stuck.
-	CheckConverge = "convergence"
+	// CheckConvergence: after everything healed, all agree and nothing is stuck.
+	CheckConvergence = "convergence"
 )
 
 // Checks lists all checks.
 var Checks = []string{
-	CheckLog, CheckTermLeader, CheckLease, CheckStart, CheckDurable, CheckResend, CheckLinear, CheckDecided,
-	CheckMemory, CheckRevert, CheckInForce, CheckStale, CheckDropped, CheckWrongAnswer, CheckOnce, CheckNotRun,
-	CheckLeaving, CheckSpec, CheckRepeats, CheckConvicted, CheckDrains, CheckRests, CheckLimits, CheckConverge,
+	CheckLog, CheckTermLeader, CheckLease, CheckStart, CheckDurable, CheckResend, CheckLinearizable, CheckUnassigned,
+	CheckMemory, CheckRevert, CheckPropagation, CheckStaleStart, CheckDropped, CheckWrongAnswer, CheckAtMostOnce, CheckNotRun,
+	CheckLeaving, CheckSpec, CheckCrashRepeats, CheckQuarantine, CheckDrains, CheckBackoff, CheckLimits, CheckConvergence,
 }
 
 const (
@@ -192,7 +192,7 @@
 func (c *checks) replicaFreed(name string) {
 	for _, machine := range c.world.machines {
 		if held := machine.engine.Replica(name); machine.up && held != nil && held.Phase != engine.PhaseFailed {
-			c.violate(CheckDecided, "%s still holds %s, whose reservation was freed", machine.name, name)
+			c.violate(CheckUnassigned, "%s still holds %s, whose reservation was freed", machine.name, name)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 			continue
 		}
 		if !decided || spec.Machine != m.name || spec.Incarnation != m.incarnation {
-			c.violate(CheckDecided, "%s holds %s, which nobody decided there", m.name, held.Order.Replica)
+			c.violate(CheckUnassigned, "%s holds %s, which nobody decided there", m.name, held.Order.Replica)
 		}
 	}
 	for accelerator, used := range m.engine.UsedBytes() {
@@ -267,7 +267,7 @@
 		}
 		for _, router := range c.world.routers {
 			if router.up && router.startedAt < accepted && router.view.Revision() < revision {
-				c.violate(CheckInForce, "%s is at revision %d, %d was accepted 3 s ago", router.name, router.view.Revision(), revision)
+				c.violate(CheckPropagation, "%s is at revision %d, %d was accepted 3 s ago", router.name, router.view.Revision(), revision)
 			}
 		}
 	})
@@ -290,7 +290,7 @@
 
 func (c *checks) becameCurrent(router *routerNode) {
 	if router.view.Revision() < router.startedFrom {
-		c.violate(CheckStale, "%s serves revision %d, %d was committed before it started",
+		c.violate(CheckStaleStart, "%s serves revision %d, %d was committed before it started",
 			router.name, router.view.Revision(), router.startedFrom)
 	}
 }
@@ -326,7 +326,7 @@
 
 func (c *checks) held(key string, owners []string) {
 	if len(owners) > 1 {
-		c.violate(CheckOnce, "%s was placed by %v", key, owners)
+		c.violate(CheckAtMostOnce, "%s was placed by %v", key, owners)
 	}
 }
 
@@ -344,7 +344,7 @@
 func (c *checks) finish() {
 	switch c.world.register.linearizable() {
 	case porcupine.Illegal:
-		c.violate(CheckLinear, "no order explains the answers about the contended object")
+		c.violate(CheckLinearizable, "no order explains the answers about the contended object")
 	case porcupine.Unknown:
 		c.undecided++
 	}
@@ -352,7 +352,7 @@
 		return // Too many were lost for good: nothing can be decided.
 	}
 	if c.world.leader() == nil {
-		c.violate(CheckConverge, "there is no leader")
+		c.violate(CheckConvergence, "there is no leader")
 	}
 	wanted, _ := c.truth.Snapshot()
 	for _, node := range c.world.controls {
@@ -360,23 +360,23 @@
 			continue
 		}
 		if held, _ := node.member.State.Snapshot(); !bytes.Equal(held, wanted) {
-			c.violate(CheckConverge, "%s is at revision %d, not %d, or differs", node.name, node.member.State.Revision(), c.truth.Revision())
+			c.violate(CheckConvergence, "%s is at revision %d, not %d, or differs", node.name, node.member.State.Revision(), c.truth.Revision())
 		}
 	}
 	c.finishRouters()
 	c.finishMachines()
 	if _, open := c.truth.ClaimCounts(); open > 0 {
-		c.violate(CheckConverge, "%d claims are open", open)
+		c.violate(CheckConvergence, "%d claims are open", open)
 	}
 }
 
 func (c *checks) finishRouters() {
 	for _, router := range c.world.routers {
 		if !router.view.Current() || router.view.Revision() != c.truth.Revision() {
-			c.violate(CheckConverge, "%s is at revision %d, not %d", router.name, router.view.Revision(), c.truth.Revision())
+			c.violate(CheckConvergence, "%s is at revision %d, not %d", router.name, router.view.Revision(), c.truth.Revision())
 		}
 		if waiting := router.core.Waiting(); waiting > 0 {
-			c.violate(CheckConverge, "%d requests wait at %s", waiting, router.name)
+			c.violate(CheckConvergence, "%d requests wait at %s", waiting, router.name)
 		}
 	}
 }
@@ -393,7 +393,7 @@
 		m := c.world.machineNamed(replica.Machine)
 		held := m.engine.Replica(object.GetName())
 		if replica.Phase != v1.ReplicaReady || held == nil || held.Phase != engine.PhaseReady {
-			c.violate(CheckConverge, "replica %s is %s long after the last request", object.GetName(), replica.Phase)
+			c.violate(CheckConvergence, "replica %s is %s long after the last request", object.GetName(), replica.Phase)
 		}
 	})
 }
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -212,7 +212,7 @@
 // watch takes a node's report and answers with what is new to it.
 func (c *controlNode) watch(revision uint64, report *wirepb.NodeReport) watchReply {
 	status := c.member.Raft.Status()
-	if status.IsolatedFromLeader(c.clock()) && c.world.mutation != MutationDigestVouches {
+	if status.IsolatedFromLeader(c.clock()) && c.world.mutation != MutationTrustDigest {
 		return watchReply{refused: true}
 	}
 	urgent := c.take(report)
--- a/internal/faultsim/crashchecks.go
+++ b/internal/faultsim/crashchecks.go
@@ -59,7 +59,7 @@
 	}
 	held.late++
 	if held.late > lateSends {
-		c.violate(CheckRepeats, "%s sends on a request under which %d engines ended, the third %s ago",
+		c.violate(CheckCrashRepeats, "%s sends on a request under which %d engines ended, the third %s ago",
 			router.name, len(held.lives), c.world.Now()-held.thirdAt)
 	}
 }
@@ -85,12 +85,12 @@
 	truth := c.truthOf(identity)
 	if event.GetDeleted() {
 		if held, isSuspect := before.(*v1.SuspectSpec); isSuspect && held.Quarantined && !truth.whole {
-			c.violate(CheckConvicted, "the conviction of %s is gone", identity)
+			c.violate(CheckQuarantine, "the conviction of %s is gone", identity)
 		}
 		return
 	}
 	spec, isSuspect := c.truth.Spec(v1.KindSuspect, event.GetObject().GetName()).(*v1.SuspectSpec)
 	if isSuspect && spec.Quarantined && len(truth.lives)+len(truth.near) < quarantine.QuarantineThreshold {
-		c.violate(CheckConvicted, "%s is convicted, %d engines ended under it", identity, len(truth.lives))
+		c.violate(CheckQuarantine, "%s is convicted, %d engines ended under it", identity, len(truth.lives))
 	}
 }
--- a/internal/faultsim/crashes.go
+++ b/internal/faultsim/crashes.go
@@ -245,7 +245,7 @@
 
 // record proposes a crash until it is in the log and in the view.
 func (r *routerNode) record(runs []quarantine.BrokenRequest) {
-	if r.world.mutation == MutationCrashesNotShared {
+	if r.world.mutation == MutationUnsharedCrashes {
 		return
 	}
 	r.commit(quarantine.RecordCommand(runs[0].Instance, runs), func() { r.crashes.MarkRecorded(runs) })
@@ -280,9 +280,9 @@
 	}
 }
 
-// forgetConvictions is what a leader does first under MutationConvictionForgotten.
+// forgetConvictions is what a leader does first under MutationForgetQuarantine.
 func (c *controlNode) forgetConvictions() {
-	if c.world.mutation != MutationConvictionForgotten {
+	if c.world.mutation != MutationForgetQuarantine {
 		return
 	}
 	for _, object := range c.member.State.List(v1.KindSuspect) {
--- a/internal/faultsim/faults.go
+++ b/internal/faultsim/faults.go
@@ -33,8 +33,8 @@
 	FaultSlowOrders       Kind = "slow-orders"
 	FaultMachineLeaves    Kind = "machine-leaves"
 	FaultMachineReclaimed Kind = "machine-reclaimed"
-	// FaultUnheardControl cuts what one control node says to the others.
-	FaultUnheardControl Kind = "unheard-control"
+	// FaultMuteControl cuts what one control node says to the others.
+	FaultMuteControl Kind = "unheard-control"
 	// FaultCrashingRequest is a caller that comes back with a request that ends each engine
 	// that runs it, while connections of engines that go on are reset as well.
 	FaultCrashingRequest Kind = "crashing-request"
@@ -48,9 +48,9 @@
 	FaultLimitEngine Kind = "limit-engine"
 )
 
-// KindsDrawnApart are the faults that schedules have besides those of Kinds, so that the
+// AdditionalKinds are the faults that schedules have besides those of Kinds, so that the
 // schedules of earlier seeds keep theirs.
-var KindsDrawnApart = []Kind{FaultUnheardControl, FaultCrashingRequest, FaultSuspend, FaultDrainZone, FaultOverloadEngine, FaultLimitEngine}
+var AdditionalKinds = []Kind{FaultMuteControl, FaultCrashingRequest, FaultSuspend, FaultDrainZone, FaultOverloadEngine, FaultLimitEngine}
 
 // Kinds lists the faults that schedules draw from.
 var Kinds = []Kind{
@@ -64,7 +64,7 @@
 type Fault struct {
 	// At is when it begins, from the start of the simulation.
 	At time.Duration `yaml:"at" json:"at"`
-	// Kind is one of Kinds or KindsDrawnApart.
+	// Kind is one of Kinds or AdditionalKinds.
 	Kind Kind `yaml:"kind" json:"kind"`
 	// For is how long it lasts, where that means something.
 	For time.Duration `yaml:"for" json:"for"`
@@ -74,7 +74,7 @@
 
 // withoutDelay are the faults during which changes are due in time: routers can leave a control node that is not
 // heard, and the others keep no node from any other.
-var withoutDelay = []Kind{FaultUnheardControl, FaultCrashingRequest, FaultDrainZone, FaultOverloadEngine, FaultLimitEngine}
+var withoutDelay = []Kind{FaultMuteControl, FaultCrashingRequest, FaultDrainZone, FaultOverloadEngine, FaultLimitEngine}
 
 // inject lets a fault begin, and heal in time.
 func (w *world) inject(fault Fault) {
@@ -122,7 +122,7 @@
 		return w.crashVoters()
 	case FaultCutZone, FaultCutOneWay:
 		return w.cutZones(fault)
-	case FaultUnheardControl:
+	case FaultMuteControl:
 		return w.muteControl(fault.Target)
 	case FaultCrashingRequest:
 		w.sendCulprit(fault.Target)
--- a/internal/faultsim/limits.go
+++ b/internal/faultsim/limits.go
@@ -63,7 +63,7 @@
 func (r *routerNode) sendPermitted(entry *inference, grant dispatch.Grant) {
 	machine := grant.Target.Machine
 	observed, known := r.limits.Lookup(r.clock(), machine)
-	if !known || !observed.Limit.IsSet || r.world.mutation == MutationLimitsIgnored {
+	if !known || !observed.Limit.IsSet || r.world.mutation == MutationIgnoreLimits {
 		r.sendToEngine(entry, grant)
 		return
 	}
--- a/internal/faultsim/process.go
+++ b/internal/faultsim/process.go
@@ -90,7 +90,7 @@
 // clock is the time since the process started, sleeps included.
 func (p *process) clock() time.Duration {
 	elapsed := p.world.Now() - p.startedAt
-	if p.world.mutation == MutationSteadyLease {
+	if p.world.mutation == MutationMonotonicLease {
 		elapsed -= p.slept()
 	}
 	return time.Duration(float64(elapsed) * p.rate)
--- a/internal/faultsim/rests.go
+++ b/internal/faultsim/rests.go
@@ -43,7 +43,7 @@
 
 // rejected takes an engine's rejection, which asked for a rest.
 func (r *routerNode) rejected(entry *inference, grant dispatch.Grant, from *machine) {
-	if r.world.mutation != MutationRestsIgnored {
+	if r.world.mutation != MutationIgnoreBackoff {
 		r.deliver(r.core.BackOff(r.wall(), grant.Target.Machine, restAsked))
 	}
 	r.world.checks.restAsked(r, from)
@@ -64,7 +64,7 @@
 			continue
 		}
 		if span.arrived++; span.arrived > mostDuringRest {
-			c.violate(CheckRests, "%s got %d requests from %s during a rest until %s", m.name, span.arrived, router.name, span.until)
+			c.violate(CheckBackoff, "%s got %d requests from %s during a rest until %s", m.name, span.arrived, router.name, span.until)
 		}
 	}
 }
--- a/internal/faultsim/router.go
+++ b/internal/faultsim/router.go
@@ -173,7 +173,7 @@
 
 // heldForLiveness is the revision that the router takes itself to hold.
 func (r *routerNode) heldForLiveness(digest *wirepb.ClusterDigest) uint64 {
-	if r.world.mutation == MutationDigestVouches {
+	if r.world.mutation == MutationTrustDigest {
 		return digest.GetRevision()
 	}
 	return r.view.Revision()
--- a/internal/faultsim/run.go
+++ b/internal/faultsim/run.go
@@ -30,10 +30,10 @@
 	// Committed counts the entries of the log; Undecided is 1 if the check
 	// for linearizability ran out of time.
 	Committed, Undecided int
-	// Ended are how many engines ended under each request that ends them.
-	Ended []int
-	// InnocentsRefused counts the sends of other requests that were refused like those.
-	InnocentsRefused int
+	// CrashCounts are how many engines ended under each request that ends them.
+	CrashCounts []int
+	// HealthyRefused counts the sends of other requests that were refused like those.
+	HealthyRefused int
 }
 
 const (
@@ -52,17 +52,17 @@
 	MutationLongLease: {FaultCutLeader, FaultFreezeLeader, FaultCutZone},
 	MutationRevert:    {FaultCutZone, FaultCrashControl, FaultCutOneWay},
 
-	MutationDigestVouches: {FaultUnheardControl},
+	MutationTrustDigest: {FaultMuteControl},
 
-	MutationCrashesNotShared:    {FaultCrashingRequest, FaultCrashRouter},
-	MutationConvictionForgotten: {FaultCrashingRequest, FaultCrashLeader},
-	MutationResetCountsAsCrash:  {FaultCrashingRequest},
-	MutationSteadyLease:         {FaultSuspend},
+	MutationUnsharedCrashes:    {FaultCrashingRequest, FaultCrashRouter},
+	MutationForgetQuarantine:   {FaultCrashingRequest, FaultCrashLeader},
+	MutationResetCountsAsCrash: {FaultCrashingRequest},
+	MutationMonotonicLease:     {FaultSuspend},
 
 	MutationLateDrains: {FaultDrainZone, FaultSuspend},
 
-	MutationRestsIgnored:  {FaultOverloadEngine},
-	MutationLimitsIgnored: {FaultLimitEngine},
+	MutationIgnoreBackoff: {FaultOverloadEngine},
+	MutationIgnoreLimits:  {FaultLimitEngine},
 }
 
 // RandomSchedule draws a schedule: one to six faults, alone, together or one
@@ -90,14 +90,14 @@
 	return schedule
 }
 
-// firstDrawnApart is the stream of random numbers of the first of KindsDrawnApart.
+// firstDrawnApart is the stream of random numbers of the first of AdditionalKinds.
 const firstDrawnApart = 3
 
 // faultsDrawnApart returns what every fourth schedule has besides of each kind, drawn from
 // numbers of its own.
 func faultsDrawnApart(seed uint64) []Fault {
 	var drawn []Fault
-	for position, kind := range KindsDrawnApart {
+	for position, kind := range AdditionalKinds {
 		random := rand.New(rand.NewPCG(seed, uint64(firstDrawnApart+position)))
 		if random.IntN(4) == 0 {
 			drawn = append(drawn, randomFault(random, []Kind{kind}))
@@ -140,9 +140,9 @@
 
 func (w *world) outcome(schedule Schedule) Outcome {
 	outcome := Outcome{Events: w.EventsRun(), Faults: w.faults, Committed: len(w.checks.entries), Undecided: w.checks.undecided}
-	outcome.InnocentsRefused = w.checks.innocentsRefused
+	outcome.HealthyRefused = w.checks.innocentsRefused
 	for _, culprit := range w.checks.culprits {
-		outcome.Ended = append(outcome.Ended, len(w.checks.truthOf(culprit.identity).lives))
+		outcome.CrashCounts = append(outcome.CrashCounts, len(w.checks.truthOf(culprit.identity).lives))
 	}
 	for _, told := range w.checks.verdicts {
 		switch told {
@@ -171,9 +171,9 @@
 	return false
 }
 
-// Shorten returns the shortest schedule found that still breaks the check:
+// Minimize returns the shortest schedule found that still breaks the check:
 // it leaves out one fault after the other.
-func Shorten(schedule Schedule, check string) Schedule {
+func Minimize(schedule Schedule, check string) Schedule {
 	for position := 0; position < len(schedule.Faults); {
 		shorter := schedule
 		shorter.Faults = append(append([]Fault{}, schedule.Faults[:position]...), schedule.Faults[position+1:]...)
--- a/internal/faultsim/run_test.go
+++ b/internal/faultsim/run_test.go
@@ -38,7 +38,7 @@
 		schedule := Schedule{Seed: seed}
 		for number := range uint64(3) {
 			random := rand.New(rand.NewPCG(seed, number))
-			schedule.Faults = append(schedule.Faults, randomFault(random, []Kind{FaultUnheardControl}))
+			schedule.Faults = append(schedule.Faults, randomFault(random, []Kind{FaultMuteControl}))
 		}
 		for _, violation := range Run(schedule).Violations {
 			t.Errorf("seed %d: %s: %s", seed, violation.Check, violation.Detail)
@@ -97,24 +97,24 @@
 func TestMutationsAreCaught(t *testing.T) {
 	expected := map[Mutation][]string{
 		MutationNoSync:      {CheckLog, CheckSpec},
-		MutationNoFence:     {CheckDecided, CheckMemory, CheckSpec},
-		MutationStaleRead:   {CheckLinear},
+		MutationNoFence:     {CheckUnassigned, CheckMemory, CheckSpec},
+		MutationStaleRead:   {CheckLinearizable},
 		MutationLongLease:   {CheckLease},
 		MutationEarlyNotRun: {CheckNotRun},
 		MutationRevert:      {CheckRevert},
-		MutationEarlyFree:   {CheckDecided, CheckMemory},
+		MutationEarlyFree:   {CheckUnassigned, CheckMemory},
 
-		MutationDigestVouches: {CheckInForce},
+		MutationTrustDigest: {CheckPropagation},
 
-		MutationCrashesNotShared:    {CheckRepeats},
-		MutationConvictionForgotten: {CheckConvicted},
-		MutationResetCountsAsCrash:  {CheckConvicted},
-		MutationSteadyLease:         {CheckLease},
+		MutationUnsharedCrashes:    {CheckCrashRepeats},
+		MutationForgetQuarantine:   {CheckQuarantine},
+		MutationResetCountsAsCrash: {CheckQuarantine},
+		MutationMonotonicLease:     {CheckLease},
 
 		MutationLateDrains: {CheckDrains},
 
-		MutationRestsIgnored:  {CheckRests},
-		MutationLimitsIgnored: {CheckLimits},
+		MutationIgnoreBackoff: {CheckBackoff},
+		MutationIgnoreLimits:  {CheckLimits},
 	}
 	for _, mutation := range Mutations {
 		for _, check := range expected[mutation] {
--- a/internal/faultsim/world.go
+++ b/internal/faultsim/world.go
@@ -55,25 +55,25 @@
 	// MutationEarlyFree: a reservation is freed when the unload is decided,
 	// not when the engine confirms it.
 	MutationEarlyFree Mutation = "early-free"
-	// MutationDigestVouches: a digest is taken for proof that its server is up to date, and a
+	// MutationTrustDigest: a digest is taken for proof that its server is up to date, and a
 	// control node serves although the leader does not hear it.
-	MutationDigestVouches Mutation = "digest-vouches"
-	// MutationCrashesNotShared: routers keep to themselves which engines ended under which
+	MutationTrustDigest Mutation = "digest-vouches"
+	// MutationUnsharedCrashes: routers keep to themselves which engines ended under which
 	// requests.
-	MutationCrashesNotShared Mutation = "crashes-not-shared"
-	// MutationConvictionForgotten: a new leader begins without the convictions of the last.
-	MutationConvictionForgotten Mutation = "conviction-forgotten-by-new-leader"
+	MutationUnsharedCrashes Mutation = "crashes-not-shared"
+	// MutationForgetQuarantine: a new leader begins without the convictions of the last.
+	MutationForgetQuarantine Mutation = "conviction-forgotten-by-new-leader"
 	// MutationResetCountsAsCrash: a connection that broke is taken for an engine that ended.
 	MutationResetCountsAsCrash Mutation = "reset-counts-as-crash"
-	// MutationSteadyLease: leases are measured by a clock that stands still during a sleep.
-	MutationSteadyLease Mutation = "lease-on-steady-clock"
+	// MutationMonotonicLease: leases are measured by a clock that stands still during a sleep.
+	MutationMonotonicLease Mutation = "lease-on-steady-clock"
 	// MutationLateDrains: orders about zones are taken however old they are, and written whatever
 	// came in between.
 	MutationLateDrains Mutation = "late-drains"
-	// MutationRestsIgnored: routers go on sending to engines that asked for a rest.
-	MutationRestsIgnored Mutation = "rests-ignored"
-	// MutationLimitsIgnored: routers ask for no permits.
-	MutationLimitsIgnored Mutation = "limits-ignored"
+	// MutationIgnoreBackoff: routers go on sending to engines that asked for a rest.
+	MutationIgnoreBackoff Mutation = "rests-ignored"
+	// MutationIgnoreLimits: routers ask for no permits.
+	MutationIgnoreLimits Mutation = "limits-ignored"
 )
 
 // Mutations lists all but MutationNone. A forgotten vote is not among them:
@@ -81,9 +81,9 @@
 // of the raft package bring about by hand.
 var Mutations = []Mutation{
 	MutationNoSync, MutationNoFence, MutationStaleRead, MutationLongLease,
-	MutationEarlyNotRun, MutationRevert, MutationEarlyFree, MutationDigestVouches,
-	MutationCrashesNotShared, MutationConvictionForgotten, MutationResetCountsAsCrash, MutationSteadyLease,
-	MutationLateDrains, MutationRestsIgnored, MutationLimitsIgnored,
+	MutationEarlyNotRun, MutationRevert, MutationEarlyFree, MutationTrustDigest,
+	MutationUnsharedCrashes, MutationForgetQuarantine, MutationResetCountsAsCrash, MutationMonotonicLease,
+	MutationLateDrains, MutationIgnoreBackoff, MutationIgnoreLimits,
 }
 
 // world is one simulated cluster.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,7 +34,7 @@
 // its control plane.
 type deployment struct {
 	t       testing.TB
-	world   *emulator.World
+	world   *emulator.Environment
 	view    *nodeview.View
 	gateway *gateway.Gateway
 	server  *httptest.Server
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return ""
 	}
-	return emulator.Answer(string(encoded), a.tokens)
+	return emulator.Completion(string(encoded), a.tokens)
 }
 
 func readPlain(entry ask, body io.Reader, result answer) answer {
--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -51,13 +51,13 @@
 	recorder *recorder
 }
 
-// JudgeAudit adds the violations that the emulator's audit shows.
-func (r *Recorder) JudgeAudit(audit emulator.Audit) {
+// AddAuditViolations adds the violations that the emulator's audit shows.
+func (r *Recorder) AddAuditViolations(audit emulator.Audit) {
 	r.recorder.judgeHolds(audit.Executions)
 	r.recorder.mutex.Lock()
 	defer r.recorder.mutex.Unlock()
 	r.recorder.summary.Violations["memory_overcommits"] = audit.MemoryOvercommits
-	r.recorder.summary.Violations["late_work_to_leaving"] = audit.LateWork
+	r.recorder.summary.Violations["late_work_to_leaving"] = audit.WorkAfterLeaving
 }
 
 func (g *generator) listModels(ctx context.Context) ([]string, error) {
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -105,8 +105,8 @@
 	return &r.summary
 }
 
-// Judge sets the result from the violations.
-func (s *Summary) Judge() {
+// SetResult sets the result from the violations.
+func (s *Summary) SetResult() {
 	s.Result = "ok"
 	for _, count := range s.Violations {
 		if count > 0 {
--- a/internal/policysim/compare.go
+++ b/internal/policysim/compare.go
@@ -13,29 +13,29 @@
 type Comparison struct {
 	Scenario string
 	Policy   string
-	// Scale multiplies the cold-start weights of the scenario; 1 as shipped.
-	Scale float64
-	Seeds int
+	// WeightScale multiplies the cold-start weights of the scenario; 1 as shipped.
+	WeightScale float64
+	Seeds       int
 
-	ColdShare    float64
-	ColdP50      float64
-	ColdP99      float64
-	FloorP99     float64
-	WaitP99      float64
-	WaitP999     float64
-	FirstP95     float64
-	IdleHours    float64
-	Loads        float64
-	Refused      float64
-	Broken       int
-	WorstSeconds float64
+	ColdShare  float64
+	ColdP50    float64
+	ColdP99    float64
+	FloorP99   float64
+	WaitP99    float64
+	WaitP999   float64
+	FirstP95   float64
+	IdleHours  float64
+	Loads      float64
+	Refused    float64
+	Violations int
+	MaxSeconds float64
 }
 
 // Job is one run of a comparison.
 type Job struct {
-	Policy string
-	Scale  float64
-	Seed   uint64
+	Policy      string
+	WeightScale float64
+	Seed        uint64
 }
 
 // Compare runs jobs on all processors and averages over the seeds. Results
@@ -53,7 +53,7 @@
 	var mutex sync.Mutex
 	virtualtime.RunAll(len(jobs), func(position int) {
 		job := jobs[position]
-		results[position] = Run(scenario.scaled(job.Scale), job.Seed, policies[position])
+		results[position] = Run(scenario.scaled(job.WeightScale), job.Seed, policies[position])
 		mutex.Lock()
 		defer mutex.Unlock()
 		progress(results[position])
@@ -89,9 +89,9 @@
 	sums := map[key]*Comparison{}
 	var order []key
 	for position, job := range jobs {
-		group := key{job.Policy, job.Scale}
+		group := key{job.Policy, job.WeightScale}
 		if sums[group] == nil {
-			sums[group] = &Comparison{Scenario: scenario, Policy: job.Policy, Scale: job.Scale}
+			sums[group] = &Comparison{Scenario: scenario, Policy: job.Policy, WeightScale: job.WeightScale}
 			order = append(order, group)
 		}
 		sums[group].add(results[position])
@@ -110,15 +110,15 @@
 	}
 	c.ColdP50 += result.ColdStart.P50
 	c.ColdP99 += result.ColdStart.P99
-	c.FloorP99 += result.ColdStartFloor.P99
+	c.FloorP99 += result.ColdStartMinimum.P99
 	c.WaitP99 += result.ReplicaWait.P99
 	c.WaitP999 += result.ReplicaWait.P999
 	c.FirstP95 += result.FirstToken.P95
 	c.IdleHours += result.IdleHours
 	c.Loads += float64(result.Loads)
 	c.Refused += float64(result.Requests.RefusedNotRun)
-	c.Broken += result.Broken()
-	c.WorstSeconds = max(c.WorstSeconds, result.Seconds)
+	c.Violations += result.Violations()
+	c.MaxSeconds = max(c.MaxSeconds, result.Seconds)
 }
 
 func (c *Comparison) mean() Comparison {
@@ -143,8 +143,8 @@
 			ratio = entry.ColdP99 / entry.FloorP99
 		}
 		_, _ = fmt.Fprintf(writer, "| %s | %s | %g | %d | %.1f%% | %.2f | %.2f | %.2f | %.2f | %.3f | %.2f | %.2f | %.1f | %.0f | %.1f | %d |\n",
-			entry.Scenario, entry.Policy, entry.Scale, entry.Seeds, 100*entry.ColdShare, entry.ColdP50, entry.ColdP99,
-			entry.FloorP99, ratio, entry.WaitP99, entry.WaitP999, entry.FirstP95, entry.IdleHours, entry.Loads, entry.Refused, entry.Broken)
+			entry.Scenario, entry.Policy, entry.WeightScale, entry.Seeds, 100*entry.ColdShare, entry.ColdP50, entry.ColdP99,
+			entry.FloorP99, ratio, entry.WaitP99, entry.WaitP999, entry.FirstP95, entry.IdleHours, entry.Loads, entry.Refused, entry.Violations)
 	}
 }
 
--- a/internal/policysim/draw.go
+++ b/internal/policysim/draw.go
@@ -18,21 +18,21 @@
 	pointRadius   = 3
 )
 
-// Quantity is what a drawing shows against idle hours.
-type Quantity struct {
+// Metric is what a drawing shows against idle hours.
+type Metric struct {
 	Title string
 	Of    func(Comparison) float64
 }
 
-// Drawings lists what can be drawn, by the name of its file.
-var Drawings = map[string]Quantity{
+// Plots lists what can be drawn, by the name of its file.
+var Plots = map[string]Metric{
 	"cold-share":   {"requests that found no replica, %", func(c Comparison) float64 { return 100 * c.ColdShare }},
 	"replica-wait": {"p99 wait for a replica, s", func(c Comparison) float64 { return c.WaitP99 }},
 }
 
-// Draw writes a drawing of a quantity against idle accelerator hours: a point
+// WritePlot writes a drawing of a quantity against idle accelerator hours: a point
 // or curve for each policy. The extension of the path says the format.
-func Draw(path string, quantity Quantity, compared []Comparison) error {
+func WritePlot(path string, quantity Metric, compared []Comparison) error {
 	drawing := plot.New()
 	drawing.Title.Text = compared[0].Scenario
 	drawing.X.Label.Text = "idle accelerator hours"
--- a/internal/policysim/policy.go
+++ b/internal/policysim/policy.go
@@ -18,19 +18,19 @@
 	keepAlive func(arrivals []arrival) keepalive.Policy
 }
 
-// OwnPolicy is the project's own, with its default settings.
-const OwnPolicy = "adaptive"
+// DefaultPolicy is the project's own, with its default settings.
+const DefaultPolicy = "adaptive"
 
 // PolicyNames lists the policies: the project's own and the baselines.
 var PolicyNames = []string{
-	OwnPolicy, "ski-rental", "fixed-10m", "none", "always-loaded", "round-robin", "clairvoyant",
+	DefaultPolicy, "ski-rental", "fixed-10m", "none", "always-loaded", "round-robin", "clairvoyant",
 }
 
 // PolicyByName returns a policy.
 func PolicyByName(name string) (Policy, error) {
 	switch name {
 	case "round-robin":
-		return Policy{Name: name, RoundRobin: true, keepAlive: named(OwnPolicy)}, nil
+		return Policy{Name: name, RoundRobin: true, keepAlive: named(DefaultPolicy)}, nil
 	case "clairvoyant":
 		return Policy{Name: name, keepAlive: newClairvoyant}, nil
 	}
--- a/internal/policysim/run.go
+++ b/internal/policysim/run.go
@@ -24,19 +24,19 @@
 	// ReplicaWait is over all requests, 0 where a replica was ready.
 	ReplicaWait Percentiles `json:"replica_wait_seconds"`
 	FirstToken  Percentiles `json:"first_token_seconds"`
-	// ColdStartFloor is for the same requests as ColdStart: the bare load
+	// ColdStartMinimum is for the same requests as ColdStart: the bare load
 	// from the best tier present with an idle store.
-	ColdStartFloor      Percentiles `json:"cold_start_floor_seconds"`
+	ColdStartMinimum    Percentiles `json:"cold_start_floor_seconds"`
 	IdleHours           float64     `json:"idle_accelerator_hours"`
 	Loads               int         `json:"loads"`
 	ReplicasOverDecided int         `json:"replicas_over_decided"`
 	MemoryOvercommits   int         `json:"memory_overcommits"`
 	// DuplicateRuns and FalseNotRun count requests that ended twice, or were
 	// refused after they had run to their end.
-	DuplicateRuns int `json:"duplicate_runs"`
-	FalseNotRun   int `json:"false_not_run"`
-	CutInFlight   int `json:"cut_in_flight"`
-	LateWork      int `json:"late_work_to_leaving"`
+	DuplicateRuns       int `json:"duplicate_runs"`
+	FalseNotRun         int `json:"false_not_run"`
+	InterruptedRequests int `json:"cut_in_flight"`
+	WorkAfterLeaving    int `json:"late_work_to_leaving"`
 	// Events is how many events the run took, Seconds how long.
 	Events  int     `json:"events"`
 	Seconds float64 `json:"seconds"`
@@ -95,16 +95,16 @@
 			Total: m.total, Answered: m.answered, RefusedNotRun: m.refused, Unknown: m.unknown, Dropped: m.open,
 		},
 		ColdStarts: len(m.cold), ColdStart: percentilesOf(m.cold), ReplicaWait: percentilesOf(m.waits),
-		FirstToken: percentilesOf(m.firstTokens), ColdStartFloor: percentilesOf(m.floors),
+		FirstToken: percentilesOf(m.firstTokens), ColdStartMinimum: percentilesOf(m.floors),
 		IdleHours: m.idle.Hours(), Loads: m.loads,
 		ReplicasOverDecided: m.replicasOverDecided, MemoryOvercommits: m.memoryOvercommits,
 		DuplicateRuns: m.duplicateRuns, FalseNotRun: m.falseNotRun,
-		CutInFlight: m.cutInFlight, LateWork: m.lateWork, Events: s.EventsRun(),
+		InterruptedRequests: m.cutInFlight, WorkAfterLeaving: m.lateWork, Events: s.EventsRun(),
 	}
 }
 
-// Broken counts the broken promises.
-func (r Result) Broken() int {
+// Violations counts the broken promises.
+func (r Result) Violations() int {
 	return r.Requests.Dropped + r.ReplicasOverDecided + r.MemoryOvercommits + r.DuplicateRuns +
-		r.FalseNotRun + r.CutInFlight + r.LateWork
+		r.FalseNotRun + r.InterruptedRequests + r.WorkAfterLeaving
 }
--- a/internal/policysim/run_test.go
+++ b/internal/policysim/run_test.go
@@ -30,13 +30,13 @@
 func TestPoliciesKeepThePromises(t *testing.T) {
 	for _, name := range []string{"seatdesk", "ramlochun"} {
 		scenario := shortScenario(t, name)
-		for _, policyName := range []string{OwnPolicy, "fixed-10m", "round-robin", "clairvoyant"} {
+		for _, policyName := range []string{DefaultPolicy, "fixed-10m", "round-robin", "clairvoyant"} {
 			policy, err := PolicyByName(policyName)
 			if err != nil {
 				t.Fatal(err)
 			}
 			result := runFor(scenario, 1, policy, morning)
-			if result.Broken() != 0 || result.Requests.Answered == 0 {
+			if result.Violations() != 0 || result.Requests.Answered == 0 {
 				t.Errorf("%s %s: %+v", name, policyName, result)
 			}
 			ended := result.Requests.Answered + result.Requests.RefusedNotRun + result.Requests.Unknown
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := PolicyByName(OwnPolicy)
+	policy, err := PolicyByName(DefaultPolicy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 // TestSameSeedSameResult also shows that another seed has another result.
 func TestSameSeedSameResult(t *testing.T) {
 	scenario := shortScenario(t, "seatdesk")
-	policy, err := PolicyByName(OwnPolicy)
+	policy, err := PolicyByName(DefaultPolicy)
 	if err != nil {
 		t.Fatal(err)
 	}
