--- a/api/v1/routing.go
+++ b/api/v1/routing.go
@@ -104,7 +104,7 @@
 		total += target.Weight
 	}
 	if total == 0 {
-		return fault.InvalidField("spec.targets", "the weights must not add up to 0")
+		return fault.InvalidField("spec.targets", "the weights add up to 0")
 	}
 	return requireRange("spec.maxAttempts", int64(s.MaxAttempts), 1, 100)
 }
@@ -225,7 +225,7 @@
 	for _, name := range names {
 		key := routes[name].Host + routes[name].PathPrefix
 		if other, exists := owners[key]; exists {
-			return fault.InvalidField("spec.pathPrefix", "routes %s and %s have the same host and prefix", other, name)
+			return fault.InvalidField("spec.pathPrefix", "routes %s and %s share host and prefix", other, name)
 		}
 		owners[key] = name
 	}
--- a/api/v1/tenant.go
+++ b/api/v1/tenant.go
@@ -106,7 +106,7 @@
 		seen[text] = true
 	}
 	if s.Unit != UnitRequests && s.Unit != UnitTokens {
-		return fault.InvalidField("spec.unit", "%q is not a valid unit", string(s.Unit))
+		return fault.InvalidField("spec.unit", "%q is not a unit", string(s.Unit))
 	}
 	return firstError(
 		requireQuantity("spec.rate", s.Rate),
--- a/api/v1/validate.go
+++ b/api/v1/validate.go
@@ -176,7 +176,7 @@
 
 func requireNotNegative(field string, span Duration) error {
 	if span < 0 {
-		return fault.InvalidField(field, "must not be negative")
+		return fault.InvalidField(field, "a time-out must not be negative")
 	}
 	return nil
 }
--- a/internal/resourceapi/api.go
+++ b/internal/resourceapi/api.go
@@ -136,7 +136,7 @@
 			return kind, nil
 		}
 	}
-	return "", fault.NotFound.New("unknown kind %q", segment)
+	return "", fault.NotFound.New("there is no kind %q", segment)
 }
 
 func (a *API) waitApplied(request *http.Request) error {
@@ -198,7 +198,7 @@
 func writeJSON(writer http.ResponseWriter, body any) error {
 	writer.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(writer).Encode(body); err != nil {
-		return fault.Unavailable.Wrap(err, "writing the response")
+		return fault.Unavailable.Wrap(err, "writing the answer")
 	}
 	return nil
 }
@@ -210,7 +210,7 @@
 		return fault.InvalidField("body", "%s", err.Error())
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return fault.InvalidField("body", "unexpected data after the JSON document")
+		return fault.InvalidField("body", "there is something behind the JSON document")
 	}
 	return nil
 }
--- a/internal/resourceapi/drain.go
+++ b/internal/resourceapi/drain.go
@@ -14,9 +14,9 @@
 func checkGenericKind(kind v1.Kind) error {
 	switch kind {
 	case v1.KindReplica:
-		return fault.InvalidField("kind", "Replica is read-only")
+		return fault.InvalidField("kind", "Replica is written by weldline only")
 	case v1.KindZoneDrain:
-		return fault.InvalidField("kind", "ZoneDrain can only be written by PUT and can't be deleted")
+		return fault.InvalidField("kind", "ZoneDrain is written by PUT alone, and never deleted")
 	}
 	return nil
 }
@@ -29,11 +29,11 @@
 		return err
 	}
 	if resource.Metadata.ResourceVersion != "" {
-		return fault.InvalidField("metadata.resourceVersion", "must be empty: writes of a ZoneDrain are unconditional")
+		return fault.InvalidField("metadata.resourceVersion", "is not taken: an order overtakes those before it")
 	}
 	drain, isDrain := spec.(*v1.ZoneDrainSpec)
 	if !isDrain {
-		return fault.Internal.New("the spec of a ZoneDrain has another type")
+		return fault.Internal.New("the spec of a ZoneDrain is none")
 	}
 	zone := resource.Metadata.Name
 	if err := a.store.DrainZone(request.Context(), zone, drain.Drained); err != nil {
--- a/internal/resourceapi/write.go
+++ b/internal/resourceapi/write.go
@@ -59,7 +59,7 @@
 	}
 	name := mux.Vars(request)["name"]
 	if resource.Kind != kind || resource.Metadata.Name != name {
-		return fault.InvalidField("metadata.name", "body is for %s %s, but the path is for %s %s", resource.Kind, resource.Metadata.Name, kind, name)
+		return fault.InvalidField("metadata.name", "the body names %s %s, the path %s %s", resource.Kind, resource.Metadata.Name, kind, name)
 	}
 	if kind == v1.KindZoneDrain {
 		return a.putZoneDrain(writer, request, &resource)
