--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,69 +1,72 @@
 #!/usr/bin/env bash
-# A soak: real nodes as processes of their own, callers, operators and machines before them, and
-# faults from outside. The last line of standard output is one JSON object; the exit code is 1
-# where a promise was broken. SEED, DURATION, CONTROL, ROUTERS, MACHINES, MODELS, LIMITS=0 and STATEMENTS=0 change it; KEEP_RUN=1
-# keeps the folder with the logs, and so does a promise that was broken.
+# Runs a soak test: node processes with simulated callers, operators and machines, under injected
+# faults. The last line of standard output is one JSON object; the exit code is 1 if an invariant
+# was violated.
 #
-# FORMER_BIN names a folder with the weldnode of a former build: the nodes begin with that, and are
-# replaced one after the other, some of them back and forth.
+# Settings: SEED, DURATION, CONTROL, ROUTERS, MACHINES and MODELS; LIMITS=0 disables rate limits of
+# machines, STATEMENTS=0 disables Retry-After and shutdown announcements of machines. KEEP_RUN=1
+# keeps the run directory with the logs; it is always kept after a failure.
 #
-# Each node is started here again after it has ended. Only processes that were started here are
-# signalled, by the ids in the run's folder.
+# FORMER_BIN is a directory with weldnode of a previous release. The nodes start with that build and
+# are upgraded one by one, some of them with a rollback in between.
+#
+# Nodes that exit are restarted. Signals go only to processes started here, by the process IDs in
+# the run directory.
 set -euo pipefail
 
 root=$(cd "$(dirname "$0")/.." && pwd)
 bin=${BIN:-$root/bin}
-run=$(mktemp -d "${TMPDIR:-/tmp}/weldline-soak.XXXXXX")
-control=${CONTROL:-4}
-routers=${ROUTERS:-3}
-limits=--limits
-if [ "${LIMITS:-1}" = 0 ]; then limits=--no-limits; fi
-statements=--statements
-if [ "${STATEMENTS:-1}" = 0 ]; then statements=--no-statements; fi
-former=--no-former
-if [ -n "${FORMER_BIN:-}" ]; then former=--former; fi
+run_dir=$(mktemp -d "${TMPDIR:-/tmp}/weldline-soak.XXXXXX")
+control_count=${CONTROL:-4}
+router_count=${ROUTERS:-3}
+limits_flag=--limits
+if [ "${LIMITS:-1}" = 0 ]; then limits_flag=--no-limits; fi
+statements_flag=--statements
+if [ "${STATEMENTS:-1}" = 0 ]; then statements_flag=--no-statements; fi
+build_flag=--no-former
+if [ -n "${FORMER_BIN:-}" ]; then build_flag=--former; fi
 declare -a supervisors=()
 
-say() { echo "soak: $*" >&2; }
+log() { echo "soak: $*" >&2; }
 
 supervise() { # name
-  while [ -e "$run/keep-running" ]; do
-    if [ -e "$run/lose-$1" ]; then # The soak's mark that the node's disk is lost.
-      mv "$run/data-$1" "$run/lost-$1"
-      rm -f "$run/lose-$1"
+  while [ -e "$run_dir/keep-running" ]; do
+    if [ -e "$run_dir/lose-$1" ]; then # weldsoak simulates the loss of the node's disk.
+      mv "$run_dir/data-$1" "$run_dir/lost-$1"
+      rm -f "$run_dir/lose-$1"
     fi
-    build=$bin
-    if [ -e "$run/former-$1" ]; then build=$FORMER_BIN; fi
-    WELDLINE_BOOT="$run/$1.yaml" "$build/weldnode" >>"$run/$1.log" 2>&1 &
-    echo $! >"$run/$1"
+    node_bin=$bin
+    if [ -e "$run_dir/former-$1" ]; then node_bin=$FORMER_BIN; fi
+    WELDLINE_BOOT="$run_dir/$1.yaml" "$node_bin/weldnode" >>"$run_dir/$1.log" 2>&1 &
+    echo $! >"$run_dir/$1"
     wait $! || true
     sleep 0.3
   done
 }
 
 cleanup() {
-  rm -f "$run/keep-running"
-  for file in "$run"/control-? "$run"/router-?; do
-    if [ -e "$file" ]; then
-      kill -CONT "$(cat "$file")" 2>/dev/null || true
-      kill -KILL "$(cat "$file")" 2>/dev/null || true
+  rm -f "$run_dir/keep-running"
+  for pid_file in "$run_dir"/control-? "$run_dir"/router-?; do
+    if [ -e "$pid_file" ]; then
+      kill -CONT "$(cat "$pid_file")" 2>/dev/null || true
+      kill -KILL "$(cat "$pid_file")" 2>/dev/null || true
     fi
   done
   wait "${supervisors[@]}" 2>/dev/null || true
-  if [ "${KEEP_RUN:-0}" = 1 ] || [ "${result:-1}" != 0 ]; then say "logs kept in $run"; else rm -rf "$run"; fi
+  if [ "${KEEP_RUN:-0}" = 1 ] || [ "${result:-1}" != 0 ]; then log "logs kept in $run_dir"; else rm -rf "$run_dir"; fi
 }
 trap cleanup EXIT
 
-touch "$run/keep-running"
-"$bin/weldsoak" --seed "${SEED:-1}" --duration "${DURATION:-30s}" --control "$control" --routers "$routers" \
-  --machines "${MACHINES:-12}" --models "${MODELS:-0}" --run "$run" "$limits" "$statements" "$former" 2>"$run/soak.log" &
-soak=$!
+touch "$run_dir/keep-running"
+"$bin/weldsoak" --seed "${SEED:-1}" --duration "${DURATION:-30s}" --control "$control_count" --routers "$router_count" \
+  --machines "${MACHINES:-12}" --models "${MODELS:-0}" --run "$run_dir" "$limits_flag" "$statements_flag" "$build_flag" 2>"$run_dir/soak.log" &
+soak_pid=$!
 for _ in $(seq 1 200); do
-  if [ -e "$run/ready" ]; then break; fi
+  if [ -e "$run_dir/ready" ]; then break; fi
   sleep 0.05
 done
-for number in $(seq 0 $((control - 1))); do supervise "control-$number" & supervisors+=($!); done
-for number in $(seq 0 $((routers - 1))); do supervise "router-$number" & supervisors+=($!); done
+for number in $(seq 0 $((control_count - 1))); do supervise "control-$number" & supervisors+=($!); done
+for number in $(seq 0 $((router_count - 1))); do supervise "router-$number" & supervisors+=($!); done
 result=0
-wait "$soak" || result=$?
+wait "$soak_pid" || result=$?
 exit "$result"
