--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,9 @@
-# Two commands matter: `make demo` runs the main job, `make test` the tests.
+# `make demo` runs a demo cluster under load, `make test` the tests.
 GO ?= go
 TOOL = $(GO) tool -modfile=tools/go.mod
 BIN = bin
 PACKAGES = ./...
-# Tests that fail for a fault that is known and not mended yet: one line each, "name: cause, issue".
+# Tests that fail because of known faults, one per line as "name: cause, issue".
 KNOWN_RED = $(shell [ -f KNOWN-RED.txt ] && cut -d: -f1 KNOWN-RED.txt | paste -sd '|' -)
 SKIP_KNOWN_RED = $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$')
 HANDWRITTEN = $(shell git ls-files --cached --others --exclude-standard '*.go' | grep -v '\.pb\.go$$')
@@ -23,12 +23,13 @@
 demo: build
 	@BIN=$(CURDIR)/$(BIN) scripts/demo.sh
 
-# Real processes under faults from outside; SEED, DURATION and others as in scripts/soak.sh.
+# Runs node processes under injected faults. scripts/soak.sh describes SEED, DURATION and other
+# settings.
 soak: build
 	$(GO) build -o $(BIN)/ ./platform/weldnode ./platform/weldsoak
 	@BIN=$(CURDIR)/$(BIN) scripts/soak.sh
 
-# A soak that is short enough for CI: the same few faults each time.
+# Runs a soak with a fixed seed that is short enough for CI.
 soak-short:
 	@SEED=21 DURATION=20s CONTROL=3 ROUTERS=3 MACHINES=12 $(MAKE) --no-print-directory soak
 
@@ -45,7 +46,7 @@
 	$(TOOL) buf generate
 	$(GO) run ./cmd/weldline config reference >docs/SETTINGS.md
 
-# Generates into a scratch folder and compares with what is committed.
+# Checks that the generated files are current.
 check-generated:
 	@scratch=$$(mktemp -d); trap 'rm -rf "$$scratch"' EXIT; \
 	$(TOOL) buf generate --output "$$scratch" && \
