--- a/internal/faultsim/backoff.go
+++ b/internal/faultsim/backoff.go
@@ -49,7 +49,7 @@
 	r.resubmit(entry, grant, dispatch.ResultRejected)
 }
 
-// recordBackoff opens another period: a backoff may be extended but not shortened.
+// recordBackoff adds a period. A later backoff may extend the earlier ones but not shorten them.
 func (c *checks) recordBackoff(router *routerNode, m *machine) {
 	now := c.sim.Now()
 	c.backoffs[backoffKeyOf(router, m)] = append(c.backoffs[backoffKeyOf(router, m)], &backoffPeriod{start: now + backoffGrace, end: now + backoffDuration})
--- a/internal/faultsim/campaign.go
+++ b/internal/faultsim/campaign.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// Campaign runs schedules on all processors and aggregates their outcomes. It calls progress
-// concurrently with the number of finished schedules. Apart from Seconds, the summary depends on the
-// schedules alone.
+// Campaign runs schedules on all processors and aggregates their outcomes. It passes the number of
+// finished schedules to progress, from several goroutines. Apart from Seconds, the summary depends on
+// the schedules alone.
 func Campaign(schedules []Schedule, progress func(done int)) *Summary {
 	started := time.Now()
 	outcomes := make([]Outcome, len(schedules))
--- a/internal/faultsim/checks.go
+++ b/internal/faultsim/checks.go
@@ -36,15 +36,17 @@
 	CheckUnassigned = "replicas_over_decided"
 	// CheckMemory: no order exceeds the memory of its engine.
 	CheckMemory = "memory_overcommits"
-	// CheckRevert: no node's configuration goes back to an earlier revision.
+	// CheckRevert: a router's configuration never goes back to an earlier revision and holds only
+	// committed objects.
 	CheckRevert = "configuration_reverts"
-	// CheckPropagation: without faults, a change reaches all nodes within propagationTimeout.
+	// CheckPropagation: without faults, a change reaches all routers within propagationTimeout.
 	CheckPropagation = "configuration_late"
-	// CheckStaleStart: a restarted node serves no configuration from before its start.
+	// CheckStaleStart: a started router serves no configuration older than what was committed at its
+	// start.
 	CheckStaleStart = "stale_start"
 	// CheckDropped: every request ends with an outcome in time.
 	CheckDropped = "dropped"
-	// CheckWrongAnswer: every response belongs to its request.
+	// CheckWrongAnswer: a request gets only one outcome, and a replayed response belongs to its request.
 	CheckWrongAnswer = "wrong_answers"
 	// CheckAtMostOnce: a non-idempotent request runs at most once.
 	CheckAtMostOnce = "duplicate_runs"
@@ -195,7 +197,7 @@
 	}
 }
 
-// checkEngine compares an engine's replicas with the committed decisions.
+// checkEngine compares an engine's replicas with the committed decisions and checks its memory use.
 func (c *checks) checkEngine(m *machine) {
 	for _, replica := range m.engine.Replicas() {
 		spec, decided := c.reference.Spec(v1.KindReplica, replica.Order.Replica).(*v1.ReplicaSpec)
--- a/internal/faultsim/control.go
+++ b/internal/faultsim/control.go
@@ -257,7 +257,7 @@
 	})
 }
 
-// mutateWrites deletes replicas instead of unloading them (MutationEarlyFree).
+// mutateWrites turns unloads of replicas into deletions under MutationEarlyFree.
 func (c *controlNode) mutateWrites(writes []*wirepb.ObjectWrite) []*wirepb.ObjectWrite {
 	if c.sim.mutation != MutationEarlyFree {
 		return writes
@@ -353,7 +353,7 @@
 	return put && json.Unmarshal(write.GetObject().GetSpec(), &spec) == nil && spec.Phase == v1.ReplicaUnloading
 }
 
-// tiedElectionJitter is the election delay of all nodes under FaultCrashOnVote.
+// tiedElectionJitter is the minimum election delay under FaultCrashOnVote.
 const tiedElectionJitter = 40 * time.Millisecond
 
 // electionJitter draws a random election delay. Under FaultCrashOnVote all delays are nearly equal, to
--- a/internal/faultsim/crashes.go
+++ b/internal/faultsim/crashes.go
@@ -191,7 +191,7 @@
 	}
 }
 
-// probe examines a machine repeatedly until it is clear whether its engine crashed.
+// probe examines a machine repeatedly until it is clear whether its engine crashed or the time is up.
 func (r *routerNode) probe(run quarantine.BrokenRequest, until time.Duration) {
 	conclude := func(verdict quarantine.Verdict) {
 		if runs := r.crashes.ApplyVerdict(r.wall(), run.Instance, verdict); len(runs) > 0 {
@@ -277,7 +277,7 @@
 	}
 }
 
-// clearQuarantines deletes all suspect records (MutationForgetQuarantine).
+// clearQuarantines deletes all suspect records under MutationForgetQuarantine.
 func (c *controlNode) clearQuarantines() {
 	if c.sim.mutation != MutationForgetQuarantine {
 		return
--- a/internal/faultsim/drains.go
+++ b/internal/faultsim/drains.go
@@ -13,7 +13,8 @@
 	// stalls and the time to read the zone state.
 	drainTimeout     = responseTimeout
 	maxDrainAttempts = 5
-	// drainReplyLossRatio makes one in so many responses get lost, so that accepted orders are resent.
+	// drainReplyLossRatio is the number of responses of which one is treated as lost, so that accepted
+	// orders are resent.
 	drainReplyLossRatio = 4
 	// drainGrace is the time after the acknowledgement of a drain during which requests may still
 	// arrive.
@@ -124,10 +125,10 @@
 
 // drainRecord is the last order acknowledged for a zone.
 type drainRecord struct {
-	drained bool
-	// acknowledged is false while an order is in progress.
+	drained        bool
 	acknowledgedAt time.Duration
-	acknowledged   bool
+	// acknowledged is false while an order is in progress.
+	acknowledged bool
 }
 
 func (c *checks) recordDrainOrder(order zoneOrder) {
--- a/internal/faultsim/faults.go
+++ b/internal/faultsim/faults.go
@@ -7,6 +7,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
+// Kind names a kind of fault in a schedule.
 type Kind string
 
 // The kinds of faults.
--- a/internal/faultsim/network.go
+++ b/internal/faultsim/network.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// call sends a request and passes its response to done exactly once. After the timeout done gets
-// false.
+// call sends a request and calls done exactly once: with the response and true, or with false on a
+// timeout.
 func call[T any](from, to *process, timeout time.Duration, handle func(reply func(T)), done func(T, bool)) {
 	s := from.sim
 	finished := false
--- a/internal/faultsim/operators.go
+++ b/internal/faultsim/operators.go
@@ -136,7 +136,7 @@
 }
 
 // write sends a write, and resends it with the same request ID to random control nodes until it is
-// answered. After the last attempt done gets nil.
+// answered. If all attempts fail, it calls done with nil.
 func (o *operator) write(writes []*wirepb.ObjectWrite, done func(*wirepb.CommandResult)) {
 	o.requests++
 	command := &wirepb.Command{
--- a/internal/faultsim/process.go
+++ b/internal/faultsim/process.go
@@ -84,7 +84,8 @@
 	return total
 }
 
-// clock returns the time since the process started, including suspensions.
+// clock returns the time since the process started. It includes suspensions, except under
+// MutationMonotonicLease.
 func (p *process) clock() time.Duration {
 	elapsed := p.sim.Now() - p.startedAt
 	if p.sim.mutation == MutationMonotonicLease {
--- a/internal/faultsim/requests.go
+++ b/internal/faultsim/requests.go
@@ -216,7 +216,7 @@
 	return created
 }
 
-// placeHold executes a hold, or reports that it did not run.
+// placeHold executes a hold, which is a non-idempotent request, or reports that it did not run.
 func (l *ledger) placeHold(key, owner string, reply func(claims.SendOutcome)) {
 	if l.sim.random.IntN(10) == 0 {
 		reply(claims.SendNotRun)
--- a/internal/faultsim/run.go
+++ b/internal/faultsim/run.go
@@ -20,6 +20,7 @@
 	Schedule Schedule `json:"schedule"`
 }
 
+// Outcome is the result of one simulated schedule.
 type Outcome struct {
 	Events     int
 	Faults     map[string]int
@@ -41,8 +42,8 @@
 	maxSettleSteps = 100
 )
 
-// provokingKinds lists the faults under which a mutation can cause a violation. Other faults only make
-// one less likely.
+// provokingKinds lists the faults that can make a mutation cause a violation. The schedules of such a
+// mutation contain no other faults.
 var provokingKinds = map[Mutation][]Kind{
 	MutationNoSync:    {FaultCrashLeader, FaultCrashControl, FaultStopLeader},
 	MutationNoFence:   {FaultDuplicate, FaultSlowOrders, FaultFreezeRouter},
@@ -63,7 +64,8 @@
 	MutationIgnoreLimits:  {FaultLimitEngine},
 }
 
-// RandomSchedule draws a schedule of one to six faults, which may overlap or repeat.
+// RandomSchedule draws one to maxFaults faults, which may overlap or repeat. A mutation with
+// provokingKinds gets maxFaults faults of those kinds; other schedules also get additionalFaults.
 func RandomSchedule(seed uint64, mutation Mutation) Schedule {
 	random := rand.New(rand.NewPCG(seed, 2))
 	schedule := Schedule{Seed: seed, Mutation: mutation}
--- a/internal/faultsim/run_test.go
+++ b/internal/faultsim/run_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestReplayIsDeterministic guards against dependence on map order. The second seed loses proposals to
-// a snapshot, so that several fail at once.
+// TestReplayIsDeterministic guards against dependence on map order. With the second seed, a snapshot
+// discards several proposals, which then fail at the same time.
 func TestReplayIsDeterministic(t *testing.T) {
 	const repeats = 6
 	for _, seed := range []uint64{7, 105} {
--- a/internal/faultsim/simulation.go
+++ b/internal/faultsim/simulation.go
@@ -75,8 +75,8 @@
 	MutationIgnoreLimits Mutation = "limits-ignored"
 )
 
-// Mutations lists all but MutationNone. A forgotten vote is not among them: with pre-votes it takes
-// two simultaneous candidates, which the tests of the raft package cover.
+// Mutations lists all mutations but MutationNone. None makes a node forget its vote: with pre-votes that
+// has an effect only with two simultaneous candidates, which the tests of package raft cover.
 var Mutations = []Mutation{
 	MutationNoSync, MutationNoFence, MutationStaleRead, MutationLongLease,
 	MutationEarlyNotRun, MutationRevert, MutationEarlyFree, MutationTrustDigest,
--- a/internal/policysim/compare.go
+++ b/internal/policysim/compare.go
@@ -31,6 +31,7 @@
 	MaxSeconds     float64
 }
 
+// Job is one run of a comparison.
 type Job struct {
 	Policy      string
 	WeightScale float64
--- a/internal/policysim/policy.go
+++ b/internal/policysim/policy.go
@@ -26,6 +26,7 @@
 	DefaultPolicy, "ski-rental", "fixed-10m", "none", "always-loaded", "round-robin", "clairvoyant",
 }
 
+// PolicyByName returns the policy with one of PolicyNames.
 func PolicyByName(name string) (Policy, error) {
 	switch name {
 	case "round-robin":
@@ -44,8 +45,8 @@
 }
 
 // clairvoyant knows the next use of each version. It keeps a replica if and only if idling until then
-// costs no more than loading it again, and never prewarms. It is a lower bound for keep-alive policies
-// with the same weights.
+// costs no more than loading it again, and never prewarms. Its cost is a lower bound for keep-alive
+// policies with the same weights.
 type clairvoyant struct {
 	uses map[string][]time.Time
 }
@@ -69,7 +70,7 @@
 func (c *clairvoyant) Index(subject keepalive.VersionProfile, idle time.Duration, now time.Time) float64 {
 	uses := c.uses[subject.Version]
 	next := sort.Search(len(uses), func(i int) bool { return !uses[i].Before(now) })
-	// The elapsed idle time counts as well, since it was part of the same decision.
+	// The whole gap between two uses counts, including the idle time that has already passed.
 	return keepalive.KeepIf(next < len(uses) && uses[next].Sub(now)+idle <= subject.BreakEven())
 }
 
--- a/internal/policysim/run.go
+++ b/internal/policysim/run.go
@@ -13,6 +13,7 @@
 	Dropped       int `json:"dropped"`
 }
 
+// Result holds the measurements of one run.
 type Result struct {
 	Scenario   string      `json:"scenario"`
 	Seed       uint64      `json:"seed"`
@@ -41,6 +42,7 @@
 	Seconds float64 `json:"seconds"`
 }
 
+// Run simulates all days of a scenario.
 func Run(scenario *Scenario, seed uint64, policy Policy) Result {
 	return runUntil(scenario, seed, policy, time.Duration(scenario.Days)*day)
 }
--- a/internal/policysim/run_test.go
+++ b/internal/policysim/run_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestResultsAreDeterministic also requires that the seed affects the result.
+// TestResultsAreDeterministic requires equal results for equal seeds and another result for another
+// seed.
 func TestResultsAreDeterministic(t *testing.T) {
 	scenario := shortScenario(t, "seatdesk")
 	policy, err := PolicyByName(DefaultPolicy)
--- a/internal/policysim/scenario.go
+++ b/internal/policysim/scenario.go
@@ -70,7 +70,8 @@
 	PauseInSession     time.Duration `yaml:"pauseInSession"`
 	// Zipf is the exponent of the models' popularity.
 	Zipf float64 `yaml:"zipf"`
-	// Traffic follows the peaks, except for the share Base, which is uniform.
+	// Traffic is a mixture of the peaks and a uniform part. Base is the weight of the uniform part,
+	// relative to the shares of the peaks.
 	Peaks  []Peak  `yaml:"peaks"`
 	Base   float64 `yaml:"base"`
 	Bursts []Burst `yaml:"bursts"`
@@ -103,11 +104,12 @@
 	Models   int           `yaml:"models"`
 }
 
-// FaultsScenario sets the mean number of faults per day.
+// FaultsScenario sets the mean number of faults per day, unless a field says otherwise.
 type FaultsScenario struct {
-	EngineRestarts   float64 `yaml:"engineRestarts"`
-	MachinesLeaving  float64 `yaml:"machinesLeaving"`
-	LeaderChanges    float64 `yaml:"leaderChanges"`
+	EngineRestarts  float64 `yaml:"engineRestarts"`
+	MachinesLeaving float64 `yaml:"machinesLeaving"`
+	LeaderChanges   float64 `yaml:"leaderChanges"`
+	// SlowStoreMinutes is the duration of a store slowdown, of which there is one per day on average.
 	SlowStoreMinutes float64 `yaml:"slowStoreMinutes"`
 	// DieWhileLoading is the probability that an engine crashes during a load.
 	DieWhileLoading float64 `yaml:"dieWhileLoading"`
--- a/internal/policysim/simulation.go
+++ b/internal/policysim/simulation.go
@@ -94,7 +94,7 @@
 	return simulationStart.Add(s.Now())
 }
 
-// startTerm replaces the controller, which loses the observations of its predecessor.
+// startTerm replaces the controller. The new one starts without the observations of the previous one.
 func (s *simulation) startTerm() {
 	s.term++
 	s.reports = controller.NewReportTable()
