--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -56,6 +56,7 @@
 	ListLag time.Duration `yaml:"listLag"`
 }
 
+// EngineConfig describes the engine of each machine.
 type EngineConfig struct {
 	// MemoryBytesPerSecond and DiskBytesPerSecond are the load speeds from the machine's own tiers.
 	MemoryBytesPerSecond float64 `yaml:"memoryBytesPerSecond"`
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -123,6 +123,7 @@
 	return err
 }
 
+// Addresses returns the base URLs of all systems.
 func (e *Environment) Addresses() Addresses {
 	return e.addresses
 }
--- a/internal/emulator/grey.go
+++ b/internal/emulator/grey.go
@@ -7,7 +7,8 @@
 	"github.com/weldline/weldline/api/engine"
 )
 
-// withGreyFailures wraps the handler of a worker if it is among the first ones, which are grey.
+// withGreyFailures wraps the handler of a worker if the worker is grey. The first workers of each kind
+// are.
 func (e *Environment) withGreyFailures(handler http.Handler, position, workers int) http.Handler {
 	if position >= e.config.Grey.workerCount(workers) {
 		return handler
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// responseGrace is the time after its deadline within which a request must be refused.
+	// responseGrace is how long after its deadline a request may still be answered or refused.
 	responseGrace = 2 * time.Second
 	resendDelay   = 50 * time.Millisecond
 )
--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -25,7 +25,7 @@
 	requests sync.WaitGroup
 }
 
-// Run executes a plan. The result of the summary is not set yet.
+// Run executes a plan. It leaves Summary.Result empty; see Summary.SetResult.
 func Run(ctx context.Context, plan Plan, progress func(text string)) (*Summary, *Recorder, error) {
 	if err := plan.Validate(); err != nil {
 		return nil, nil, err
--- a/internal/loadgen/holds.go
+++ b/internal/loadgen/holds.go
@@ -21,8 +21,7 @@
 	maxHoldAttempts  = 6
 )
 
-// hold sends one non-idempotent request repeatedly under the same key until its outcome is known, as a
-// booking client does.
+// hold sends one non-idempotent request, and resends it under the same key until its outcome is known.
 func (g *generator) hold(ctx context.Context, due time.Time, number int, key string) {
 	ctx, cancel := context.WithDeadline(ctx, due.Add(g.plan.Deadline+responseGrace))
 	defer cancel()
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -31,6 +31,7 @@
 	Seed     uint64
 }
 
+// Validate returns an error that names the first invalid field.
 func (p *Plan) Validate() error {
 	switch {
 	case len(p.Routers) == 0:
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -36,6 +36,7 @@
 	Max   float64 `json:"max"`
 }
 
+// Summary holds the results of a load.
 type Summary struct {
 	Result            string          `json:"result"`
 	Requests          map[Outcome]int `json:"requests"`
@@ -103,7 +104,8 @@
 	return &r.summary
 }
 
-// SetResult sets Result: it fails if there are violations or if no request was answered.
+// SetResult sets Result to "failed" if there are violations or if no request was answered, and to "ok"
+// otherwise.
 func (s *Summary) SetResult() {
 	s.Result = "ok"
 	for _, count := range s.Violations {
