--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Bounds are the limits that the checks hold a history to.
+// Bounds are the limits that the checks apply to a history.
 type Bounds struct {
 	// ApplyTimeout runs from the acknowledgement of a configuration until every control node serves it.
 	ApplyTimeout time.Duration
@@ -22,6 +22,7 @@
 	MaxWarmingPerSecond int
 }
 
+// Violation is one case in which a history violates an invariant.
 type Violation struct {
 	Invariant string `json:"promise"`
 	Detail    string `json:"detail"`
@@ -50,7 +51,8 @@
 	{"recovery", func(history *History, _ Bounds, _ []Disturbance) []string { return history.Unserved }},
 }
 
-// Judge returns the violated invariants, in the order of the checks. The history must not change during the call.
+// Judge returns the violated invariants, in the order of the checks. The history must not change during the
+// call.
 func Judge(history *History, bounds Bounds, disturbances []Disturbance) []Violation {
 	var violations []Violation
 	for _, each := range checks {
@@ -134,8 +136,9 @@
 	})
 }
 
-// recoveredBy returns when a disturbed node is sure to have its state back: a restarted node fetches it from
-// the control nodes, which can't serve it while more of them are disturbed than are tolerated.
+// recoveredBy returns the time by which a disturbed node must have recovered its state. A restarted node
+// fetches its state from the control nodes, which can't serve it while more of them are disturbed than are
+// tolerated.
 func (b Bounds) recoveredBy(disturbances []Disturbance, own Disturbance) time.Duration {
 	end := own.End
 	for b.exceedsTolerance(disturbances, own.Start, end) {
@@ -278,7 +281,7 @@
 const (
 	// limitWindow is the sliding window in which requests to a machine with a rate limit are counted.
 	limitWindow = 4 * time.Second
-	// Routers together may send limitFactor times the stated limit and limitSlack requests per window.
+	// All routers together may send limitFactor times the stated limit plus limitSlack requests per window.
 	limitFactor, limitSlack = 1.5, 5
 )
 
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -176,7 +176,7 @@
 }
 
 // TestConsecutiveFaultsAreTolerated checks that two disturbed control nodes exceed the tolerance only if
-// their disturbances overlap.
+// their disturbances, extended by controlCatchUpTime, overlap.
 func TestConsecutiveFaultsAreTolerated(t *testing.T) {
 	first := Disturbance{Start: 5 * time.Second, End: 6 * time.Second, Node: "c1", IsControl: true}
 	second := Disturbance{End: 9 * time.Second, Node: "c2", IsControl: true}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -59,10 +59,12 @@
 	Limit float64
 }
 
+// Place is the location of a machine.
 type Place struct {
 	Zone, Region string
 }
 
+// OrderKind is what an Order asks for.
 type OrderKind int
 
 const (
@@ -109,6 +111,7 @@
 	Unserved []string
 }
 
+// NewHistory returns an empty history.
 func NewHistory() *History {
 	return &History{Requests: map[string]Request{}}
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,8 +8,10 @@
 	"time"
 )
 
+// FaultKind names a kind of fault in a plan.
 type FaultKind string
 
+// The kinds of faults.
 const (
 	// FaultKill sends SIGKILL to a process and FaultStop SIGTERM; its supervisor restarts it.
 	FaultKill FaultKind = "kill"
@@ -83,6 +85,7 @@
 	Zone    int    `json:"zone,omitempty"`
 }
 
+// String implements fmt.Stringer.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s %s %s for %s", f.At, f.Kind, f.target(), f.Duration)
 }
@@ -115,11 +118,12 @@
 	stopDuration = 5 * time.Second
 	// replaceDuration runs until a control node that lost its disk, or its replacement, is a voter again.
 	replaceDuration = 6 * time.Second
-	// silentConnectionDuration is twice a caller's timeout: a request may meet two silent connections in turn.
+	// silentConnectionDuration is twice a caller's timeout: a request may use two silent connections in turn.
 	silentConnectionDuration = 10 * time.Second
 	// rollInterval leaves a stopping node time to finish open requests.
 	rollInterval = 1500 * time.Millisecond
-	// maxDisksLost is what the deployment tolerates at once: clients can't tell when a node was replaced.
+	// maxDisksLost limits the lost disks of a plan to the number that the deployment tolerates at once, since
+	// nothing observes when a node has been replaced.
 	maxDisksLost = 1
 )
 
@@ -134,12 +138,12 @@
 }
 
 const (
-	limitDuration = 9 * time.Second // more than two of the windows in which requests are counted
+	limitDuration = 9 * time.Second // longer than two limitWindows
 	maxLimitPause = 4 * time.Second
 )
 
-// NewPlanWithLimits adds machines that state rate limits, one at a time, to the faults of NewPlan. Limits have
-// a random source of their own, so that the other faults of a seed don't depend on them.
+// NewPlanWithLimits adds machines that state rate limits, one at a time, to the faults of NewPlan. Limits
+// have a random source of their own, so that the other faults of a seed don't depend on them.
 func NewPlanWithLimits(seed uint64, layout Layout, span time.Duration) []Fault {
 	var limits []Fault
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -153,9 +157,9 @@
 	return MergePlans(NewPlan(seed, layout, span), limits)
 }
 
-// NewRolloutPlan draws a rollout of the current build, node by node in random order: it upgrades all nodes but
-// one, downgrades half of these, and then upgrades all. A downgrade is safe only while a node still runs the
-// previous build.
+// NewRolloutPlan draws a rollout of the current build, node by node in random order: it upgrades all nodes
+// but one, downgrades half of these, and then upgrades all. A downgrade is safe only while a node still runs
+// the previous build.
 func NewRolloutPlan(seed uint64, layout Layout, span time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 2))
 	nodes := slices.Concat(layout.Control, layout.Routers)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -11,6 +11,7 @@
 	"github.com/weldline/weldline/internal/signal"
 )
 
+// Direction is a direction of traffic through a Proxy.
 type Direction int
 
 // The directions, as seen from the proxied server.
@@ -130,8 +131,8 @@
 	return isTCP && connection.CloseWrite() == nil
 }
 
-// awaitRelease blocks while a direction is delayed, blocked or silent. It returns false once the connection is
-// closed.
+// awaitRelease blocks while a direction is delayed, blocked or silent. It returns false once the connection
+// is closed.
 func (p *Proxy) awaitRelease(current *connection, direction Direction) bool {
 	p.mutex.Lock()
 	delay := p.delay
@@ -202,6 +203,7 @@
 	}
 }
 
+// Reset resets all existing connections; new connections work.
 func (p *Proxy) Reset() {
 	p.mutex.Lock()
 	existing := make([]*connection, 0, len(p.connections))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -48,8 +48,9 @@
 // addedDelay is the added one-way latency of a delayed connection, like that between distant regions.
 const addedDelay = 150 * time.Millisecond
 
-// Run injects the faults at their times and returns once all have ended, or ctx has. It reverts every fault
-// that it has begun. In the returned faults, the duration of a fault that came late includes its delay.
+// Run injects the faults at their times and returns once all have ended or ctx is done. It reverts every
+// fault that it has started. In the returned faults, the duration of a fault that started late includes the
+// delay.
 func (i *Injector) Run(ctx context.Context, plan []Fault, started time.Time) []Fault {
 	executed := slices.Clone(plan)
 	var running sync.WaitGroup
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestLateFaultsExplainFailures checks that disturbances follow the actual times of the faults: a fault
-// that came late on a busy machine explains the failure of a request that was sent after the planned time.
+// that was injected late explains the failure of a request that was sent after the planned time.
 func TestLateFaultsExplainFailures(t *testing.T) {
 	const late = 300 * time.Millisecond
 	environment := &fakeEnvironment{machine: newProxy(t), callers: newProxy(t)}
--- a/internal/soak/statements.go
+++ b/internal/soak/statements.go
@@ -81,8 +81,8 @@
 	return answers
 }
 
-// ConfirmedBackoffs returns the rejections that the router is known to have read in time: it answered that the
-// request had not run, which it does only after the machine's response.
+// ConfirmedBackoffs returns the rejections that the router is known to have read in time: it answered that
+// the request had not run, which it does only after the machine's response.
 func (h *History) ConfirmedBackoffs() []Rejection {
 	answers := h.answersByRequest()
 	var confirmed []Rejection
@@ -95,8 +95,8 @@
 	return confirmed
 }
 
-// arrivalsDuringBackoff finds machines that got requests from a router during the back-off that they had asked
-// it for. Routers that were disturbed meanwhile are left out.
+// arrivalsDuringBackoff finds machines that got more than maxArrivalsDuringBackoff requests from a router
+// during a backoff that they had requested from it. Routers that were disturbed meanwhile are left out.
 func arrivalsDuringBackoff(history *History, _ Bounds, disturbances []Disturbance) []string {
 	times := history.requestTimes()
 	var found []string
@@ -137,8 +137,8 @@
 	return times
 }
 
-// arrivalsAtLeavingMachines finds requests that reached a machine although their router had forwarded its
-// announcement that it is leaving well before they were sent.
+// arrivalsAtLeavingMachines finds requests that reached a leaving machine although their router had
+// forwarded the machine's announcement more than Bounds.DrainTimeout before they were sent.
 func arrivalsAtLeavingMachines(history *History, bounds Bounds, disturbances []Disturbance) []string {
 	leavingTimes := history.leavingTimes()
 	var found []string
