--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestBackoffRequests checks that the cause names the machines that asked the refusing node to back off, also in
-// responses to other requests, and leaves out those that asked another node.
+// TestBackoffRequests checks that the cause names the machines that asked the refusing node to back off,
+// also in responses to other requests, and leaves out those that asked another node.
 func TestBackoffRequests(t *testing.T) {
 	const log = `{"time":"2026-01-01T00:00:00Z","msg":"request_rest_requested","node":"n","id":"other","model":"m1","machine":"a","rest_ms":3000}
 {"time":"2026-01-01T00:00:00.5Z","msg":"request_rest_requested","node":"n","id":"other","model":"m2","machine":"b","rest_ms":3000}
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -63,7 +63,7 @@
 	body   any
 }
 
-// retry repeats a request until a server responds or ctx is done.
+// retry repeats a request while it fails with Unavailable, for at most requestTimeout.
 func (c *Client) retry(ctx context.Context, request apiRequest, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -162,6 +162,7 @@
 	return list, c.retry(ctx, apiRequest{method: http.MethodGet, path: "/" + url.PathEscape(kind)}, list)
 }
 
+// Get returns a resource.
 func (c *Client) Get(ctx context.Context, kind, name string) (*v1.Resource, error) {
 	resource := &v1.Resource{}
 	path := "/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
