--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
 // Package dispatcher makes dispatch.Scheduler safe for concurrent use.
 //
-// A mutex guards the core. Each queued request waits on its own channel until it is
+// A mutex guards the scheduler. Each queued request waits on its own channel until it is
 // granted a target or refused.
 package dispatcher
 
@@ -16,7 +16,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// tickInterval is the interval of Core.Tick while requests are queued.
+// tickInterval is the interval of Scheduler.Tick while requests are queued.
 const tickInterval = 20 * time.Millisecond
 
 // Dispatcher queues requests and grants them targets. It is safe for concurrent use.
@@ -167,7 +167,8 @@
 	d.deliver(d.core.BackOff(time.Now(), machine, duration))
 }
 
-// MarkLeaving grants no further requests to a machine that announced its shutdown. It reports whether that was news.
+// MarkLeaving grants no further requests to a machine that announced its shutdown. changed is false
+// if the machine was marked already.
 func (d *Dispatcher) MarkLeaving(machine string) (changed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -190,8 +191,8 @@
 	return d.core.BackoffCount(time.Now())
 }
 
-// RetryAfterBackOff returns the time until a machine may be tried again, if all that could take the request asked to
-// back off.
+// RetryAfterBackOff returns the time until a machine may be tried again, if all machines that could
+// take the request asked to back off.
 func (d *Dispatcher) RetryAfterBackOff(request *dispatch.Request) (retryAfter time.Duration, allBackedOff bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -205,7 +206,7 @@
 	return d.core.MayWrite(time.Now(), *grant)
 }
 
-// Retain drops the statements of machines that are not listed any more.
+// Retain drops the back-offs of unlisted machines, and after a while their announced shutdowns.
 func (d *Dispatcher) Retain(isListed func(machine string) bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -214,14 +215,15 @@
 	d.core.RetainLeaving(now, isListed)
 }
 
-// SetLimited replaces the machines with a rate limit. The map must not be modified afterwards.
+// SetLimited replaces the set of rate-limited machines. The map must not be modified afterwards.
 func (d *Dispatcher) SetLimited(limited map[string]ratelimit.Limit) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.SetLimited(limited)
 }
 
-// SetWarming replaces the machines that are warming up. The map must not be modified afterwards.
+// SetWarming replaces the set of machines that are warming up. The map must not be modified
+// afterwards.
 func (d *Dispatcher) SetWarming(warming map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -270,7 +272,7 @@
 	d.deliver(d.core.ChangeTargets(now, changes))
 }
 
-// ApplyDigest applies the leader's loads and estimates.
+// ApplyDigest applies the loads, work, response counts and estimates of a leader's digest.
 func (d *Dispatcher) ApplyDigest(now time.Time, digest *wirepb.ClusterDigest) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -21,8 +21,8 @@
 
 // attempt sends the request to a granted replica and relays the response.
 //
-// The context parent is the client's; deadlineCtx also has the deadline, which applies
-// until the first byte.
+// The context parent is the client's. deadlineCtx also has the deadline, which no longer
+// applies once the first event of a stream has arrived.
 func (g *Gateway) attempt(parent, deadlineCtx context.Context, writer http.ResponseWriter, j *job, grant *dispatch.Grant, number int) attemptOutcome {
 	if g.options.View.ZoneDrained(grant.Target.Zone) {
 		return outcomeNotRun
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -18,7 +18,7 @@
 
 // addCrashingEngines declares machines whose engines crash when they run a request that contains
 // the word culprit: the connection breaks, for a stream after its first event, and new ones are
-// refused. It returns the number of crashes.
+// refused. It returns a counter of the crashes.
 func addCrashingEngines(d *deployment, count int) *atomic.Int64 {
 	d.t.Helper()
 	ended := &atomic.Int64{}
@@ -87,7 +87,7 @@
 			if status, body := ask("culprit", stream); status != 503 || !strings.Contains(body, "/quarantined") {
 				t.Errorf("the quarantined request got %d %s", status, body)
 			}
-			// The view has no agent, so that the gateway learns of crashed engines only by trying them.
+			// No agent reports crashed engines, so the gateway detects them only by sending requests.
 			status, body := 0, ""
 			for try := 0; try < 10 && status != 200; try++ {
 				status, body = ask("innocent", false)
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,5 +1,5 @@
-// Package gateway is the client side of a router: OpenAI-compatible inference
-// and generic back-end services over HTTP.
+// Package gateway is the client-facing HTTP API of a router: OpenAI-compatible
+// inference and generic back-end services.
 //
 // A client gets either the complete response to its own request or a problem
 // that states whether the request may have run. Attempts that did not run are
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -18,11 +18,11 @@
 	"github.com/weldline/weldline/internal/problem"
 )
 
-// Headers that callers may send.
+// Headers of requests and responses.
 const (
 	// HeaderDeadline is the caller's timeout, as a Go duration.
 	HeaderDeadline = "X-Weldline-Deadline"
-	// HeaderCaller names the caller for limits.
+	// HeaderCaller names the caller, for limits and as the scope of idempotency keys.
 	HeaderCaller = "X-Weldline-Caller"
 	// HeaderService names the service of a model that belongs to several.
 	HeaderService = "X-Weldline-Service"
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -27,7 +27,8 @@
 	outcomeNotConnected
 	// outcomeNotPermitted: the permit had expired before the request was written.
 	outcomeNotPermitted
-	// outcomeBackedOff: the machine asked to back off, or announced its shutdown, before the request was written.
+	// outcomeBackedOff: the machine asked to back off, or announced its shutdown, before the request
+	// was written.
 	outcomeBackedOff
 	// outcomeNotRun: the machine rejected the request without running it.
 	outcomeNotRun
--- a/internal/ingress/backoff_test.go
+++ b/internal/ingress/backoff_test.go
@@ -36,8 +36,8 @@
 	return seconds
 }
 
-// TestBackOffOfOnlyMachine checks that clients are refused with a matching Retry-After while the only machine
-// is backed off from.
+// TestBackOffOfOnlyMachine checks that clients are refused with a matching Retry-After after the only
+// machine asked to back off.
 func TestBackOffOfOnlyMachine(t *testing.T) {
 	d := newDeployment(t)
 	machine := newRawMachine(t, rejectWith("5s"))
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestStatementsOfMisdirectedResponseIgnored checks that the statements in a 421 response, which comes from another machine at
-// the same address, are ignored.
+// TestStatementsOfMisdirectedResponseIgnored checks that the statements in a 421 response, which comes
+// from another machine at the same address, are ignored.
 func TestStatementsOfMisdirectedResponseIgnored(t *testing.T) {
 	d := newDeployment(t)
 	machine := newRawMachine(t, func(request receivedRequest, number int, connection net.Conn) bool {
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestIdleConnectionsFollowPoolLimit checks that the number of idle connections follows the limit of the pool.
+// TestIdleConnectionsFollowPoolLimit checks that the number of idle connections follows the limit of
+// the pool.
 func TestIdleConnectionsFollowPoolLimit(t *testing.T) {
 	view := nodeview.New()
 	declared := func(kind v1.Kind, name, spec string) *wirepb.WatchEvent {
--- a/internal/ingress/crash_test.go
+++ b/internal/ingress/crash_test.go
@@ -81,8 +81,8 @@
 	return machine
 }
 
-// TestCrashingRequestRefusedByAllRouters resends the request with another id and at
-// another router each time.
+// TestCrashingRequestRefusedByAllRouters resends the request with another ID and through another
+// router each time.
 func TestCrashingRequestRefusedByAllRouters(t *testing.T) {
 	for _, kind := range []v1.RouteKind{v1.RouteUnrepeatable, v1.RouteStream} {
 		t.Run(string(kind), func(t *testing.T) {
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -101,7 +101,7 @@
 	server   *httptest.Server
 	handler  *ingress.Ingress
 	revision uint64
-	// queued receives a value when a request is queued.
+	// queued receives a value for each requested report, such as when a request is queued.
 	queued chan struct{}
 	// suspended is the suspended time of the router's host, in nanoseconds.
 	suspended atomic.Int64
@@ -254,7 +254,7 @@
 	d.serveRoute(d.route(kind, attempts, timeout), addresses...)
 }
 
-// serveRoute is serve with the test's own route. All objects are declared at once, as the
+// serveRoute is like serve, but declares the given route. All objects are declared at once, as the
 // node serves as soon as the view is current.
 func (d *deployment) serveRoute(route *wirepb.WatchEvent, addresses ...string) {
 	events := append(d.declaration(), route)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -59,7 +59,8 @@
 	Permit feed.PermitFunc
 	// Now is a monotonic clock that includes time suspended. It defaults to clock.Now.
 	Now func() time.Duration
-	// Suspended returns the total time that this host has been suspended. It defaults to clock.TotalSuspended.
+	// Suspended returns the total time that this host has been suspended. It defaults to
+	// clock.TotalSuspended.
 	Suspended func() time.Duration
 }
 
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -420,8 +420,8 @@
 	}
 }
 
-// logAttempt logs the outcome of an attempt. If the machine may have crashed, the line has the request's identity,
-// which is the same across retries and routers.
+// logAttempt logs the outcome of an attempt. If the machine may have crashed, the line has the
+// request's identity, which is the same across retries and routers.
 func (j *job) logAttempt(grant *dispatch.Grant, outcome attemptOutcome) {
 	fields := []any{"machine", grant.Target.Machine, "end", outcome.String(), "sent", j.sent}
 	if outcome == outcomeBroken || outcome == outcomeFailed {
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// observe records the limit in the response to a request sent at the given time. It reports whether the machine's
-// limit has changed.
+// observe records the limit in the response to a request sent at the given time. It reports whether
+// the machine's limit has changed.
 func (m *machineLimits) observe(machine string, limit ratelimit.Limit, sent time.Duration) (changed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/ingress/limits_test.go
+++ b/internal/ingress/limits_test.go
@@ -15,7 +15,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// limitingMachine states a rate limit in its responses, unless it is empty.
+// limitingMachine states its rate limit in its responses, unless limit is empty.
 type limitingMachine struct {
 	*rawMachine
 	limit atomic.Pointer[string]
@@ -55,8 +55,8 @@
 	return d.send(http.MethodGet, "/a/b", id, "", headerWait, "100ms")
 }
 
-// TestLimitedMachineRequiresPermit checks this for limits learned from a response and from a
-// digest, and that permit requests include the limit.
+// TestLimitedMachineRequiresPermit checks that a machine with a limit, learned from a response or
+// from a digest, gets no request without a permit, and that permit requests include the limit.
 func TestLimitedMachineRequiresPermit(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -103,7 +103,7 @@
 	}
 }
 
-// answerPermitRequests is askFor with access to the permit requests.
+// answerPermitRequests is like answerPermits, but passes the permit requests to answer.
 func (d *deployment) answerPermitRequests(answer func(request *wirepb.PermitRequest) *wirepb.PermitReply) {
 	permit := feed.PermitFunc(func(_ context.Context, request *wirepb.PermitRequest) (*wirepb.PermitReply, error) {
 		return answer(request), nil
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestRequestWithoutPermitGoesElsewhere checks that a request without a permit, or with an expired one, goes to
-// another machine as its first attempt.
+// TestRequestWithoutPermitGoesElsewhere checks that a request without a permit, or with an expired one,
+// goes to another machine as its first attempt.
 func TestRequestWithoutPermitGoesElsewhere(t *testing.T) {
 	deployment := newDeployment(t)
 	limited, other := newLimitingMachine(t), newAnsweringMachine(t, "fine")
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -26,7 +26,7 @@
 	limited        prometheus.Gauge
 	// backOffs counts responses that asked to back off.
 	backOffs prometheus.Counter
-	// backedOff is the number of machines that are being backed off from.
+	// backedOff is the number of machines that get no requests because they asked to back off.
 	backedOff prometheus.Gauge
 	leaving   prometheus.Gauge
 	// invalidStatements counts response headers that could not be parsed.
--- a/internal/ingress/nearest_test.go
+++ b/internal/ingress/nearest_test.go
@@ -8,8 +8,8 @@
 	v1 "github.com/weldline/weldline/api/v1"
 )
 
-// TestRequestsWithoutTokensPreferNearestMachine checks that requests without tokens go to the nearest machine, as the network
-// latency would exceed their run time.
+// TestRequestsWithoutTokensPreferNearestMachine checks that requests without tokens go to the nearest
+// machine, as the network latency to another region would exceed their run time.
 func TestRequestsWithoutTokensPreferNearestMachine(t *testing.T) {
 	answer := func(request receivedRequest, _ int, connection net.Conn) bool {
 		return write(connection, ok(request, "fine"))
--- a/internal/ingress/permits.go
+++ b/internal/ingress/permits.go
@@ -99,7 +99,8 @@
 type permitResult struct {
 	outcome permitOutcome
 	permit  permit
-	// retryDelay is the delay before the next permit request, if not granted; 0 if the client request has ended.
+	// retryDelay is the delay before the next permit request, if this one was not granted; 0 if the
+	// client request has ended.
 	retryDelay time.Duration
 	// reason is why the leader did not answer, for logs.
 	reason string
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -47,8 +47,8 @@
 	return q.enforcer.ApplyDigest(q.now(), digest.GetTerm(), int(digest.GetRouters()), nodeview.AllowancesOf(digest), digest.GetTenantsKnown())
 }
 
-// admit charges a request or returns a refusal. The second result is set if the leader needs
-// an early report.
+// admit charges a request or returns a refusal. report is set if the leader needs an early
+// report.
 func (q *quotas) admit(tenant string, spec *v1.TenantSpec, cost float64) (refusal *quota.Refusal, report bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -18,7 +18,7 @@
 	// idleTimeoutMargin is added to the declared idle timeout, so that the server does not
 	// close a connection just as the client reuses it.
 	idleTimeoutMargin = time.Second
-	// The limits before the first declaration.
+	// Defaults for limits that the declaration doesn't set.
 	defaultHeaderTimeout  = 10 * time.Second
 	defaultIdleTimeout    = time.Minute
 	defaultMaxHeaderBytes = 64 << 10
--- a/internal/ingress/statements.go
+++ b/internal/ingress/statements.go
@@ -8,8 +8,8 @@
 // errBackedOff ends an attempt before the request is written to a machine that may get no requests.
 var errBackedOff = fault.Unavailable.New("the machine asked to back off or is shutting down")
 
-// recordStatement records what a machine says about itself in a response. It ignores responses of another machine and
-// those to another request.
+// recordStatement records what a machine says about itself in a response. It ignores responses of
+// another machine and those to another request.
 func (j *job) recordStatement(grant *dispatch.Grant, verdict Verdict) {
 	if !verdict.ForRequest || verdict.WrongMachine || !verdict.Genuine && !verdict.NotRun {
 		return
--- a/internal/ingress/tenant_test.go
+++ b/internal/ingress/tenant_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// TestAnonymousRoutesNeedNoKey also checks that a valid key identifies its tenant there.
+// TestAnonymousRoutesNeedNoKey checks that anonymous routes accept requests without a valid key, and
+// that a valid key still identifies its tenant.
 func TestAnonymousRoutesNeedNoKey(t *testing.T) {
 	machine := newRawMachine(t, respondOK)
 	d := newDeployment(t)
@@ -193,7 +194,7 @@
 	return "key-" + strconv.Itoa(tenant) + "-" + strconv.Itoa(key)
 }
 
-// viewWithKeys returns a view with benchmarkTenants*keysEach keys.
+// viewWithKeys returns a view with benchmarkTenants*keysPerTenant keys.
 func viewWithKeys(b *testing.B) *nodeview.View {
 	b.Helper()
 	view := nodeview.New()
--- a/internal/ingress/translator.go
+++ b/internal/ingress/translator.go
@@ -7,8 +7,8 @@
 	"github.com/weldline/weldline/internal/ratelimit"
 )
 
-// Attributes are what the headers of a client request say. The zero value of a
-// field means that the request doesn't say it.
+// Attributes are parsed from the headers of a client request. Fields that the
+// request doesn't state are zero.
 type Attributes struct {
 	// ID identifies the client's attempt.
 	ID string
@@ -59,8 +59,8 @@
 	BackOff time.Duration
 	// Leaving is set if the machine is about to shut down.
 	Leaving bool
-	// Invalid has an error of type fault.Invalid for each header that can't be parsed. The field of such a header
-	// is not set.
+	// Invalid has an error of type fault.Invalid for each header that can't be parsed. The field of
+	// such a header is not set.
 	Invalid []error
 }
 
--- a/internal/ingress/waiting.go
+++ b/internal/ingress/waiting.go
@@ -33,7 +33,7 @@
 	delete(q.jobs, queued)
 }
 
-// each calls visit for each job. No job is removed until it returns.
+// each calls visit for each job. Calls of add and remove wait until it has returned.
 func (q *queuedJobs) each(visit func(*job)) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -21,7 +21,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// fakeLeader is a fake leader that records the permit requests.
+// fakeLeader answers permit requests and records their machines.
 type fakeLeader struct {
 	mutex  sync.Mutex
 	asked  []string
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestWarmingMachineRequiresPermit checks this for each reason for which a machine counts
-// as warming up.
+// TestWarmingMachineRequiresPermit checks that a machine gets no request without a permit, for each
+// reason for which it counts as warming up.
 func TestWarmingMachineRequiresPermit(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestWarmMachineNeedsNoPermit checks this for machines reported as warm and for pools without
-// warm-up.
+// TestWarmMachineNeedsNoPermit checks that no permit is requested for machines reported as warm and
+// for those of pools without warm-up.
 func TestWarmMachineNeedsNoPermit(t *testing.T) {
 	for _, declared := range []bool{false, true} {
 		deployment := newDeployment(t)
@@ -294,7 +294,7 @@
 		addresses = append(addresses, newAnsweringMachine(t, "fine").address)
 	}
 	deployment.serveWarming(1, addresses...)
-	// Its log line shows that the router has applied all earlier events.
+	// The log line of this drain shows that the router has applied all earlier events.
 	deployment.apply(deployment.drain("elsewhere", true))
 	for !strings.Contains(lines.String(), "drain_in_force") {
 		time.Sleep(time.Millisecond)
@@ -321,7 +321,7 @@
 	const forLong = warming.UnitsUnknown - 1
 	deployment.digest(1, 0, 0, 0)
 	deployment.digest(2, forLong, 0, 0)
-	// Digests are applied in turn: once this one is, the one before is in effect.
+	// Digests are applied in order: once the third is applied, the second has taken effect.
 	deployment.digest(3, forLong, forLong, 0)
 	leader := deployment.answerPermits(granted)
 	for range 12 {
