--- a/internal/feed/balance.go
+++ b/internal/feed/balance.go
@@ -12,7 +12,7 @@
 
 const (
 	// rebalanceInterval is the shortest wait before looking for a better server; jitter of up to the
-	// same duration is added. It is several times longer than the outage of a server takes.
+	// same duration is added. It is several times longer than a usual outage of a server.
 	rebalanceInterval = 5 * time.Second
 	// probeTimeout allows for two digests, which are sent every 500 ms.
 	probeTimeout = 1200 * time.Millisecond
--- a/internal/feed/balance_test.go
+++ b/internal/feed/balance_test.go
@@ -53,8 +53,8 @@
 	return wire.Config{Hello: &wirepb.Hello{ProtocolVersion: wire.ProtocolVersion, Cluster: "c", Node: name}}
 }
 
-// TestRebalanceToFirstChoice checks that a client moves to its preferred server only once that sends
-// newer digests.
+// TestRebalanceToFirstChoice checks that a client moves to its preferred server only once that server
+// sends newer digests.
 func TestRebalanceToFirstChoice(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var workers sync.WaitGroup
--- a/internal/feed/connect_test.go
+++ b/internal/feed/connect_test.go
@@ -8,8 +8,8 @@
 	"github.com/weldline/weldline/internal/wire"
 )
 
-// TestConnectSkipsUnresponsiveServers checks that a server that does not respond delays connecting to
-// another one only by connectAttemptDelay.
+// TestConnectSkipsUnresponsiveServers guards against waiting for a server that does not respond while
+// another one would accept the connection.
 func TestConnectSkipsUnresponsiveServers(t *testing.T) {
 	expected := &wire.Conn{}
 	dial := func(ctx context.Context, address string) (*wire.Conn, error) {
