--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -17,7 +17,8 @@
 	StepAnswerNotRun
 	// StepAnswerUnknown tells the caller that the request may have run.
 	StepAnswerUnknown
-	// StepRecordUnknown does the same and closes the claim as unknown.
+	// StepRecordUnknown closes the claim as unknown and tells the caller that the request may have
+	// run.
 	StepRecordUnknown
 	// StepReplay forwards the answer recorded by an earlier attempt.
 	StepReplay
@@ -68,7 +69,8 @@
 	return StepAnswerUnknown
 }
 
-// Refused handles the refusal of a back end before anything was sent.
+// Refused handles the refusal of the dispatcher to grant a back end. Earlier sends, if any, did not
+// run.
 func (a *Attempt) Refused() Step {
 	if !a.granted || a.unknown {
 		return StepAnswerUnknown
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -146,8 +146,8 @@
 	}, wirepb.ClaimState_CLAIM_STATE_COMPLETED)
 }
 
-// CloseNotRun closes the claim as not run. The caller of the request may be told so only after it
-// has returned without an error.
+// CloseNotRun closes the claim as not run. The caller of the request may be told "not run" only
+// after CloseNotRun has returned without an error.
 func (c *Client) CloseNotRun(ctx context.Context, key, owner string) error {
 	return c.closeClaim(ctx, &wirepb.ClaimCommand{
 		Operation: wirepb.ClaimCommand_OPERATION_NOT_RUN, Key: key, Owner: owner,
--- a/internal/quota/enforcer.go
+++ b/internal/quota/enforcer.go
@@ -9,7 +9,7 @@
 // Sharing is how routers share a tenant's limit.
 type Sharing string
 
-// The ways of sharing.
+// Sharing modes.
 const (
 	// SharingAdaptive admits everything far below the limit, and near it the share that
 	// the leader publishes. Without a leader it is SharingLeased.
@@ -24,7 +24,7 @@
 	// equalShare of a limit is shared equally and the rest by demand, so that routers
 	// without demand of a tenant also have a share.
 	equalShare = 0.2
-	// startupGrace is how long a new router admits everything until it hears of a ledger. It
+	// startupGrace is how long a new router admits everything while it has no allowances yet. It
 	// allows for settleTime and one round of reports.
 	startupGrace = time.Second
 	// minAverageWeight bounds the correction of the averages of a new router.
@@ -171,8 +171,8 @@
 	return found
 }
 
-// advance updates the router's own bucket. It is also maintained while the leader's
-// allowances apply, so that their overdraft counts once the leader is lost.
+// advance updates the router's own bucket, also while the leader's allowances apply, so that
+// what they admitted beyond the router's part of the limit counts once the leader is lost.
 func (e *Enforcer) advance(now time.Duration, use *localUse, tenant string, limit Limit) {
 	elapsed := (now - use.updated).Seconds()
 	use.updated = now
@@ -231,8 +231,8 @@
 	return &Refusal{RetryAfter: e.clampRetryAfter(wait), Admit: 1, Age: age, Offered: allowance.Offered}
 }
 
-// retryAfter returns the time in which the limit allows as much as it refuses per second at
-// the admitted share, with jitter.
+// retryAfter returns how long the limit takes to allow what is refused in one second at the
+// admitted share, with jitter.
 func (e *Enforcer) retryAfter(admit float64) time.Duration {
 	if admit <= 0 {
 		return e.clampRetryAfter(e.bound.Window)
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// A new ledger settles once it has met no new router for settleQuiet, or settleTime after
-	// the first one.
+	// A new ledger settles when no new router has reported for settleQuiet, or settleTime after
+	// the first one reported.
 	settleQuiet = 150 * time.Millisecond
 	settleTime  = time.Second
 	// offeredMemory is the time constant of averaged demand. It spans a few requests of a
@@ -42,7 +42,8 @@
 	// expected is the number of routers of the previous term.
 	expected  int
 	startedAt time.Duration
-	// firstMet and lastMet are the times of the first reports of the first and the last router.
+	// firstMet and lastMet are the times of the first full reports of the first and of the latest
+	// router.
 	firstMet, lastMet time.Duration
 	updated           time.Duration
 	settled           bool
@@ -84,8 +85,8 @@
 	priorUse map[int64]float64
 }
 
-// NewLedger returns the ledger of a term that begins at now. The argument routers is their
-// number in the previous term.
+// NewLedger returns the ledger of a term that begins at now. routers is the number of routers in
+// the previous term.
 func NewLedger(now time.Duration, bound Bound, routers int) *Ledger {
 	return &Ledger{bound: bound, expected: routers, startedAt: now, updated: now, nodes: map[string]*nodeUse{}, accounts: map[string]*account{}}
 }
@@ -214,8 +215,8 @@
 	for tenant, held := range l.accounts {
 		limit := limits[tenant]
 		depth := l.bound.depth(limit)
-		// The replay starts with an empty bucket, which use below the limit fills within the
-		// window.
+		// The replay starts with an empty bucket, which is full by the end of the window if the
+		// use was well below the limit.
 		held.level = 0
 		current := int64(now / l.bound.slot())
 		for number := current - slotsPerWindow + 1; number <= current; number++ {
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -20,11 +20,11 @@
 	Window time.Duration
 	// Overage is relative to what the limit allows in a window.
 	Overage float64
-	// Slack is in units of the tenants' rates.
+	// Slack is an absolute amount, in the unit of the tenant.
 	Slack float64
 }
 
-// Limit is the limit of a tenant over all routers, in units of its rate.
+// Limit is the limit of a tenant over all routers, in the tenant's unit: requests or tokens.
 type Limit struct {
 	// Rate is per second; 0 means no limit.
 	Rate  float64
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestSharingModes checks SharingAdaptive against the bound in all scenarios. For each way of
-// sharing it logs the worst window, relative to Bound.MaxAdmitted, and the refusals per 1,000 requests
-// below the limit.
+// TestSharingModes checks SharingAdaptive against the bound in all scenarios. For each sharing mode it
+// logs the worst window, relative to Bound.MaxAdmitted, and the refusals per 1,000 requests below the
+// limit.
 func TestSharingModes(t *testing.T) {
 	const seeds = 6
 	for _, scenario := range scenarios() {
@@ -39,7 +39,7 @@
 }
 
 // maxRefusedWithinLimit is the allowed number of refusals per 1,000 requests below the limit under
-// usual demand. A request of the small tenant may cost 1.5 s of its limit.
+// usual demand. The small tenant's largest request costs more than 1.5 s of its limit.
 var maxRefusedWithinLimit = map[string]float64{"large": 0.5, "small": 5}
 
 // TestMutationsAreCaught checks that the simulation detects an exceeded bound if routers don't
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -32,7 +32,7 @@
 // usualShare is the usual demand of a tenant, as a share of its limit.
 const usualShare = 1 / 1.8
 
-// scenario is a course of demand and faults. Its faults are described at simulation.
+// scenario is a course of demand and faults. The faults are described at type simulation.
 type scenario struct {
 	name string
 	// large and small are the demands of the two tenants, relative to their usual ones.
@@ -76,7 +76,7 @@
 		{name: "hot for long", large: between(5*second, 40*second, 6, 1), small: between(5*second, 40*second, 6, 1)},
 		{name: "hot, leader changes in the spike", large: hot, small: hot, changes: []time.Duration{10_500 * time.Millisecond}},
 		{name: "hot, no leader from its start", large: hot, small: hot, hasLeader: outage(10*second, 15*second), changes: []time.Duration{15 * second}},
-		// A small tenant's largest request is a ninth of its window.
+		// The small tenant's largest request is about a ninth of what a window may admit.
 		{name: "hot, leaders change again and again", large: hot, small: hot, changes: []time.Duration{11 * second, 14 * second, 17 * second}, bound: 1.01},
 		{name: "hot, a quarter of the routers is cut off", large: hot, small: hot, partitioned: partition(20, 9*second, 20*second)},
 		{name: "hot while cut off, all routers", large: between(12*second, 21*second, 6, 1), small: hot, partitioned: partition(81, 9*second, 20*second)},
@@ -90,7 +90,7 @@
 			// A new leader ignores reports of a router before its first full report.
 			name: "hot, half of the routers is not heard at a change of leader", large: hot, small: hot,
 			changes: []time.Duration{9 * second}, reportsLost: partition(40, 8900*time.Millisecond, 11_500*time.Millisecond),
-			// A small tenant's largest request is a ninth of its window.
+			// The small tenant's largest request is about a ninth of what a window may admit.
 			bound: 1.15,
 		},
 		{
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -14,7 +14,7 @@
 	simDigestInterval = 500 * time.Millisecond
 	simPassInterval   = 100 * time.Millisecond
 	simLength         = 40 * time.Second
-	// simDown is how long no requests are served after a restart of everything.
+	// simDown is how long no requests are served after a restart of all nodes.
 	simDown = time.Second
 	// simLargest is the largest request, in tokens.
 	simLargest = 46_000
@@ -40,7 +40,7 @@
 	// changes are the times of leader changes, and restarts those at which all routers and the
 	// leader restart.
 	changes, restarts []time.Duration
-	// reconnects are the times at which all routers report, before they hear of a leader.
+	// reconnects are the times at which all routers report, before they receive a digest.
 	reconnects []time.Duration
 	// reportsLost reports whether a router's reports are lost while it receives digests.
 	reportsLost func(router int, at time.Duration) bool
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -17,7 +17,7 @@
 
 // Config is the bound for all routers together.
 type Config struct {
-	// Ratio of retries to first sends.
+	// Ratio is the number of retries allowed for each first send.
 	Ratio float64
 	// Slack is the number of retries allowed regardless of first sends.
 	Slack  int
