--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -177,8 +177,8 @@
 	})
 }
 
-// record proposes a crash until it is in the log, however long there is no leader. Lost records
-// would cost further machines.
+// record proposes a crash until it is in the log or refused, however long there is no leader. Without
+// the record, the requests could crash further machines.
 func (w *Watcher) record(ctx context.Context, instance string, requests []quarantine.BrokenRequest) {
 	onFailure := func(reason string) {
 		w.options.Logger.Warn("crash_not_recorded", "machine", instance, "requests", len(requests), "error", reason)
--- a/internal/drains/order_test.go
+++ b/internal/drains/order_test.go
@@ -12,7 +12,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// drainIn returns whether a zone is drained, and the revision of that.
+// drainIn returns whether a zone is drained, and the revision of its ZoneDrain.
 func drainIn(machine *state.Machine, zone string) (drained bool, revision uint64) {
 	spec, found := machine.Spec(v1.KindZoneDrain, zone).(*v1.ZoneDrainSpec)
 	return found && spec.Drained, machine.Get(v1.KindZoneDrain, zone).GetRevision()
@@ -84,7 +84,7 @@
 				}
 				if applyWrites(t, machine, write).GetCode() == wirepb.ResultCode_RESULT_CODE_OK {
 					acknowledged, any = drained, true
-					// Duplicated by the link.
+					// The network may deliver the write again.
 					late = append(late, write)
 					checkDrained(t, machine, acknowledged)
 					break
@@ -95,7 +95,7 @@
 				machine = restored(t, machine)
 			}
 		}
-		// The last request of the operator, which succeeds.
+		// The operator's last request succeeds.
 		if any {
 			for {
 				_, revision := drainIn(machine, "z")
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -33,6 +33,7 @@
 	running int
 }
 
+// New returns an Enforcer for one router.
 func New() *Enforcer {
 	return &Enforcer{entries: map[string]*entry{}}
 }
--- a/internal/permits/doc.go
+++ b/internal/permits/doc.go
@@ -2,5 +2,5 @@
 // limit. A router requests a permit for each request from the leader, which keeps a token bucket
 // per machine. Invariant: across changes of the leader, delays and partitions, the permits used for
 // a machine in any span of time are at most Burst plus what Rate gives in that span and Lifetime.
-// Time is an argument.
+// Functions take the current time as an argument.
 package permits
--- a/internal/quarantine/identity.go
+++ b/internal/quarantine/identity.go
@@ -8,8 +8,8 @@
 	"github.com/weldline/weldline/internal/fault"
 )
 
-// identityBytes is chosen for collision resistance, since callers control the hashed content:
-// finding a collision takes about 2^64 hashes.
+// identityBytes is the length of an identity. Callers control the hashed content; finding a collision
+// takes about 2^64 hashes.
 const identityBytes = 16
 
 // Identity is a hash of a request's content, equal on all nodes.
@@ -28,6 +28,7 @@
 	Body   []byte
 }
 
+// Identify returns the identity of a request with the given content.
 func Identify(content Content) Identity {
 	digest := sha256.New()
 	for _, part := range []string{content.Tenant, content.Method, content.Host, content.Target} {
@@ -60,6 +61,7 @@
 	return IdentityFromBytes(decoded)
 }
 
+// IdentityFromBytes returns the identity with the given bytes.
 func IdentityFromBytes(encoded []byte) (Identity, error) {
 	if len(encoded) != identityBytes {
 		return Identity{}, fault.InvalidField("identity", "has %d bytes, not %d", len(encoded), identityBytes)
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -106,6 +106,7 @@
 	clearing map[Identity]bool
 }
 
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{probes: map[string]*probe{}, unconfirmed: map[Identity][]string{}, clearing: map[Identity]bool{}}
 }
--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -2,5 +2,5 @@
 // for the sum over all routers. Responses on different connections overtake each other, so each
 // Statement carries the span in which it was made: it replaces another if it was certainly made
 // later; if the spans overlap, the stricter one holds. Nodes exchange statements as Observations.
-// Time is an argument, from a clock that counts suspensions.
+// Functions take the current time as an argument, from a clock that counts suspensions.
 package ratelimit
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -29,6 +29,7 @@
 	After   Limit
 }
 
+// Changed reports whether the limits before and after differ.
 func (c Change) Changed() bool {
 	return c.Before != c.After
 }
@@ -52,6 +53,7 @@
 	SentAge, ReceivedAge time.Duration
 }
 
+// New returns an empty Limits.
 func New() *Limits {
 	return &Limits{statements: map[string]Statement{}}
 }
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -11,7 +11,7 @@
 
 // TestLimits runs the data-driven tests of the limits known to nodes. Times are in milliseconds.
 //
-//	answer node=N sent=S heard=H [limit=L]: a node receives a machine's response; without limit, it states none
+//	answer node=N sent=S heard=H [limit=L]: a node receives a machine's response with or without a limit
 //	tell from=N to=M at=T [way=W]: a node's observations, sent at T, arrive at another after W
 //	retain node=N [machines=(...)]
 //	limits: the limit known to each node
--- a/internal/ratelimit/pace_test.go
+++ b/internal/ratelimit/pace_test.go
@@ -127,7 +127,8 @@
 	return result{maxInWindow: maxInWindow(sends), served: float64(len(sends)) / duration.Seconds()}
 }
 
-// TestStrategies compares the strategies on the same arrivals.
+// TestStrategies compares the strategies on the same arrivals. The limit and the rate of arrivals,
+// asked, are per second.
 //
 //	play limit=N routers=R asked=D
 func TestStrategies(t *testing.T) {
--- a/internal/ratelimit/statement.go
+++ b/internal/ratelimit/statement.go
@@ -21,6 +21,7 @@
 // Unlimited is the absence of a limit.
 var Unlimited = Limit{}
 
+// NewLimit returns a limit of perSecond requests per second.
 func NewLimit(perSecond float64) Limit {
 	return Limit{IsSet: true, PerSecond: perSecond}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -29,7 +29,7 @@
 	// NewConnection disables the use of idle connections, which the machine may close at the same
 	// moment.
 	NewConnection bool
-	// Prepare, if set, is called with a connection at hand, just before anything is written. An
+	// Prepare, if set, is called once there is a connection, just before anything is written. An
 	// error ends the exchange as not sent.
 	Prepare func(header http.Header) error
 	// Matches, if set, reports whether a response belongs to this request.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -47,7 +47,7 @@
 	address string
 	network net.Conn
 	reader  *bufio.Reader
-	// expiresAt is when the connection must not be used any more.
+	// expiresAt is when an idle connection must no longer be used.
 	expiresAt time.Time
 	// reused is set if the connection was in the pool.
 	reused bool
@@ -55,6 +55,7 @@
 
 const readBufferBytes = 4 << 10
 
+// NewPool returns an empty pool.
 func NewPool(config Config) *Pool {
 	return &Pool{config: config, idle: map[string][]*conn{}, dialTimeouts: newDialTimeouts(config.DialTimeout)}
 }
--- a/internal/warming/permits_test.go
+++ b/internal/warming/permits_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestPermitsOfTightBound: the rate is reduced if the bound leaves no room beside it, and nothing
-// is permitted below one request per second.
+// TestPermitsOfTightBound: the rate is reduced if the bound leaves no room for a burst of one, and
+// nothing is permitted if the bound, less its margin, does not exceed one request per second.
 func TestPermitsOfTightBound(t *testing.T) {
 	for _, test := range []struct {
 		bound     Bound
