--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -12,7 +12,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// drainOrderTimeout is less than the second after which operators try another node.
+// drainOrderTimeout is below one second, after which operators try another node.
 const drainOrderTimeout = 900 * time.Millisecond
 
 // DrainZone orders that the machines of a zone receive no requests, or that they receive them
@@ -36,7 +36,8 @@
 	}
 }
 
-// drainOrder is one call of an operator. receivedAt is read from a clock that counts suspend.
+// drainOrder is one call of an operator. receivedAt is the time by Node.now, which includes the time
+// that the machine was suspended.
 type drainOrder struct {
 	node       *Node
 	zone       string
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -25,13 +25,14 @@
 	// proposal.
 	grantLifetime = 500 * time.Millisecond
 	pollTimeout   = time.Second
-	// The following are the heartbeat intervals without a heartbeat after which a machine is lost
-	// or gone.
+	// lostAfterHeartbeats and goneAfterHeartbeats are the numbers of heartbeat intervals without a
+	// heartbeat after which a machine counts as lost or gone.
 	lostAfterHeartbeats = 4
 	goneAfterHeartbeats = 25
-	// suspectAfterHeartbeats applies instead to a machine that routers can't connect to.
+	// suspectAfterHeartbeats replaces lostAfterHeartbeats if any router can't connect to the machine.
 	suspectAfterHeartbeats = 1.25
-	// deadAfterHeartbeats applies instead to a machine that most routers can't connect to.
+	// deadAfterHeartbeats replaces lostAfterHeartbeats if at least two routers, and more than half of
+	// all, can't connect to the machine.
 	deadAfterHeartbeats = 0.25
 	// forgetAfterHeartbeats is how long the record of a gone machine is kept, so that a late
 	// heartbeat does not register it again.
@@ -62,9 +63,9 @@
 	mutex sync.Mutex
 	core  *orders.Planner
 	pacer *orders.Pacer
-	// lastReport is the last report passed to core, by machine.
+	// lastReport identifies the last report of each machine that the planner received.
 	lastReport map[string]reportKey
-	// grantExpiry is until when orders are permitted, by machine.
+	// grantExpiry has, by machine, the time until which this node's grant permits orders.
 	grantExpiry map[string]time.Duration
 	// work is the rate of work by version, in tokens per second.
 	work map[string]float64
@@ -215,7 +216,8 @@
 	sequence  uint64
 }
 
-// observeHeartbeats passes new heartbeats to the core.
+// observeHeartbeats passes new heartbeats to the planner, and removes machines that are no longer
+// registered from it.
 func (d *orderDispatcher) observeHeartbeats(registered *controller.RegisteredFleet) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// hasJoined reports whether the node is a member under its current address and has contact with a
-// leader.
+// hasJoined reports whether the node is a member under its current address, name and zone, and has
+// contact with a leader.
 func (n *Node) hasJoined() bool {
 	status := n.status.Load()
 	silent := n.now()-status.LastContact > leaderLostElectionTimeouts*n.settings.Control.ElectionTimeout
--- a/internal/control/level.go
+++ b/internal/control/level.go
@@ -34,8 +34,8 @@
 	return fmt.Sprintf("the cluster is at level %d, this release understands %d", inForce, hello.GetLevel())
 }
 
-// raiseLevel raises the level once all members and connected nodes support the next one. A new
-// cluster raises it at once, before any state has been written at a lower level.
+// raiseLevel raises the level once all members and all nodes that reported recently support the next
+// one. A new cluster raises it at once, before any state has been written at a lower level.
 func (l *leader) raiseLevel(ctx context.Context) {
 	node := l.node
 	var inForce level.Level
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -11,9 +11,9 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// machineLimits holds the stated limits that this control node knows. It is safe for concurrent use.
-// Followers learn limits from digests and from the reports that they forward, so that a new leader starts
-// with them.
+// machineLimits holds the rate limits of machines that this control node knows. It is safe for
+// concurrent use. Followers learn limits from digests and from the reports that they forward, so that a
+// new leader starts with them.
 type machineLimits struct {
 	mutex  sync.Mutex
 	limits *ratelimit.Limits
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -63,6 +63,7 @@
 	Clock func() time.Duration
 }
 
+// Node is a control node: a member of the log, with the feed server and, as leader, the controllers.
 type Node struct {
 	settings *settings.Settings
 	logger   *slog.Logger
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -51,8 +51,8 @@
 	mutex       sync.Mutex
 	conn        *wire.Conn
 	connectedAt time.Duration
-	// unanswered is set from the first call on conn since which nothing has been received;
-	// unansweredSince is when that call was made.
+	// unanswered is set if a call was sent on conn and nothing has been received after it;
+	// unansweredSince is the time of the first such call.
 	unanswered      bool
 	unansweredSince time.Duration
 	digests         *feed.DigestSender
@@ -428,10 +428,10 @@
 	_ = conn.Send(&wirepb.Envelope{Body: &wirepb.Envelope_InstanceWanted{InstanceWanted: wanted}})
 }
 
-// detectReplacedMember marks a member as terminated if another identity answers at its address on
-// the same machine, since an identity is lost only together with its disk. The member was known at
-// the address before this node dialed, so the new identity is later. An incoming connection is no
-// such proof, as it may predate the member.
+// detectReplacedMember marks a member as terminated if another identity answers at its address under
+// the same node name: a node loses its identity only together with its disk. The member was known at
+// the address before this node dialed, so the other identity is newer. This does not hold for an
+// incoming connection, which may be older than the member.
 func (n *Node) detectReplacedMember(ctx context.Context, replaced settings.Member, peer *wirepb.Hello) {
 	if replaced.ID == raft.None || peer.GetControlId() == raft.None || peer.GetControlId() == replaced.ID {
 		return
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -26,8 +26,8 @@
 }
 
 // adapterEvictionIdle is the minimum time since the last request before an adapter may be evicted. An
-// engine waits for the runs that use an adapter before it drops it, and accepts no other order in the
-// meantime.
+// engine unloads an adapter only after the runs that use it have ended, and accepts no other order until
+// then.
 const adapterEvictionIdle = 2500 * time.Millisecond
 
 // constrainedAdapterKey identifies the demand for an adapter under a region constraint, given by its
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -33,7 +33,7 @@
 	// share, a machine's warm-up or a machine's rate limit.
 	urgentDigestInterval = 100 * time.Millisecond
 	historyInterval      = time.Second
-	// sweepInterval is the interval between searches for abandoned claims.
+	// sweepInterval is the interval between sweeps of the claims.
 	sweepInterval = 2 * time.Second
 )
 
@@ -159,8 +159,8 @@
 	return c.planner.WorkRates()
 }
 
-// SweepDue reports whether abandoned claims should be searched for. The sweep only covers claims that
-// their owners failed to resolve.
+// SweepDue reports whether a sweep of the claims is due: it closes expired claims and removes closed
+// claims after their retention.
 func (c *Controller) SweepDue(now time.Duration, machine *state.Machine) bool {
 	if now-c.lastSweep < sweepInterval {
 		return false
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -197,6 +197,7 @@
 	return counts
 }
 
+// Leaving returns the machines that announced their shutdown in a response to a live router.
 func (t *ReportTable) Leaving(now time.Duration) map[string]bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -42,7 +42,6 @@
 	spec     *v1.ZoneDrainSpec
 }
 
-// isDrained reports whether a zone is drained.
 func (v *storedView) isDrained(zone string) bool {
 	order, given := v.drains[zone]
 	return given && order.spec.Drained
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -22,22 +22,22 @@
 // DefaultCompactEvery is the default number of applied entries between snapshots.
 const DefaultCompactEvery = 4096
 
-// compactTailDivisor is compactEvery divided by the number of entries kept after a snapshot, so
-// that a peer slightly behind receives entries and not the whole state.
+// compactTailDivisor divides compactEvery to give the number of applied entries that a snapshot
+// leaves in the log, so that a peer slightly behind receives entries and not the whole state.
 const compactTailDivisor = 4
 
 const (
 	// maxLogBytes bounds the entries in memory and on disk between snapshots: declared documents
 	// may be large.
 	maxLogBytes = 4 << 20
-	// sizeCompactionTail is the number of entries kept after a snapshot taken for the size of the
-	// log.
+	// sizeCompactionTail is the number of applied entries that a snapshot taken for the size of the
+	// log leaves in it.
 	sizeCompactionTail = 8
 	// A replay is long if the entries after the snapshot are longReplayFactor times its size and at
 	// least minLongReplayBytes.
 	longReplayFactor   = 2
 	minLongReplayBytes = 64 << 10
-	// idleCompactionTail is the number of entries kept after a snapshot taken by CompactNow.
+	// idleCompactionTail is the number of applied entries that CompactNow leaves in the log.
 	idleCompactionTail = 64
 )
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -2,7 +2,7 @@
 // without a configured list of members. A node's identity belongs to its disk: with an empty disk
 // it takes a new identity and asks to join, and the previous identity at its address is removed.
 // Joining nodes become learners; a learner that has caught up replaces a voter that is gone or
-// unresponsive, or one in a badly placed zone.
+// unresponsive, or one whose replacement brings the voters closer to the required tolerance.
 //
 // Invariant: each step changes at most one voter, so that quorums before and after it overlap, and
 // no vote of a lost identity is counted. The functions are pure; the leader proposes one step at a
@@ -19,7 +19,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// maxPromotionLag is how many entries behind a learner may be promoted.
+// maxPromotionLag is the maximum number of log entries that a learner may lag behind when it is
+// promoted.
 const maxPromotionLag = 64
 
 // Policy configures the membership.
@@ -158,8 +159,9 @@
 	return withoutMember(input.Current, chosen)
 }
 
-// replaceUnresponsiveVoter removes an unresponsive voter if a learner can replace it. Removing
-// before adding keeps the number of live voters needed for a quorum.
+// replaceUnresponsiveVoter removes an unresponsive voter if a learner can replace it; addVoter then
+// promotes the learner. The removal comes first, since a promotion may raise the number of live voters
+// that a quorum needs; the exception is a voter that mustKeep.
 func replaceUnresponsiveVoter(input Input) *wirepb.Membership {
 	unresponsive := unresponsiveVoter(input)
 	if unresponsive == raft.None || bestReadyLearner(input) == raft.None {
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -12,8 +12,8 @@
 // each makes commits wait for more disks and links.
 const maxExtraVoters = 4
 
-// Tolerance is how many machines, zones or regions may be lost, each taken alone, with a quorum
-// left.
+// Tolerance has the numbers of machines, of zones and of regions whose loss leaves a quorum. Each
+// number assumes that nothing else is lost.
 type Tolerance struct {
 	Machines, Zones, Regions int
 }
@@ -50,7 +50,7 @@
 	return max(c.total-1, 0) / 2
 }
 
-// groupTolerance returns how many groups may be lost, whichever they are.
+// groupTolerance returns how many groups may be lost, including the largest ones.
 func (c *counts) groupTolerance(groups map[string]int) int {
 	tolerated := 0
 	for tolerated < len(groups) && c.shortfallOf(groups, tolerated+1) == 0 {
@@ -59,7 +59,8 @@
 	return tolerated
 }
 
-// shortfallOf returns by how many voters the largest groups exceed what may be lost with them.
+// shortfallOf returns by how many the voters in the given number of largest groups exceed the voters
+// that may be lost.
 func (c *counts) shortfallOf(groups map[string]int, lost int) int {
 	sizes := slices.Sorted(maps.Values(groups))
 	heldVoters := 0
