--- a/internal/instances/condense.go
+++ b/internal/instances/condense.go
@@ -63,8 +63,8 @@
 }
 
 // Restore returns a report with the content that a Deduplicator omitted, taken from the stored report
-// of the machine's record. It returns false if that has a different content, which may have arrived
-// through another control node.
+// of the machine's record. It returns false if there is no stored report, or if its content differs, for
+// example because it arrived through another control node.
 func (t *Table) Restore(name string, report *wirepb.InstanceReport) (restored *wirepb.InstanceReport, complete bool) {
 	if !report.GetUnchanged() {
 		return report, true
--- a/internal/instances/table.go
+++ b/internal/instances/table.go
@@ -17,6 +17,7 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
+// Entry is the newest report of a machine. Received is the time of its receipt less the report's age.
 type Entry struct {
 	Report   *wirepb.InstanceReport
 	Received time.Duration
@@ -82,10 +83,10 @@
 // Policy has the periods of silence after which machines change phase.
 type Policy struct {
 	LostAfter time.Duration
-	// SuspectAfter replaces LostAfter if some routers can't connect to the machine.
+	// SuspectAfter replaces LostAfter, if it is shorter, when any router can't connect to the machine.
 	SuspectAfter time.Duration
-	// DeadAfter replaces LostAfter if most routers can't connect to the machine, which rules out a
-	// network fault at a single router.
+	// DeadAfter replaces LostAfter, if it is shorter, when at least two routers, and more than half of
+	// all, can't connect to the machine. This rules out a network fault at a single router.
 	DeadAfter time.Duration
 	GoneAfter time.Duration
 	// ForgetAfter is how long the record of a gone machine is kept, so that late heartbeats can't
@@ -93,6 +94,7 @@
 	ForgetAfter time.Duration
 }
 
+// Declared is a machine's record with its decoded spec and status.
 type Declared struct {
 	Object *wirepb.Object
 	Spec   *v1.MachineSpec
@@ -154,8 +156,9 @@
 // router.
 const ReasonAnnouncedInResponse = "said so in an answer"
 
-// Registration returns the command that creates a machine's record, or nil if its pool, which
-// determines its capacity, is not declared. The record contains the start time if withStart is set.
+// Registration returns the command that creates a machine's record. It returns nil if the machine is not
+// leaving and its pool, which determines its capacity, is not declared. The record contains the start
+// time if withStart is set.
 func Registration(name string, report *wirepb.InstanceReport, pools map[string]*v1.PoolSpec, withStart bool) *wirepb.RegisterCommand {
 	pool := pools[report.GetPool()]
 	if pool == nil && !report.GetLeaving() {
@@ -265,8 +268,8 @@
 	return command
 }
 
-// recover marks a lost machine as Live if it reported after it was lost. The absence of complaints by
-// routers is not enough, since they no longer connect to lost machines.
+// recover marks a lost machine as Live if it reported after it was lost. Routers that report no failed
+// connections are not enough, since they no longer connect to lost machines.
 func (t *Table) recover(input Input, name string, entry Entry, reported bool) *wirepb.RegisterCommand {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/instances/table_test.go
+++ b/internal/instances/table_test.go
@@ -19,7 +19,8 @@
 //	at s=N | at ms=N: sets the time
 //	beat machine=M endpoint=E sequence=N [started=N] [leaving] [pool=P]: adds a heartbeat
 //	starts: records contain start times from now on
-//	unreachable [routers=N]: sets the machines that routers can't connect to, one entry per router, and the number of live routers
+//	unreachable [routers=N]: sets the machines that routers can't connect to, one entry per router,
+//	  and the number of live routers
 //	leaving: sets the machines that announced their shutdown in a response
 //	leader: starts a new leader's term
 //	reconcile: prints and applies the commands
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,6 +35,7 @@
 	shutdownTimeout = 5 * time.Second
 )
 
+// Node is a weldline process with its roles.
 type Node struct {
 	settings *settings.Settings
 	logger   *slog.Logger
@@ -224,8 +225,8 @@
 	}
 }
 
-// drain lets the router finish requests while the control role and the feed still run, which are needed
-// to record the results.
+// drain lets the ingress and the router finish requests. The control role and the feed still run
+// meanwhile, since the results of requests are recorded through them.
 func (n *Node) drain() {
 	if n.ingress != nil {
 		n.ingress.drain()
--- a/internal/node/reporter.go
+++ b/internal/node/reporter.go
@@ -17,7 +17,7 @@
 	client   *feed.Client
 	interval time.Duration
 	triggers chan struct{}
-	// report returns the report of a time.
+	// report returns the node's report at the given time.
 	report func(now time.Time) *wirepb.NodeReport
 }
 
--- a/internal/nodeview/quotas.go
+++ b/internal/nodeview/quotas.go
@@ -13,7 +13,7 @@
 	return quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 }
 
-// AllowancesOf returns the allowances in a digest, of tenants near their limits.
+// AllowancesOf returns the allowances in a digest. Only tenants near their limits have one.
 func AllowancesOf(digest *wirepb.ClusterDigest) []quota.Allowance {
 	allowances := make([]quota.Allowance, 0, len(digest.GetTenants()))
 	for _, entry := range digest.GetTenants() {
--- a/internal/nodeview/suspects.go
+++ b/internal/nodeview/suspects.go
@@ -31,8 +31,8 @@
 	return v.suspects[identity]
 }
 
-// LifeOf identifies the engine incarnation that a replica was decided for; later ones don't run the
-// replica. Without a record of the replica, it returns the machine's name.
+// LifeOf returns a name for the engine incarnation that a replica was decided for; later incarnations
+// don't run the replica. If the replica has no record, it returns the machine's name.
 func (v *View) LifeOf(machine, replica string) string {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
--- a/internal/nodeview/view.go
+++ b/internal/nodeview/view.go
@@ -18,12 +18,14 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
+// Replica is a replica record with its decoded spec and the adapters loaded on it.
 type Replica struct {
 	Object   *wirepb.Object
 	Spec     *v1.ReplicaSpec
 	Adapters []string
 }
 
+// Machine is a machine's record with its decoded spec and status.
 type Machine struct {
 	Object *wirepb.Object
 	Spec   *v1.MachineSpec
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -35,8 +35,8 @@
 	// minMissingTime lack it, since reports may be old and arrive late.
 	minMissingReports = 2
 	minMissingTime    = time.Second
-	// orderTimeout is how long an accepted order may be in progress. After that, the engine's state
-	// determines the outcome.
+	// orderTimeout is how long an accepted model order may be in progress. After that, the engine's
+	// state determines the outcome.
 	orderTimeout = 30 * time.Second
 )
 
@@ -113,6 +113,7 @@
 	}
 }
 
+// Plan has the orders to send and the polls to make.
 type Plan struct {
 	Orders []Order
 	// Polls has the machines to poll.
@@ -235,7 +236,7 @@
 	// Settled is set once there were enough reports in this term to conclude that models missing from
 	// them are not loaded.
 	Settled bool
-	// Busy is set while an order is being sent, or a model order is in progress.
+	// Busy is set while an order is being sent, or a model order or an adapter unload is in progress.
 	Busy   bool
 	Memory []string
 	Disk   []string
--- a/internal/orders/engine.go
+++ b/internal/orders/engine.go
@@ -149,7 +149,7 @@
 }
 
 func (e *engine) nextAdapterOrders(desired DesiredState) []Order {
-	// Engines accept no adapter orders during a model order.
+	// Engines accept no adapter orders during a model order or an adapter unload.
 	if e.inProgress != nil || len(e.adapters) >= maxAdapterOrders {
 		return nil
 	}
--- a/internal/orders/grants.go
+++ b/internal/orders/grants.go
@@ -9,10 +9,12 @@
 // orders of an earlier leader.
 //
 // A leader commits a grant to the log before it sends orders to a machine. The grant is valid for a
-// short time after its proposal. A later leader applies the grant after that, and waits from then on.
+// short time after its proposal. A later leader can't apply the grant before it was proposed, so the
+// grant has expired once the leader has waited for that time after applying it.
+//
 // The log holds only the last holder of each machine, not the time of the grant. Grants from before a
 // node's start, or contained in a snapshot, therefore count as made when the node learned of them.
-// Machines without a grant to another node need no wait. It is safe for concurrent use.
+// Machines without a grant to another node need no wait. Grants is safe for concurrent use.
 type Grants struct {
 	self string
 	// wait is the time after another node's grant during which no orders may be sent.
--- a/internal/orders/types.go
+++ b/internal/orders/types.go
@@ -1,5 +1,6 @@
 package orders
 
+// Operation is what an order makes an engine do with a model or an adapter.
 type Operation string
 
 const (
@@ -7,6 +8,7 @@
 	Unload Operation = "unload"
 )
 
+// Order makes an engine load or unload a model or one of its adapters.
 type Order struct {
 	Machine   string
 	Endpoint  string
@@ -73,6 +75,7 @@
 	Blocked bool
 }
 
+// Task is a load or unload of a model.
 type Task struct {
 	Model     string
 	FromStore bool
@@ -80,6 +83,7 @@
 	Work float64
 }
 
+// AdapterTask is a load of an adapter, or an unload if Drop is set.
 type AdapterTask struct {
 	Model, Adapter string
 	Drop           bool
--- a/internal/subset/index.go
+++ b/internal/subset/index.go
@@ -28,7 +28,6 @@
 	engineGroup
 )
 
-// groupKey identifies a group.
 type groupKey struct {
 	kind groupKind
 	// name is a version or a pool.
@@ -278,7 +277,6 @@
 	}
 }
 
-// markChanged records a change of a group.
 func (x *Index) markChanged(g *group) {
 	x.changed = append(x.changed, g)
 }
