--- a/api/v1/types.go
+++ b/api/v1/types.go
@@ -166,7 +166,7 @@
 
 // LimitSpec limits the requests of a caller to a service.
 type LimitSpec struct {
-	// Required.
+	// Service is the limited Service. Required.
 	Service string `json:"service"`
 	// Caller is the caller's name; empty: all callers together.
 	Caller string `json:"caller,omitempty"`
@@ -182,7 +182,7 @@
 type MachineSpec struct {
 	// Endpoint is the engine's base URL with an IP address. Required.
 	Endpoint string `json:"endpoint"`
-	// Required.
+	// Zone is the zone in which the machine runs. Required.
 	Zone string `json:"zone"`
 	// Accelerators is the number of accelerators. Required.
 	Accelerators int `json:"accelerators"`
--- a/internal/spec/claim.go
+++ b/internal/spec/claim.go
@@ -5,6 +5,7 @@
 	"slices"
 )
 
+// ClaimPhase is the phase of a claim.
 type ClaimPhase uint8
 
 const (
@@ -15,6 +16,7 @@
 	ClaimUnknown
 )
 
+// ClaimOperation is an operation on a claim.
 type ClaimOperation uint8
 
 const (
@@ -55,6 +57,7 @@
 
 const claimAttempts = 2
 
+// AttemptState is the state of one attempt to run the request.
 type AttemptState struct {
 	// Closing is set if the attempt gave up without sending, Crashed if its router crashed.
 	Granted, Sent, Closing, Crashed bool
@@ -62,6 +65,7 @@
 	Ran, ReportedNotRun bool
 }
 
+// ClaimState is a state of the claim model.
 type ClaimState struct {
 	Claim    Claim[uint8]
 	Attempts [claimAttempts]AttemptState
--- a/internal/spec/explore.go
+++ b/internal/spec/explore.go
@@ -9,6 +9,7 @@
 	Violation func(state S) string
 }
 
+// Exploration is the result of Explore.
 type Exploration struct {
 	States int
 	// Complete is false if the limit or a violation ended the exploration.
--- a/internal/spec/log.go
+++ b/internal/spec/log.go
@@ -16,6 +16,7 @@
 	leaseTicks  = 1
 )
 
+// LogNode is the state of one node in the log model.
 type LogNode struct {
 	Term, Vote uint8
 	// Votes is the set of nodes that voted for this candidate, as bits.
@@ -34,6 +35,7 @@
 	Answered, Age uint8
 }
 
+// LogState is a state of the log model.
 type LogState struct {
 	Nodes [logNodes]LogNode
 	// Committed holds the terms of all entries that were ever committed.
@@ -58,7 +60,7 @@
 	IgnoreStickiness bool
 	// CommitOldTerms commits entries of earlier terms by counting replicas.
 	CommitOldTerms bool
-	// ReleaseByIdleQuorum accepts a quorum of idle nodes, where all others have to be idle.
+	// ReleaseByIdleQuorum releases a lease when a quorum is idle, instead of all other nodes.
 	ReleaseByIdleQuorum bool
 	// ReleaseOnAnyRestart makes any restarted node release the lease of its term, not only its leader.
 	ReleaseOnAnyRestart bool
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -20,6 +20,7 @@
 	MaxEventsKept = 16384
 )
 
+// Key identifies an object.
 type Key struct {
 	Kind v1.Kind
 	Name string
@@ -80,7 +81,7 @@
 // ClockMillis returns the highest proposer clock applied, in Unix milliseconds.
 func (m *Machine) ClockMillis() int64 { return m.clock }
 
-// Get returns nil if the object does not exist.
+// Get returns an object, or nil if it does not exist.
 func (m *Machine) Get(kind v1.Kind, name string) *wirepb.Object {
 	return m.objects[Key{kind, name}]
 }
@@ -90,7 +91,7 @@
 	return m.specs[Key{kind, name}]
 }
 
-// MachineStatus returns the zero value if the machine does not exist.
+// MachineStatus returns the decoded status of a machine, or the zero value if the machine does not exist.
 func (m *Machine) MachineStatus(name string) v1.MachineStatus {
 	return m.statuses[name]
 }
--- a/internal/state/suspects.go
+++ b/internal/state/suspects.go
@@ -13,8 +13,7 @@
 )
 
 // MaxSuspects and MaxQuarantined bound the records of requests that were in flight on crashed
-// machines: those that may still run, and those that may not. BenchmarkSuspectMemory reports
-// their memory.
+// machines: those that may still run, and those that may not.
 const (
 	MaxSuspects    = 512
 	MaxQuarantined = 512
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -27,8 +27,9 @@
 	return maxCompressors
 }
 
-// reserveCompressor fails if limit compressors are in use. A server reserves one before it replies
-// to a Hello, so that concurrent handshakes can't exceed the limit.
+// reserveCompressor reserves a compressor, or returns false if limit compressors are in use. A
+// server reserves one before it replies to a Hello, so that concurrent handshakes can't exceed the
+// limit.
 func (c *Counters) reserveCompressor(limit int64) bool {
 	if c.compressors.Add(1) <= limit {
 		return true
