--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -309,11 +309,11 @@
 	if time.Since(started) > slowProcessing {
 		n.idleSince = n.now()
 	}
-	// The status must be published before messages are sent: a message may reveal that this node
-	// has stepped down, and the status controls what it does as leader.
 	n.counters.entries.Add(int64(len(output.Applied)))
 	n.counters.processing.Add(int64(time.Since(started)))
 	n.recordGrants(output)
+	// The status must be published before messages are sent: a message may reveal that this node
+	// has stepped down, and the status controls what it does as leader.
 	n.publishStatus()
 	n.peers.sendRaft(output.Messages)
 	n.pending.Complete(output)
--- a/internal/control/oneway_test.go
+++ b/internal/control/oneway_test.go
@@ -32,7 +32,7 @@
 func (memoryStorage) SaveSnapshot(*wirepb.Snapshot, *wirepb.WalRecord) error { return nil }
 
 // outgoingProxy carries the connections that one control node dials to another. Once cut, it drops
-// what the dialer sends and still delivers what it receives, with both connections open.
+// what the dialer sends, still delivers what the dialer receives, and keeps the connections open.
 type outgoingProxy struct {
 	listener net.Listener
 	target   string
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -377,7 +377,7 @@
 	}
 }
 
-// servePeer handles a connection from another member.
+// servePeer handles a connection from another control node, which may not be a member yet.
 func (n *Node) servePeer(ctx context.Context, conn *wire.Conn) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -190,8 +190,9 @@
 	return hosts
 }
 
-// selectAdapterHost returns the machine with the fewest adapters among those that hold the version and
-// may serve the requests. It returns nil if one of these already holds or loads the adapter.
+// selectAdapterHost returns the machine with the fewest adapters, idle engines first, among those that
+// hold the version and may serve the requests. It returns nil if one of these already holds or loads the
+// adapter.
 func selectAdapterHost(hosts []*adapterHost, demand AdapterDemand, lastUsed map[adapterKey]time.Duration) *adapterHost {
 	var best *adapterHost
 	for _, host := range hosts {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -12,7 +12,7 @@
 // unlimitedTime is the assumed duration of a limit: its end is not known in advance.
 const unlimitedTime = time.Duration(math.MaxInt64)
 
-// SetLimits replaces the observed rate limits. A change is published in a digest at once.
+// SetLimits replaces the observed rate limits. A change makes the next digest urgent.
 func (c *Controller) SetLimits(observed []ratelimit.Observation) {
 	limited := map[string]ratelimit.Limit{}
 	for _, each := range observed {
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -15,10 +15,11 @@
 	// reservedAdapterSlots is the number of slots per engine left free for loads on demand, which would
 	// otherwise have to evict an adapter first.
 	reservedAdapterSlots = 1
-	// minConcurrentPrefetches is the limit of adapters being loaded, above which no prefetch starts, in
-	// a small fleet. It leaves bandwidth of the weight store to loads on demand.
+	// minConcurrentPrefetches is the number of adapters being loaded at which no further prefetch starts
+	// in a small fleet. The limit leaves bandwidth of the weight store to loads on demand.
 	minConcurrentPrefetches = 4
-	// enginesPerPrefetch is the number of engines for which the limit grows by one.
+	// enginesPerPrefetch is the number of engines for each adapter being loaded, which gives the limit in
+	// a large fleet.
 	enginesPerPrefetch = 100
 )
 
--- a/internal/controller/registered.go
+++ b/internal/controller/registered.go
@@ -116,8 +116,8 @@
 	return r.engines
 }
 
-// Adopt returns the writes that create records for models that engines hold without a record. Such
-// models are used and not unloaded.
+// Adopt returns the writes that create records for declared models that engines hold without a record.
+// Such models are used and not unloaded.
 func (r *RegisteredFleet) Adopt(engineState EngineStateFunc) []*wirepb.ObjectWrite {
 	var writes []*wirepb.ObjectWrite
 	for _, name := range r.engineNames() {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -362,7 +362,8 @@
 	expected := uint64(0)
 	if action.Kind == placement.ActionLoad {
 		spec = *action.Spec
-		// Names of replicas are fences, so they must never be reused. The revision makes them unique.
+		// Names must never be reused: engines don't load a replica that has ended. The revision makes
+		// them unique.
 		write.Object.Name = spec.Version + "." + strconv.FormatUint(revision, 10) + "." + strconv.Itoa(position)
 	} else {
 		spec = *action.Replica.Spec
