--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -14,8 +14,8 @@
 // several kinds alternate, each similar to the previous one of its kind.
 const deflateLevel = 2
 
-// maxCompressors bounds the memory for compressors, about 0.8 MB each. Further clients get an
-// uncompressed stream.
+// maxCompressors bounds the memory for compressors, about 0.8 MB each. Further clients other than
+// control nodes get an uncompressed stream.
 const maxCompressors = 64
 
 // compressorLimit returns the number of compressors up to which a client gets one. Control nodes
@@ -46,8 +46,8 @@
 	}
 }
 
-// dialerCompresses reports whether the client's stream is compressed if the server's is. A router
-// in the server's zone sends too little for compression to be worth the memory.
+// dialerCompresses reports whether the client's stream is compressed if the server's is. Clients in
+// the server's zone other than control nodes send too little for compression to be worth the memory.
 func dialerCompresses(hello *wirepb.Hello, reply *wirepb.HelloReply) bool {
 	return hello.GetControlId() != 0 || hello.GetZone() != reply.GetZone()
 }
