--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -192,7 +192,8 @@
 	// ReplaceAfter is how long a voter may be unreachable before a learner replaces it.
 	// Default 30s.
 	ReplaceAfter time.Duration `yaml:"replaceAfter"`
-	// ReadToken and WriteToken are bearer tokens that the API requires if set.
+	// ReadToken and WriteToken are the bearer tokens of the API: WriteToken permits all requests,
+	// ReadToken only reads. Without WriteToken, the API requires no token, even if ReadToken is set.
 	ReadToken  string `yaml:"readToken"`
 	WriteToken string `yaml:"writeToken"`
 }
