--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -63,6 +63,7 @@
 	Clock func() time.Duration
 }
 
+// Node is a control node: a member of the log, with the feed server and, as leader, the controllers.
 type Node struct {
 	settings *settings.Settings
 	logger   *slog.Logger
@@ -308,11 +309,11 @@
 	if time.Since(started) > slowProcessing {
 		n.idleSince = n.now()
 	}
-	// The status must be published before messages are sent: a message may reveal that this node
-	// has stepped down, and the status controls what it does as leader.
 	n.counters.entries.Add(int64(len(output.Applied)))
 	n.counters.processing.Add(int64(time.Since(started)))
 	n.recordGrants(output)
+	// The status must be published before messages are sent: a message may reveal that this node
+	// has stepped down, and the status controls what it does as leader.
 	n.publishStatus()
 	n.peers.sendRaft(output.Messages)
 	n.pending.Complete(output)
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -26,8 +26,8 @@
 }
 
 // adapterEvictionIdle is the minimum time since the last request before an adapter may be evicted. An
-// engine waits for the runs that use an adapter before it drops it, and accepts no other order in the
-// meantime.
+// engine unloads an adapter only after the runs that use it have ended, and accepts no other order until
+// then.
 const adapterEvictionIdle = 2500 * time.Millisecond
 
 // constrainedAdapterKey identifies the demand for an adapter under a region constraint, given by its
@@ -190,8 +190,9 @@
 	return hosts
 }
 
-// selectAdapterHost returns the machine with the fewest adapters among those that hold the version and
-// may serve the requests. It returns nil if one of these already holds or loads the adapter.
+// selectAdapterHost returns the machine with the fewest adapters, idle engines first, among those that
+// hold the version and may serve the requests. It returns nil if one of these already holds or loads the
+// adapter.
 func selectAdapterHost(hosts []*adapterHost, demand AdapterDemand, lastUsed map[adapterKey]time.Duration) *adapterHost {
 	var best *adapterHost
 	for _, host := range hosts {
