--- a/api/v1/tenant.go
+++ b/api/v1/tenant.go
@@ -23,6 +23,8 @@
 // KeyHash is the SHA-256 hash of a caller's key.
 type KeyHash [sha256.Size]byte
 
+// HashKey returns the hash under which a key is declared in TenantSpec.KeyHashes. The key is hashed as it
+// is, without salt or normalization.
 func HashKey(key string) KeyHash {
 	return sha256.Sum256([]byte(key))
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -63,6 +63,8 @@
 	Clock func() time.Duration
 }
 
+// Node is a member of the replicated log, which also runs the controller while it leads. Run must be
+// called only once; the other methods are safe for concurrent use.
 type Node struct {
 	settings *settings.Settings
 	logger   *slog.Logger
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -91,6 +91,8 @@
 	}
 }
 
+// Term returns the term of leadership whose decisions the controller makes. A node that does not lead in
+// that term must not apply them.
 func (c *Controller) Term() uint64 {
 	return c.config.Term
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -58,6 +58,8 @@
 	quotas *quota.Ledger
 }
 
+// NewReportTable returns a table without reports. It has no quota ledger until New creates a controller
+// with it.
 func NewReportTable() *ReportTable {
 	return &ReportTable{
 		nodes: map[string]nodeEntry{}, machines: map[string]machineEntry{},
@@ -197,6 +199,8 @@
 	return counts
 }
 
+// Leaving returns the set of machines that at least one live node reports as shutting down. The caller
+// may modify it.
 func (t *ReportTable) Leaving(now time.Duration) map[string]bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -84,6 +84,8 @@
 	turn int
 }
 
+// New returns a scheduler without targets or waiting requests, which assumes that there are no other
+// routers.
 func New(config Config) *Scheduler {
 	return &Scheduler{
 		config: config, targets: map[string]*target{}, versions: map[string]*versionState{},
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -10,6 +10,7 @@
 type Result int
 
 const (
+	// ResultOK: the request ended without a failure of the target. It is the zero value.
 	ResultOK Result = iota
 	// ResultError: the engine returned an error response.
 	ResultError
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -7,6 +7,8 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
+// Request is a caller's request for a model version, or for an adapter of it. Of the requests that wait
+// for a version, those with a higher Priority come first.
 type Request struct {
 	// ID is unique among the waiting requests.
 	ID       uint64
--- a/internal/instances/table.go
+++ b/internal/instances/table.go
@@ -17,6 +17,8 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
+// Entry is the newest report of a machine. Received is the time on the control node's clock at which it
+// arrived, less the age that the report states.
 type Entry struct {
 	Report   *wirepb.InstanceReport
 	Received time.Duration
@@ -33,6 +35,7 @@
 	lostSince map[string]time.Duration
 }
 
+// NewTable returns a table without reports, in which no machine counts as lost or gone yet.
 func NewTable() *Table {
 	return &Table{entries: map[string]Entry{}, goneSince: map[string]time.Duration{}, lostSince: map[string]time.Duration{}}
 }
@@ -93,6 +96,7 @@
 	ForgetAfter time.Duration
 }
 
+// Declared is the stored record of a self-registering machine, with its decoded spec and status.
 type Declared struct {
 	Object *wirepb.Object
 	Spec   *v1.MachineSpec
--- a/internal/keepalive/adaptive.go
+++ b/internal/keepalive/adaptive.go
@@ -27,6 +27,7 @@
 	histories map[string]*versionHistory
 }
 
+// NewAdaptive returns the policy without history, so that it follows the ski-rental rule at first.
 func NewAdaptive() *Adaptive {
 	return &Adaptive{histories: map[string]*versionHistory{}}
 }
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -32,6 +32,7 @@
 	SilentFor time.Duration
 }
 
+// Declared is a stored Machine resource, with its decoded spec and status.
 type Declared struct {
 	Object *wirepb.Object
 	Spec   *v1.MachineSpec
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,6 +35,8 @@
 	shutdownTimeout = 5 * time.Second
 )
 
+// Node is one process of the cluster: the roles in its settings, and the connections, keys and metrics
+// that they share. Run must be called only once.
 type Node struct {
 	settings *settings.Settings
 	logger   *slog.Logger
--- a/internal/nodeview/tenants.go
+++ b/internal/nodeview/tenants.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// HasTenants reports whether any tenant is declared. Without tenants, requests need no key.
 func (v *View) HasTenants() bool {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
--- a/internal/nodeview/view.go
+++ b/internal/nodeview/view.go
@@ -18,12 +18,16 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
+// Replica is a Replica object with its decoded spec. Adapters are the loaded adapters from its status.
+// It shares memory with the view and must not be modified.
 type Replica struct {
 	Object   *wirepb.Object
 	Spec     *v1.ReplicaSpec
 	Adapters []string
 }
 
+// Machine is a Machine object with its decoded spec and status. It shares memory with the view and must
+// not be modified.
 type Machine struct {
 	Object *wirepb.Object
 	Spec   *v1.MachineSpec
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -113,6 +113,7 @@
 	}
 }
 
+// Plan holds the orders to send, at most one for each engine, and the engines to poll.
 type Plan struct {
 	Orders []Order
 	// Polls has the machines to poll.
--- a/internal/orders/types.go
+++ b/internal/orders/types.go
@@ -1,12 +1,16 @@
 package orders
 
+// Operation is what an order asks of an engine.
 type Operation string
 
+// Load and Unload apply to the order's adapter if it names one, and to its model otherwise.
 const (
 	Load   Operation = "load"
 	Unload Operation = "unload"
 )
 
+// Order is an instruction to the engine at Endpoint to load or unload a model or an adapter. The engine
+// answers with a conflict unless it has accepted exactly Expected orders before.
 type Order struct {
 	Machine   string
 	Endpoint  string
@@ -44,6 +48,7 @@
 	Unknown
 )
 
+// String returns the outcome's name in logs. It panics for undefined outcomes.
 func (o Outcome) String() string {
 	return [...]string{"accepted", "holds", "conflict", "elsewhere", "refused", "not_sent", "unknown"}[o]
 }
@@ -73,6 +78,8 @@
 	Blocked bool
 }
 
+// Task is a model that an engine has to load or unload. FromStore is set if its weights come from the
+// weight store.
 type Task struct {
 	Model     string
 	FromStore bool
@@ -80,6 +87,8 @@
 	Work float64
 }
 
+// AdapterTask is an adapter that an engine has to load, or to unload if Drop is set. Model is the engine's
+// name of the adapter's model.
 type AdapterTask struct {
 	Model, Adapter string
 	Drop           bool
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -52,6 +52,8 @@
 	decidedAt time.Time
 }
 
+// NewPlanner returns a planner that knows only the demand in config.History. It takes over the policy in
+// config.KeepAlive, which must not be used concurrently.
 func NewPlanner(config Config) *Planner {
 	return &Planner{
 		config:          config,
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -25,6 +25,7 @@
 // estimate that is too slow refuses requests that could have been served.
 var DefaultTierSpeeds = TierSpeeds{Memory: 32e9, Disk: 8e9, Remote: 4e9}
 
+// Of returns the bandwidth of a tier in bytes per second. Unknown tiers count as TierRemote.
 func (s TierSpeeds) Of(tier Tier) float64 {
 	switch tier {
 	case TierMemory:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,6 +35,8 @@
 	RoleIngress Role = "ingress"
 )
 
+// Settings are the content of a node's settings file. Load and Parse return them complete; settings that
+// are built in code need a call of Complete before use.
 type Settings struct {
 	// Cluster is the cluster's name; processes of different clusters reject each
 	// other. Required.
@@ -84,6 +86,7 @@
 	Slack float64 `yaml:"slack"`
 }
 
+// Bound returns the bound on by how much routers may exceed the rate declared for a warming machine.
 func (s WarmingSettings) Bound() warming.Bound {
 	return warming.Bound{Factor: s.Factor, Slack: s.Slack}
 }
@@ -107,6 +110,7 @@
 	TolerateRegions int `yaml:"tolerateRegions"`
 }
 
+// IngressSettings configure the ingress role, which requires Listen and FormationSettings.Seeds.
 type IngressSettings struct {
 	// Listen is the address for callers.
 	Listen string `yaml:"listen"`
@@ -152,6 +156,7 @@
 	Public bool `yaml:"public"`
 }
 
+// Files returns the paths of the PEM files, for keys.Load. They are empty if TLS is off.
 func (t TLSSettings) Files() keys.Files {
 	return keys.Files{Certificate: t.Certificate, Key: t.Key, Authority: t.Authority}
 }
@@ -166,6 +171,8 @@
 	Learner bool `yaml:"learner"`
 }
 
+// ControlSettings configure the control role, which requires API and either Members or
+// FormationSettings.Seeds.
 type ControlSettings struct {
 	// ID is this node's id among the members.
 	ID uint64 `yaml:"id"`
@@ -197,6 +204,7 @@
 	WriteToken string `yaml:"writeToken"`
 }
 
+// RouterSettings configure the router role, which requires Listen and at least one of Upstreams.
 type RouterSettings struct {
 	// Listen is the address for callers.
 	Listen string `yaml:"listen"`
@@ -215,6 +223,7 @@
 	DrainTimeout time.Duration `yaml:"drainTimeout"`
 }
 
+// RelaySettings configure the relay role, which requires Listen and at least one of Upstreams.
 type RelaySettings struct {
 	// Listen is the address for the nodes of the zone.
 	Listen string `yaml:"listen"`
@@ -260,6 +269,7 @@
 	Sharing string `yaml:"sharing"`
 }
 
+// Bound returns the bound on how much tenants may exceed their limits. It does not depend on Sharing.
 func (s QuotaSettings) Bound() quota.Bound {
 	return quota.Bound{Window: s.Window, Overage: s.Overage, Slack: s.Slack}
 }
@@ -354,6 +364,7 @@
 	return 2*f.Tolerate + 1
 }
 
+// HasRole reports whether Roles lists a role. It does not check that the role is a defined one.
 func (s *Settings) HasRole(role Role) bool {
 	return slices.Contains(s.Roles, role)
 }
--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -10,6 +10,7 @@
 	channel chan struct{}
 }
 
+// New returns a broadcast without waiters, ready for use by any number of goroutines.
 func New() *Broadcast {
 	return &Broadcast{channel: make(chan struct{})}
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -70,8 +70,9 @@
 const (
 	// OrderDeclare declares a configuration version.
 	OrderDeclare OrderKind = iota
-	// OrderDrain starts the drain of a zone, OrderUndrain ends it.
+	// OrderDrain starts the drain of a zone.
 	OrderDrain
+	// OrderUndrain ends the drain of a zone.
 	OrderUndrain
 )
 
--- a/internal/spec/claim.go
+++ b/internal/spec/claim.go
@@ -5,22 +5,33 @@
 	"slices"
 )
 
+// ClaimPhase is the phase of a claim. The zero value is ClaimNone.
 type ClaimPhase uint8
 
 const (
+	// ClaimNone: the key was never claimed.
 	ClaimNone ClaimPhase = iota
+	// ClaimOpen: the owner may run the request.
 	ClaimOpen
+	// ClaimCompleted: the request ran and its answer is recorded.
 	ClaimCompleted
+	// ClaimNotRun: the request did not run; another owner may claim the key.
 	ClaimNotRun
+	// ClaimUnknown: the request may have run. The owner may still record its answer.
 	ClaimUnknown
 )
 
+// ClaimOperation is an operation of an owner on a claim, see Claim.Step.
 type ClaimOperation uint8
 
 const (
+	// ClaimRequest requests the claim. It is the only operation that may grant it.
 	ClaimRequest ClaimOperation = iota
+	// ClaimComplete records the answer, also after ClaimCloseUnknown.
 	ClaimComplete
+	// ClaimCloseNotRun closes an open claim of a request that did not run.
 	ClaimCloseNotRun
+	// ClaimCloseUnknown closes an open claim of a request that may have run.
 	ClaimCloseUnknown
 )
 
@@ -55,6 +66,8 @@
 
 const claimAttempts = 2
 
+// AttemptState is the state of one attempt to run the request. In the zero value, the attempt has not
+// been granted the claim.
 type AttemptState struct {
 	// Closing is set if the attempt gave up without sending, Crashed if its router crashed.
 	Granted, Sent, Closing, Crashed bool
@@ -62,6 +75,8 @@
 	Ran, ReportedNotRun bool
 }
 
+// ClaimState is a state of the claim model; the zero value is the initial state. An attempt's owner in
+// Claim is its index plus 1.
 type ClaimState struct {
 	Claim    Claim[uint8]
 	Attempts [claimAttempts]AttemptState
--- a/internal/spec/explore.go
+++ b/internal/spec/explore.go
@@ -9,6 +9,8 @@
 	Violation func(state S) string
 }
 
+// Exploration is the result of Explore. States is the number of distinct states that were reached,
+// including the initial one.
 type Exploration struct {
 	States int
 	// Complete is false if the limit or a violation ended the exploration.
--- a/internal/spec/log.go
+++ b/internal/spec/log.go
@@ -16,6 +16,8 @@
 	leaseTicks  = 1
 )
 
+// LogNode is the state of a node in the log model. Vote is the index of the node that it voted for in Term,
+// plus 1, or 0 if it has not voted.
 type LogNode struct {
 	Term, Vote uint8
 	// Votes is the set of nodes that voted for this candidate, as bits.
@@ -34,6 +36,8 @@
 	Answered, Age uint8
 }
 
+// LogState is a state of the log model. The zero value is the initial state, in which the log is empty and
+// all nodes are followers in term 0.
 type LogState struct {
 	Nodes [logNodes]LogNode
 	// Committed holds the terms of all entries that were ever committed.
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -20,11 +20,13 @@
 	MaxEventsKept = 16384
 )
 
+// Key identifies an object. Names are unique within a kind.
 type Key struct {
 	Kind v1.Kind
 	Name string
 }
 
+// KeyOf returns the key of an object, whose kind need not be known to this build.
 func KeyOf(object *wirepb.Object) Key {
 	return Key{Kind: v1.Kind(object.GetKind()), Name: object.GetName()}
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -85,6 +85,7 @@
 	})
 }
 
+// Close closes the log but not the data directory. It must not be called during a write.
 func (d *Disk) Close() error {
 	return d.log.Close()
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -73,6 +73,7 @@
 	return &copied
 }
 
+// KnowsMachine reports whether a machine was sent to the node and not deleted since.
 func (s *Subset) KnowsMachine(name string) bool {
 	_, known := s.known[state.Key{Kind: v1.KindMachine, Name: name}]
 	return known
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -51,6 +51,7 @@
 	FailureBroken
 )
 
+// String returns the failure's name in logs. It panics for undefined failures.
 func (f Failure) String() string {
 	return [...]string{"none", "not_connected", "stale_connection", "broken"}[f]
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -359,6 +359,8 @@
 	return l.size
 }
 
+// Close closes the newest segment, after which the log must not be used. Appended records are already
+// synced.
 func (l *Log) Close() error {
 	return l.segment.Close()
 }
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -263,6 +263,7 @@
 	})
 }
 
+// RemoteAddress returns the network address of the peer; for TCP, an IP address and a port.
 func (c *Conn) RemoteAddress() string {
 	return c.network.RemoteAddr().String()
 }
--- a/internal/wire/retry.go
+++ b/internal/wire/retry.go
@@ -7,8 +7,9 @@
 
 const (
 	// FastRetryDelay is the mean delay between attempts to connect until a peer has been
-	// unreachable for FastRetryPeriod, which covers the restart of a process.
-	FastRetryDelay  = 30 * time.Millisecond
+	// unreachable for FastRetryPeriod.
+	FastRetryDelay = 30 * time.Millisecond
+	// FastRetryPeriod is long enough for the restart of a process.
 	FastRetryPeriod = 3 * time.Second
 	// SlowRetryDelay is the mean delay after FastRetryPeriod.
 	SlowRetryDelay = 200 * time.Millisecond
