--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -58,6 +58,8 @@
 	quotas *quota.Ledger
 }
 
+// NewReportTable returns a table without reports. It has no quota ledger until New creates a controller
+// with it.
 func NewReportTable() *ReportTable {
 	return &ReportTable{
 		nodes: map[string]nodeEntry{}, machines: map[string]machineEntry{},
--- a/internal/instances/table.go
+++ b/internal/instances/table.go
@@ -34,6 +34,7 @@
 	lostSince map[string]time.Duration
 }
 
+// NewTable returns a table without reports, in which no machine counts as lost or gone yet.
 func NewTable() *Table {
 	return &Table{entries: map[string]Entry{}, goneSince: map[string]time.Duration{}, lostSince: map[string]time.Duration{}}
 }
--- a/internal/orders/types.go
+++ b/internal/orders/types.go
@@ -3,6 +3,7 @@
 // Operation is what an order makes an engine do with a model or an adapter.
 type Operation string
 
+// Load and Unload apply to the order's adapter if it names one, and to its model otherwise.
 const (
 	Load   Operation = "load"
 	Unload Operation = "unload"
@@ -46,6 +47,7 @@
 	Unknown
 )
 
+// String returns the outcome's name in logs. It panics for undefined outcomes.
 func (o Outcome) String() string {
 	return [...]string{"accepted", "holds", "conflict", "elsewhere", "refused", "not_sent", "unknown"}[o]
 }
--- a/internal/spec/claim.go
+++ b/internal/spec/claim.go
@@ -9,10 +9,15 @@
 type ClaimPhase uint8
 
 const (
+	// ClaimNone: the key was never claimed.
 	ClaimNone ClaimPhase = iota
+	// ClaimOpen: the owner may run the request.
 	ClaimOpen
+	// ClaimCompleted: the request ran and its answer is recorded.
 	ClaimCompleted
+	// ClaimNotRun: the request did not run; another owner may claim the key.
 	ClaimNotRun
+	// ClaimUnknown: the request may have run. The owner may still record its answer.
 	ClaimUnknown
 )
 
@@ -20,9 +25,13 @@
 type ClaimOperation uint8
 
 const (
+	// ClaimRequest requests the claim. It is the only operation that may grant it.
 	ClaimRequest ClaimOperation = iota
+	// ClaimComplete records the answer, also after ClaimCloseUnknown.
 	ClaimComplete
+	// ClaimCloseNotRun closes an open claim of a request that did not run.
 	ClaimCloseNotRun
+	// ClaimCloseUnknown closes an open claim of a request that may have run.
 	ClaimCloseUnknown
 )
 
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -26,6 +26,7 @@
 	Name string
 }
 
+// KeyOf returns the key of an object, whose kind need not be known to this build.
 func KeyOf(object *wirepb.Object) Key {
 	return Key{Kind: v1.Kind(object.GetKind()), Name: object.GetName()}
 }
