--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -12,6 +12,7 @@
 	"strconv"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -323,9 +324,33 @@
 // the connection.
 type responseScript func(request receivedRequest, number int, connection net.Conn) bool
 
+// reservePort returns a loopback address whose port stays bound until the end of the test. A port
+// that is freed when its listener closes may be given to another test process, whose listener then
+// accepts connections that the test expects to fail.
+func reservePort(t *testing.T) (address string) {
+	t.Helper()
+	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = syscall.Close(socket) })
+	// The test's listener shares the port; both sockets have to set this option.
+	if err := syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Bind(socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	bound, err := syscall.Getsockname(socket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return net.JoinHostPort("127.0.0.1", strconv.Itoa(bound.(*syscall.SockaddrInet4).Port))
+}
+
 func newRawMachine(t *testing.T, respond responseScript) *rawMachine {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", reservePort(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -215,9 +215,9 @@
 	deployment.serveWarming(1, machine.address)
 	deployment.digest(1, 0)
 	machine.refuseConnections()
-	deployment.send(http.MethodGet, "/a/b", "1", "", headerWait, "100ms")
+	answer := deployment.send(http.MethodGet, "/a/b", "1", "", headerWait, "100ms")
 	if warm := deployment.handler.WarmingMachines(); !warm["m0"] {
-		t.Error("the machine counts as warm")
+		t.Errorf("the machine counts as warm; the client got %d %s", answer.status, answer.body)
 	}
 }
 
