--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -152,7 +152,7 @@
 	case reply := <-pending.reply:
 		return reply.result, reply.err
 	case <-ctx.Done():
-		return nil, fault.Deadline.New("the command was not committed in time; it may still be committed")
+		return nil, fault.Deadline.New("the command was not committed in time; it may be later")
 	}
 }
 
@@ -169,7 +169,7 @@
 }
 
 func errIsolated() error {
-	return fault.Unavailable.New("messages of this node do not reach the leader")
+	return fault.Unavailable.New("the leader does not hear this node")
 }
 
 func (n *Node) cancelWhenIsolated(ctx context.Context, cancel context.CancelFunc) {
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -20,7 +20,7 @@
 func (n *Node) DrainZone(ctx context.Context, zone string, drained bool) error {
 	order := &drainOrder{node: n, zone: zone, drained: drained, receivedAt: n.now()}
 	if n.stallDetector.stalled(order.receivedAt) {
-		return fault.Unavailable.New("this node was stalled and can't determine the age of the order")
+		return fault.Unavailable.New("this node was stalled: it can't tell how old the order is")
 	}
 	ctx, cancel := context.WithTimeout(ctx, drainOrderTimeout)
 	defer cancel()
@@ -60,7 +60,7 @@
 func (o *drainOrder) write(ctx context.Context, zone *wirepb.Object) (written bool, err error) {
 	// Checked after the read, since the process may have been suspended before it.
 	if ctx.Err() != nil || o.node.now()-o.receivedAt > drains.ReadWindow {
-		return false, fault.Unavailable.New("the order could not be processed in time")
+		return false, fault.Unavailable.New("the order could not be looked at in time")
 	}
 	write, err := drains.NewWrite(o.zone, o.drained, zone.GetRevision(), time.Now())
 	if err != nil {
@@ -78,7 +78,7 @@
 	case wirepb.ResultCode_RESULT_CODE_CONFLICT:
 		return false, nil
 	}
-	return false, fault.Unavailable.New("the order was not committed: %s", result.GetMessage())
+	return false, fault.Unavailable.New("the order was not written: %s", result.GetMessage())
 }
 
 // catchUp waits until this node has applied everything committed when the order arrived. Its
@@ -101,7 +101,7 @@
 	case held != nil || knowledge == drains.ZoneKnown:
 		return held, nil
 	case knowledge == drains.ZonesNotReported:
-		return nil, fault.Unavailable.New("no zones are known yet")
+		return nil, fault.Unavailable.New("no zone is known yet")
 	}
 	return nil, fault.InvalidField("zone", "%q is not a zone of this cluster", o.zone)
 }
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -82,7 +82,7 @@
 // error that names the field if the report can't come from the machine whose ID it carries.
 func (n *Node) checkInstance(report *wirepb.InstanceReport) (name string, err error) {
 	if !instances.IsValidID(report.GetMachine()) {
-		return "", fault.InvalidField("machine", "%q is not a valid machine ID", report.GetMachine())
+		return "", fault.InvalidField("machine", "%q can't be the id of a machine", report.GetMachine())
 	}
 	n.Read(func(machine *state.Machine) {
 		name = nameOf(machine, report)
@@ -98,9 +98,9 @@
 	case record == nil || record.Pool == "":
 		return nil
 	case record.Pool != report.GetPool():
-		return fault.InvalidField("pool", "machine %s belongs to pool %s, not to %q", name, record.Pool, report.GetPool())
+		return fault.InvalidField("pool", "machine %s is of pool %s, not of %q", name, record.Pool, report.GetPool())
 	case record.StartedMs != 0 && report.GetStartedMs() == 0:
-		return fault.InvalidField("started", "machine %s has a start time, the report has none", name)
+		return fault.InvalidField("started", "machine %s tells when it started, the report does not", name)
 	}
 	return nil
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -285,7 +285,7 @@
 func (n *Node) propose(entry *proposal) {
 	if entry.command.GetBody() == nil {
 		// A command of a later release would stop every member that applies it.
-		entry.reply <- proposalReply{err: fault.InvalidField("body", "unknown command: it may belong to a later release")}
+		entry.reply <- proposalReply{err: fault.InvalidField("body", "this release does not know the command")}
 		return
 	}
 	entry.command.ProposedUnixMs = time.Now().UnixMilli()
--- a/internal/control/operatorcalls.go
+++ b/internal/control/operatorcalls.go
@@ -63,7 +63,7 @@
 	if n.isEarlierStart(name, report) {
 		// A delayed report must not affect the later start. A machine whose clock was set back is
 		// accepted once the later start is lost.
-		return fault.Unavailable.New("a later start of machine %s is in use", report.GetMachine())
+		return fault.Unavailable.New("a later start of %s is in use", report.GetMachine())
 	}
 	return n.recordPhase(ctx, name, report, v1.MachineLeaving)
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -315,7 +315,7 @@
 		return answer, nil
 	case <-ctx.Done():
 		l.reconnectIfUnanswered()
-		return nil, fault.Deadline.New("the leader did not reply in time")
+		return nil, fault.Deadline.New("no answer from the leader in time")
 	}
 }
 
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -387,7 +387,7 @@
 	}
 	c.mutex.Unlock()
 	if conn == nil {
-		return nil, fault.Unavailable.New("not connected to a control node")
+		return nil, fault.Unavailable.New("no control node is connected")
 	}
 	defer c.dropCall(id)
 	envelope.RequestId = id
@@ -401,7 +401,7 @@
 		}
 		return answer, nil
 	case <-ctx.Done():
-		return nil, fault.Deadline.New("the control plane did not reply in time")
+		return nil, fault.Deadline.New("no answer from the control plane in time")
 	}
 }
 
--- a/internal/feed/confirm.go
+++ b/internal/feed/confirm.go
@@ -64,7 +64,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fault.Unavailable.New("no leader is available to confirm a revision")
+			return nil, fault.Unavailable.New("there is no leader to confirm a revision")
 		case <-time.After(interval):
 		}
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -163,11 +163,11 @@
 // hello.
 func CheckName(state tls.ConnectionState, node string) error {
 	if len(state.PeerCertificates) == 0 {
-		return fault.Unauthorized.New("the peer sent no certificate")
+		return fault.Unauthorized.New("the peer showed no certificate")
 	}
 	certificate := state.PeerCertificates[0]
 	if certificate.Subject.CommonName == node || slices.Contains(certificate.DNSNames, node) {
 		return nil
 	}
-	return fault.Unauthorized.New("the peer's certificate was not issued for node %s", node)
+	return fault.Unauthorized.New("the peer calls itself %s, its certificate does not", node)
 }
--- a/internal/member/proposals.go
+++ b/internal/member/proposals.go
@@ -50,7 +50,7 @@
 		}
 		delete(p.waiting, applied.Index)
 		if entry.term != applied.Term {
-			entry.done(nil, fault.Unavailable.New("another leader's command replaced it in the log"))
+			entry.done(nil, fault.Unavailable.New("another leader's command took its place"))
 			continue
 		}
 		entry.done(applied.Result, nil)
