--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -92,15 +92,15 @@
 // readZone returns the zone's object, nil if there is none.
 func (o *drainOrder) readZone() (*wirepb.Object, error) {
 	var held *wirepb.Object
-	knowledge := drains.ZoneUnknown
+	status := drains.ZoneUnknown
 	o.node.Read(func(machine *state.Machine) {
 		held = machine.Get(v1.KindZoneDrain, o.zone)
-		knowledge = drains.ZoneStatusOf(machine, o.node.settings.Location().Zones.Zones(), o.zone)
+		status = drains.ZoneStatusOf(machine, o.node.settings.Location().Zones.Zones(), o.zone)
 	})
 	switch {
-	case held != nil || knowledge == drains.ZoneKnown:
+	case held != nil || status == drains.ZoneKnown:
 		return held, nil
-	case knowledge == drains.ZonesNotReported:
+	case status == drains.ZonesNotReported:
 		return nil, fault.Unavailable.New("no zone is known yet")
 	}
 	return nil, fault.InvalidField("zone", "%q is not a zone of this cluster", o.zone)
@@ -123,20 +123,20 @@
 
 // stallDetector is a drains.StallDetector for concurrent use.
 type stallDetector struct {
-	mutex sync.Mutex
-	watch drains.StallDetector
+	mutex    sync.Mutex
+	detector drains.StallDetector
 }
 
 func (g *stallDetector) observe(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch.Tick(now)
+	g.detector.Tick(now)
 }
 
 func (g *stallDetector) stalled(now time.Duration) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.watch.Stalled(now)
+	return g.detector.Stalled(now)
 }
 
 // watchStalls has a goroutine of its own, since the raft loop blocks on disk writes.
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -104,16 +104,16 @@
 func (g *stallDetector) assumeStalled(node *Node) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch.Tick(node.now() + time.Hour)
+	g.detector.Tick(node.now() + time.Hour)
 }
 
 // assumeRunning makes the detector report no stall.
 func (g *stallDetector) assumeRunning(node *Node) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch = drains.StallDetector{}
+	g.detector = drains.StallDetector{}
 	for now := node.now() - time.Minute; now <= node.now(); now += drains.StallCheckInterval {
-		g.watch.Tick(now)
+		g.detector.Tick(now)
 	}
 }
 
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -59,10 +59,10 @@
 	wakeup     chan struct{}
 	registered controller.RegisteredFleetCache
 
-	mutex sync.Mutex
-	core  *orders.Planner
-	pacer *orders.Pacer
-	// lastReport is the last report passed to core, by machine.
+	mutex   sync.Mutex
+	planner *orders.Planner
+	pacer   *orders.Pacer
+	// lastReport is the last report passed to the planner, by machine.
 	lastReport map[string]reportKey
 	// grantExpiry is until when orders are permitted, by machine.
 	grantExpiry map[string]time.Duration
@@ -76,7 +76,7 @@
 	running, cancel := context.WithCancel(ctx)
 	created := &orderDispatcher{
 		node: node, term: term, startedAt: node.now(), cancel: cancel, wakeup: make(chan struct{}, 1),
-		core: orders.NewPlanner(pacer), pacer: pacer, lastReport: map[string]reportKey{}, grantExpiry: map[string]time.Duration{},
+		planner: orders.NewPlanner(pacer), pacer: pacer, lastReport: map[string]reportKey{}, grantExpiry: map[string]time.Duration{},
 		registered: controller.RegisteredFleetCache{Places: node.settings.Location().Zones},
 	}
 	if node.engines != nil {
@@ -189,7 +189,7 @@
 // engineStates returns the current engine states; the mutex must be held.
 func (d *orderDispatcher) engineStates() controller.EngineStateFunc {
 	now := d.node.now()
-	return func(machine string) (orders.State, bool) { return d.core.State(now, machine) }
+	return func(machine string) (orders.State, bool) { return d.planner.State(now, machine) }
 }
 
 func (d *orderDispatcher) instancesInput(registered *controller.RegisteredFleet) instances.Input {
@@ -215,7 +215,7 @@
 	sequence  uint64
 }
 
-// observeHeartbeats passes new heartbeats to the core.
+// observeHeartbeats passes new heartbeats to the planner.
 func (d *orderDispatcher) observeHeartbeats(registered *controller.RegisteredFleet) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -232,9 +232,9 @@
 			continue
 		}
 		d.lastReport[name] = report
-		d.core.AddReport(d.node.now(), name, reportOf(entry.Report))
+		d.planner.AddReport(d.node.now(), name, reportOf(entry.Report))
 	}
-	d.core.Forget(listed)
+	d.planner.Forget(listed)
 }
 
 func reportOf(report *wirepb.InstanceReport) orders.Report {
@@ -300,7 +300,7 @@
 		wanted[position].Blocked = !free[wanted[position].Machine]
 	}
 	d.mutex.Lock()
-	plan := d.core.Plan(d.node.now(), wanted)
+	plan := d.planner.Plan(d.node.now(), wanted)
 	d.mutex.Unlock()
 	endpoints := map[string]string{}
 	for _, entry := range wanted {
@@ -332,10 +332,10 @@
 	defer d.mutex.Unlock()
 	if err != nil {
 		d.node.logger.Info("engine_not_polled", "machine", machine, "error", fault.Message(err))
-		d.core.PollFailed(d.node.now(), machine)
+		d.planner.PollFailed(d.node.now(), machine)
 		return
 	}
-	d.core.AddReport(d.node.now(), machine, report)
+	d.planner.AddReport(d.node.now(), machine, report)
 	d.node.wakeLeader()
 }
 
--- a/internal/control/fleetorders.go
+++ b/internal/control/fleetorders.go
@@ -50,7 +50,7 @@
 		"adapter", order.Adapter, "expected", order.Expected, "fence", d.term, "outcome", outcome.String(),
 		"took_ms", (d.node.now() - started).Milliseconds())
 	d.mutex.Lock()
-	d.core.RecordOutcome(d.node.now(), order, outcome)
+	d.planner.RecordOutcome(d.node.now(), order, outcome)
 	d.mutex.Unlock()
 	if order.Adapter != "" {
 		time.AfterFunc(orders.AdapterLoadTime, d.node.wakeLeader)
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -23,10 +23,10 @@
 	return &termPermits{term: term, buckets: permits.New(now)}
 }
 
-func (t *termPermits) take(now time.Duration, machine string, pace permits.BucketConfig) permits.Decision {
+func (t *termPermits) take(now time.Duration, machine string, bucket permits.BucketConfig) permits.Decision {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.buckets.Take(now, machine, pace)
+	return t.buckets.Take(now, machine, bucket)
 }
 
 func (t *termPermits) empty(now time.Duration, machines []string) {
@@ -62,11 +62,11 @@
 	if term == nil {
 		return nil, errNoLease()
 	}
-	pace, isPaced := n.paceOf(request)
-	if !isPaced {
+	bucket, isRequired := n.bucketConfigOf(request)
+	if !isRequired {
 		return &wirepb.PermitReply{Granted: true}, nil
 	}
-	decision := term.take(n.now(), request.GetMachine(), pace)
+	decision := term.take(n.now(), request.GetMachine(), bucket)
 	if status := n.status.Load(); status.Term != term.term || !status.LeaseHeld(n.now()) {
 		return nil, errNoLease()
 	}
@@ -74,9 +74,9 @@
 	return &wirepb.PermitReply{Granted: decision.Granted, RetryAfterMs: uint32(decision.RetryAfter.Milliseconds())}, nil
 }
 
-// paceOf returns the pace at which the machine may be sent requests. isPaced is false if the permit
+// bucketConfigOf returns the token bucket that limits the requests to the machine. isRequired is false if the permit
 // was requested only for a limit, and that limit has ended.
-func (n *Node) paceOf(request *wirepb.PermitRequest) (pace permits.BucketConfig, isPaced bool) {
+func (n *Node) bucketConfigOf(request *wirepb.PermitRequest) (bucket permits.BucketConfig, isRequired bool) {
 	machine := request.GetMachine()
 	if limit := request.GetLimit(); limit != nil {
 		n.mergeLimits([]*wirepb.MachineLimit{limit}, "permit")
@@ -85,11 +85,11 @@
 	if request.GetLimitOnly() {
 		return limit.BucketConfig(), limit.IsSet
 	}
-	pace = n.settings.Warming.Bound().BucketConfig(n.rateWhileWarming(machine))
+	bucket = n.settings.Warming.Bound().BucketConfig(n.rateWhileWarming(machine))
 	if limit.IsSet {
-		pace = pace.Min(limit.BucketConfig())
+		bucket = bucket.Min(limit.BucketConfig())
 	}
-	return pace, true
+	return bucket, true
 }
 
 // permitLocally is localPermit as a feed.PermitFunc, for requests forwarded by other control nodes.
--- a/internal/dispatch/near_test.go
+++ b/internal/dispatch/near_test.go
@@ -14,9 +14,9 @@
 	config.MaxWaiting, config.SharedSlots, config.LeastWork = 100, true, true
 	scheduler := New(config)
 	var targets []Target
-	for position, nearness := range distances {
+	for position, proximity := range distances {
 		name := "m" + strconv.Itoa(position)
-		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 64, Nearness: nearness})
+		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 64, Proximity: proximity})
 	}
 	scheduler.SetTargets(now, targets)
 	return scheduler, now
@@ -56,7 +56,7 @@
 		scheduler, now := localityScheduler(Config{}, places.OtherRegion, places.OtherRegion, places.OtherRegion, places.SameRegion, places.SameRegion)
 		submitted := request(now, 1000, 900, prefix)
 		submitted.CrossRegionPenalty = 1
-		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Nearness == places.OtherRegion {
+		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Proximity == places.OtherRegion {
 			t.Errorf("prefix %d is sent to another region", prefix)
 		}
 	}
@@ -70,13 +70,13 @@
 	distances := map[places.Proximity]bool{}
 	for prefix := uint64(1); prefix <= 20; prefix++ {
 		granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 900, prefix)))
-		distances[granted.Target.Nearness] = true
+		distances[granted.Target.Proximity] = true
 		scheduler.Release(now, granted, ResultOK)
 	}
 	if !distances[places.OtherRegion] || !distances[places.SameZone] {
 		t.Errorf("all prefixes are sent to one distance: %v", distances)
 	}
-	if granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); granted.Target.Nearness != places.OtherRegion {
+	if granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); granted.Target.Proximity != places.OtherRegion {
 		t.Error("the busier machine is preferred for its distance")
 	}
 }
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -50,8 +50,8 @@
 	Zone     string
 	// Region is empty if unknown.
 	Region string
-	// Nearness is the distance from the router.
-	Nearness places.Proximity
+	// Proximity is the distance from the router.
+	Proximity places.Proximity
 	// Fixed is set for a machine outside of the leader's placement: its replicas can't be loaded
 	// elsewhere.
 	Fixed bool
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -83,7 +83,7 @@
 	var bestCost, bestTie float64
 	for _, candidate := range usable {
 		load := s.totalWork(candidate)
-		cost := max(load, level) + request.distancePenalty(candidate.Nearness)
+		cost := max(load, level) + request.distancePenalty(candidate.Proximity)
 		cost += request.PrefixWork * (1 - candidate.hitProbability(now, request, first, second))
 		tie := weightedRank(s.config.Seed+request.ID, candidate.Machine, level-load)
 		if best == nil || cost < bestCost || cost == bestCost && tie > bestTie {
@@ -109,8 +109,8 @@
 }
 
 // distancePenalty is the additional cost of a target in tokens.
-func (r *Request) distancePenalty(nearness places.Proximity) float64 {
-	switch nearness {
+func (r *Request) distancePenalty(proximity places.Proximity) float64 {
+	switch proximity {
 	case places.SameZone:
 		return 0
 	case places.SameRegion:
@@ -127,7 +127,7 @@
 	}
 	var local []*target
 	for _, candidate := range targets {
-		if candidate.Nearness < places.OtherRegion {
+		if candidate.Proximity < places.OtherRegion {
 			local = append(local, candidate)
 		}
 	}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,7 +1,5 @@
-// Package dispatcher makes dispatch.Scheduler safe for concurrent use.
-//
-// A mutex guards the core. Each queued request waits on its own channel until it is
-// granted a target or refused.
+// Package dispatcher makes dispatch.Scheduler safe for concurrent use. Each queued request waits on
+// its own channel until it is granted a target or refused.
 package dispatcher
 
 import (
@@ -16,16 +14,16 @@
 	"github.com/weldline/weldline/internal/wire/wirepb"
 )
 
-// tickInterval is the interval of Core.Tick while requests are queued.
+// tickInterval is the interval of Scheduler.Tick while requests are queued.
 const tickInterval = 20 * time.Millisecond
 
 // Dispatcher queues requests and grants them targets. It is safe for concurrent use.
 type Dispatcher struct {
-	mutex    sync.Mutex
-	core     *dispatch.Scheduler
-	waiting  map[uint64]chan result
-	nextID   uint64
-	onQueued func()
+	mutex     sync.Mutex
+	scheduler *dispatch.Scheduler
+	waiting   map[uint64]chan result
+	nextID    uint64
+	onQueued  func()
 	// queueStarted is signaled when a request is queued.
 	queueStarted chan struct{}
 }
@@ -39,8 +37,8 @@
 // New returns a dispatcher. It calls onQueued when a request is queued.
 func New(config dispatch.Config, onQueued func()) *Dispatcher {
 	return &Dispatcher{
-		core:    dispatch.New(config),
-		waiting: map[uint64]chan result{}, onQueued: onQueued, queueStarted: make(chan struct{}, 1),
+		scheduler: dispatch.New(config),
+		waiting:   map[uint64]chan result{}, onQueued: onQueued, queueStarted: make(chan struct{}, 1),
 	}
 }
 
@@ -58,9 +56,9 @@
 	d.waiting[request.ID] = reply
 	var outcome dispatch.Outcome
 	if first {
-		outcome = d.core.Submit(now, request)
+		outcome = d.scheduler.Submit(now, request)
 	} else {
-		outcome = d.core.Resubmit(now, request)
+		outcome = d.scheduler.Resubmit(now, request)
 	}
 	d.deliver(outcome)
 	_, queued := d.waiting[request.ID]
@@ -88,7 +86,7 @@
 	default:
 	}
 	delete(d.waiting, request.ID)
-	d.core.Cancel(request)
+	d.scheduler.Cancel(request)
 	return nil, &dispatch.Refusal{Request: request, Reason: dispatch.RefusedDeadline, Detail: "the caller has gone"}
 }
 
@@ -116,15 +114,15 @@
 func (d *Dispatcher) HasAlternative(request *dispatch.Request, machine string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.HasAlternative(time.Now(), request, machine)
+	return d.scheduler.HasAlternative(time.Now(), request, machine)
 }
 
-// SetAllowed changes the allowed regions of a request if it is still queued.
-func (d *Dispatcher) SetAllowed(request *dispatch.Request, allowed places.Constraint) {
+// SetConstraint changes the allowed regions of a request if it is still queued.
+func (d *Dispatcher) SetConstraint(request *dispatch.Request, allowed places.Constraint) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.waiting[request.ID] != nil {
-		d.deliver(d.core.SetConstraint(time.Now(), request, allowed))
+		d.deliver(d.scheduler.SetConstraint(time.Now(), request, allowed))
 	}
 }
 
@@ -133,7 +131,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.waiting[request.ID] != nil {
-		d.core.Cancel(request)
+		d.scheduler.Cancel(request)
 		d.deliver(dispatch.Outcome{Refusals: []dispatch.Refusal{{Request: request, Reason: reason}}})
 	}
 }
@@ -142,7 +140,7 @@
 func (d *Dispatcher) Release(grant *dispatch.Grant, result dispatch.Result) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.Release(time.Now(), *grant, result))
+	d.deliver(d.scheduler.Release(time.Now(), *grant, result))
 }
 
 // Hold grants no requests to a machine for the given time.
@@ -150,59 +148,60 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.core.Hold(now, machine, now.Add(duration))
+	d.scheduler.Hold(now, machine, now.Add(duration))
 }
 
 // HoldPermitMachines grants no requests to any machine that requires permits for the given time.
 func (d *Dispatcher) HoldPermitMachines(duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.HoldPermitMachines(time.Now().Add(duration))
+	d.scheduler.HoldPermitMachines(time.Now().Add(duration))
 }
 
 // BackOff grants no requests to a machine for a time that it asked for.
 func (d *Dispatcher) BackOff(machine string, duration time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.BackOff(time.Now(), machine, duration))
+	d.deliver(d.scheduler.BackOff(time.Now(), machine, duration))
 }
 
-// MarkLeaving grants no further requests to a machine that announced its shutdown. It reports whether that was news.
+// MarkLeaving grants no further requests to a machine that announced its shutdown. It reports whether
+// this was not recorded before.
 func (d *Dispatcher) MarkLeaving(machine string) (changed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	outcome, changed := d.core.MarkLeaving(time.Now(), machine)
+	outcome, changed := d.scheduler.MarkLeaving(time.Now(), machine)
 	d.deliver(outcome)
 	return changed
 }
 
-// Leaving returns the machines that announced their shutdown.
-func (d *Dispatcher) Leaving() []string {
+// LeavingMachines returns the machines that announced their shutdown.
+func (d *Dispatcher) LeavingMachines() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.LeavingMachines()
+	return d.scheduler.LeavingMachines()
 }
 
-// BackedOffMachines returns the number of machines that asked to back off and still get no requests.
-func (d *Dispatcher) BackedOffMachines() int {
+// BackoffCount returns the number of machines that asked to back off and still get no requests.
+func (d *Dispatcher) BackoffCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.BackoffCount(time.Now())
+	return d.scheduler.BackoffCount(time.Now())
 }
 
-// RetryAfterBackOff returns the time until a machine may be tried again, if all that could take the request asked to
+// RetryAfterBackoff returns the time until a machine may be tried again, if all that could take the request asked to
 // back off.
-func (d *Dispatcher) RetryAfterBackOff(request *dispatch.Request) (retryAfter time.Duration, allBackedOff bool) {
+func (d *Dispatcher) RetryAfterBackoff(request *dispatch.Request) (retryAfter time.Duration, allBackedOff bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.RetryAfterBackoff(time.Now(), request)
+	return d.scheduler.RetryAfterBackoff(time.Now(), request)
 }
 
 // MayWrite reports whether a granted request may still be written to its machine.
 func (d *Dispatcher) MayWrite(grant *dispatch.Grant) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.MayWrite(time.Now(), *grant)
+	return d.scheduler.MayWrite(time.Now(), *grant)
 }
 
 // Retain drops the statements of machines that are not listed any more.
@@ -210,74 +209,74 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.core.RetainBackoffs(now, isListed)
-	d.core.RetainLeaving(now, isListed)
+	d.scheduler.RetainBackoffs(now, isListed)
+	d.scheduler.RetainLeaving(now, isListed)
 }
 
 // SetLimited replaces the machines with a rate limit. The map must not be modified afterwards.
 func (d *Dispatcher) SetLimited(limited map[string]ratelimit.Limit) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.SetLimited(limited)
+	d.scheduler.SetLimited(limited)
 }
 
 // SetWarming replaces the machines that are warming up. The map must not be modified afterwards.
 func (d *Dispatcher) SetWarming(warming map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.SetWarming(warming)
+	d.scheduler.SetWarming(warming)
 }
 
-// Started records that the machine has accepted a granted request and begun to respond.
-func (d *Dispatcher) Started(grant *dispatch.Grant) {
+// MarkStarted records that the machine has accepted a granted request and begun to respond.
+func (d *Dispatcher) MarkStarted(grant *dispatch.Grant) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.MarkStarted(*grant)
+	d.scheduler.MarkStarted(*grant)
 }
 
-// Unreachable returns the machines whose recent connections failed.
-func (d *Dispatcher) Unreachable(now time.Time) []string {
+// UnreachableMachines returns the machines whose recent connections failed.
+func (d *Dispatcher) UnreachableMachines(now time.Time) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.UnreachableMachines(now)
+	return d.scheduler.UnreachableMachines(now)
 }
 
 // Work returns the outstanding work by machine.
 func (d *Dispatcher) Work() map[string]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Work()
+	return d.scheduler.Work()
 }
 
-// Answers returns the counts of responses by machine.
-func (d *Dispatcher) Answers() map[string]dispatch.ResponseCounts {
+// ResponseCounts returns the counts of responses by machine.
+func (d *Dispatcher) ResponseCounts() map[string]dispatch.ResponseCounts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.ResponseCounts()
+	return d.scheduler.ResponseCounts()
 }
 
 // SetTargets replaces the targets.
 func (d *Dispatcher) SetTargets(now time.Time, targets []dispatch.Target) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.SetTargets(now, targets))
+	d.deliver(d.scheduler.SetTargets(now, targets))
 }
 
 // ChangeTargets applies changes of the targets.
 func (d *Dispatcher) ChangeTargets(now time.Time, changes dispatch.TargetChanges) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.deliver(d.core.ChangeTargets(now, changes))
+	d.deliver(d.scheduler.ChangeTargets(now, changes))
 }
 
 // ApplyDigest applies the leader's loads and estimates.
 func (d *Dispatcher) ApplyDigest(now time.Time, digest *wirepb.ClusterDigest) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.SetWork(now, nodeview.WorkOf(digest))
-	d.core.SetResponseCounts(now, nodeview.AnswersOf(digest))
-	d.deliver(d.core.SetLoads(now, nodeview.LoadsOf(digest), int(digest.GetRouters())))
-	d.deliver(d.core.SetEstimates(now, nodeview.EstimatesOf(digest, now)))
+	d.scheduler.SetWork(now, nodeview.WorkOf(digest))
+	d.scheduler.SetResponseCounts(now, nodeview.AnswersOf(digest))
+	d.deliver(d.scheduler.SetLoads(now, nodeview.LoadsOf(digest), int(digest.GetRouters())))
+	d.deliver(d.scheduler.SetEstimates(now, nodeview.EstimatesOf(digest, now)))
 }
 
 // FollowDigests applies each digest of the view until ctx is done.
@@ -316,10 +315,10 @@
 func (d *Dispatcher) tick(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.core.Waiting() == 0 {
+	if d.scheduler.Waiting() == 0 {
 		return false
 	}
-	d.deliver(d.core.Tick(now))
+	d.deliver(d.scheduler.Tick(now))
 	return true
 }
 
@@ -334,12 +333,12 @@
 func (d *Dispatcher) Demand(now time.Time) []dispatch.Demand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Demand(now)
+	return d.scheduler.Demand(now)
 }
 
 // Loads returns the requests in flight by machine.
 func (d *Dispatcher) Loads() map[string]int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Loads()
+	return d.scheduler.Loads()
 }
--- a/internal/faultsim/requests.go
+++ b/internal/faultsim/requests.go
@@ -145,7 +145,7 @@
 	left := grant.Request.Deadline.Sub(r.wall())
 	took := r.world.span(20*time.Millisecond, 800*time.Millisecond)
 	sentAt := r.clock()
-	life := r.view.LifeOf(grant.Target.Machine, grant.Target.Replica)
+	life := r.view.InstanceName(grant.Target.Machine, grant.Target.Replica)
 	call(&r.process, &target.process, max(left, 0), func(reply func(engineAnswer)) {
 		target.serve(r, entry, grant.Target.Replica, took, reply)
 	}, func(answer engineAnswer, answered bool) {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -28,7 +28,7 @@
 // reportBroken reports a request whose connection broke after it was sent.
 func (g *Gateway) reportBroken(j *job, grant *dispatch.Grant) {
 	g.crashes.ReportBroken(quarantine.BrokenRequest{
-		Machine: grant.Target.Machine, Instance: g.options.View.LifeOf(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
+		Machine: grant.Target.Machine, Instance: g.options.View.InstanceName(grant.Target.Machine, grant.Target.Replica), Address: upstream.AddressOf(grant.Target.Endpoint),
 		Identity: j.identity(), Route: j.service, Tenant: j.caller,
 	})
 }
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -73,8 +73,8 @@
 
 // attempt sends the request to one machine and relays its response.
 func (j *job) attempt(ctx context.Context, grant *dispatch.Grant) attemptOutcome {
-	j.ingress.options.Metrics.observeSent(grant.Target.Nearness)
-	j.log("sent", "machine", grant.Target.Machine, "nearness", grant.Target.Nearness.String(), "waited", grant.Waited, "remains_ms", j.remaining().Milliseconds())
+	j.ingress.options.Metrics.observeSent(grant.Target.Proximity)
+	j.log("sent", "machine", grant.Target.Machine, "nearness", grant.Target.Proximity.String(), "waited", grant.Waited, "remains_ms", j.remaining().Milliseconds())
 	attemptCtx, cancel := j.attemptContext(ctx)
 	defer cancel()
 	outgoing := j.upstreamRequest(grant)
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -28,6 +28,6 @@
 // idleShare returns a router's share of a machine's idle connections. It is at least one, since without
 // idle connections each request would need a new one.
 func idleShare(connections, slots, routers int) int {
-	resting := connections - activePerSlot*slots
-	return min(maxIdlePerMachine, max(1, resting/max(1, routers)))
+	idle := connections - activePerSlot*slots
+	return min(maxIdlePerMachine, max(1, idle/max(1, routers)))
 }
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -158,15 +158,15 @@
 
 func newDeploymentWith(t *testing.T, logger *slog.Logger) *deployment {
 	t.Helper()
-	position := places.Location{Zone: "z", Zones: places.NewZoneMap(map[string]string{"z": "north", "far": "south"})}
-	return newDeploymentAt(t, position, func(options *ingress.Options) { options.Logger = logger })
+	location := places.Location{Zone: "z", Zones: places.NewZoneMap(map[string]string{"z": "north", "far": "south"})}
+	return newDeploymentAt(t, location, func(options *ingress.Options) { options.Logger = logger })
 }
 
-// newDeploymentAt returns a deployment whose router is at the given position. The test may change
+// newDeploymentAt returns a deployment whose router is at the given location. The test may change
 // its options.
-func newDeploymentAt(t *testing.T, position places.Location, change func(options *ingress.Options)) *deployment {
+func newDeploymentAt(t *testing.T, location places.Location, change func(options *ingress.Options)) *deployment {
 	t.Helper()
-	created := &deployment{t: t, view: nodeview.NewAt(position), queued: make(chan struct{}, 100)}
+	created := &deployment{t: t, view: nodeview.NewAt(location), queued: make(chan struct{}, 100)}
 	options := ingress.Options{
 		View: created.view, Logger: slog.New(slog.DiscardHandler), Metrics: ingress.NewMetrics(prometheus.NewRegistry()),
 		Translator: translator{beforeSend: &created.beforeSend}, MaxWaiting: 100,
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -196,7 +196,7 @@
 			i.permits.limits.retain(i.isKnown)
 			i.dispatcher.Retain(i.isKnown)
 			i.options.Metrics.leaving.Set(float64(len(i.LeavingMachines())))
-			i.options.Metrics.backedOff.Set(float64(i.dispatcher.BackedOffMachines()))
+			i.options.Metrics.backedOff.Set(float64(i.dispatcher.BackoffCount()))
 		}
 	}
 }
@@ -257,17 +257,17 @@
 
 // Answers returns the counts of responses by machine, for reports.
 func (i *Ingress) Answers() map[string]dispatch.ResponseCounts {
-	return i.dispatcher.Answers()
+	return i.dispatcher.ResponseCounts()
 }
 
 // LeavingMachines returns the known machines that announced their shutdown, for reports.
 func (i *Ingress) LeavingMachines() []string {
-	return slices.DeleteFunc(i.dispatcher.Leaving(), func(machine string) bool { return !i.isKnown(machine) })
+	return slices.DeleteFunc(i.dispatcher.LeavingMachines(), func(machine string) bool { return !i.isKnown(machine) })
 }
 
 // Unreachable returns the machines that this node currently can't connect to.
 func (i *Ingress) Unreachable(now time.Time) []string {
-	return i.dispatcher.Unreachable(now)
+	return i.dispatcher.UnreachableMachines(now)
 }
 
 func (i *Ingress) routers() int {
--- a/internal/ingress/job.go
+++ b/internal/ingress/job.go
@@ -386,7 +386,7 @@
 
 // retryAfter returns the Retry-After of a request that no machine accepted.
 func (j *job) retryAfter() time.Duration {
-	if retryAfter, allBackedOff := j.ingress.dispatcher.RetryAfterBackOff(j.dispatchRequest); allBackedOff {
+	if retryAfter, allBackedOff := j.ingress.dispatcher.RetryAfterBackoff(j.dispatchRequest); allBackedOff {
 		return max(retryAfterBusy, retryAfter)
 	}
 	return retryAfterBusy
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -34,10 +34,10 @@
 
 // MachineLimits returns the known rate limits of machines, for reports.
 func (i *Ingress) MachineLimits() []*wirepb.MachineLimit {
-	known := i.permits.limits
-	known.mutex.Lock()
-	defer known.mutex.Unlock()
-	return nodeview.LimitMessages(known.limits.Snapshot(known.options.Now()))
+	limits := i.permits.limits
+	limits.mutex.Lock()
+	defer limits.mutex.Unlock()
+	return nodeview.LimitMessages(limits.limits.Snapshot(limits.options.Now()))
 }
 
 // applyDigest merges the limits of a leader's digest.
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -119,8 +119,8 @@
 	m.examined.WithLabelValues(verdict.String()).Inc()
 }
 
-func (m *Metrics) observeSent(nearness places.Proximity) {
-	m.sends.WithLabelValues(nearness.String()).Inc()
+func (m *Metrics) observeSent(proximity places.Proximity) {
+	m.sends.WithLabelValues(proximity.String()).Inc()
 }
 
 func (m *Metrics) tenantLabel(tenant string) string {
--- a/internal/ingress/quarantine.go
+++ b/internal/ingress/quarantine.go
@@ -27,14 +27,14 @@
 // recordRun reports to the crash watcher whether the request completed or may have crashed its
 // machine. Attempts that were canceled or timed out don't count.
 func (j *job) recordRun(ctx context.Context, grant *dispatch.Grant, outcome attemptOutcome) {
-	watch := j.ingress.crashes
+	watcher := j.ingress.crashes
 	switch outcome {
 	case outcomeAnswered:
 		// Error responses don't count: a machine also sends them for requests that it did not run.
-		watch.ReportCompleted(j.identity)
+		watcher.ReportCompleted(j.identity)
 	case outcomeBroken, outcomeFailed:
 		if ctx.Err() == nil {
-			watch.ReportBroken(quarantine.BrokenRequest{
+			watcher.ReportBroken(quarantine.BrokenRequest{
 				Machine: grant.Target.Machine, Instance: grant.Target.Machine, Address: addressOf(grant), Identity: j.identity(), Route: j.route.Name, Tenant: j.tenant.name,
 			})
 		}
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -31,7 +31,7 @@
 		}
 		return outcomeNotRun
 	}
-	j.ingress.dispatcher.Started(grant)
+	j.ingress.dispatcher.MarkStarted(grant)
 	j.mayHaveRun = true
 	if !verdict.Genuine {
 		j.log("foreign_answer", "machine", grant.Target.Machine, "status", response.Status)
--- a/internal/ingress/waiting.go
+++ b/internal/ingress/waiting.go
@@ -58,6 +58,6 @@
 		return
 	}
 	if allowed.Key() != j.dispatchRequest.Allowed.Key() {
-		j.ingress.dispatcher.SetAllowed(j.dispatchRequest, allowed)
+		j.ingress.dispatcher.SetConstraint(j.dispatchRequest, allowed)
 	}
 }
--- a/internal/ingress/warming_test.go
+++ b/internal/ingress/warming_test.go
@@ -85,8 +85,8 @@
 		before func(d *deployment)
 	}{
 		{"new", func(*deployment) {}},
-		{"said to warm up", func(d *deployment) { d.digest(1, 200) }},
-		{"nobody vouches for it", func(d *deployment) { d.digest(1, warming.UnitsUnknown) }},
+		{"reported as warming up", func(d *deployment) { d.digest(1, 200) }},
+		{"its status is unknown", func(d *deployment) { d.digest(1, warming.UnitsUnknown) }},
 		{"its drain has ended", func(d *deployment) {
 			d.digest(1, 0)
 			d.apply(d.object(v1.KindZoneDrain, "z", &v1.ZoneDrainSpec{}, nil))
@@ -96,7 +96,7 @@
 			machine, _ := d.view.Machine("m0")
 			d.apply(d.object(v1.KindMachine, "m0", machine.Spec, &v1.MachineStatus{Phase: v1.MachineLive}))
 		}},
-		{"the router has slept", func(d *deployment) {
+		{"the router was suspended", func(d *deployment) {
 			d.digest(1, 0)
 			d.handler.Resumed()
 		}},
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -86,8 +86,8 @@
 		send(c.messages, traffic.MessagesReceived, traffic, "received")
 	}
 	for _, traffic := range c.counters.Network() {
-		nearness := traffic.Proximity.String()
-		metrics <- prometheus.MustNewConstMetric(c.network, prometheus.CounterValue, float64(traffic.Sent), nearness, "sent")
-		metrics <- prometheus.MustNewConstMetric(c.network, prometheus.CounterValue, float64(traffic.Received), nearness, "received")
+		proximity := traffic.Proximity.String()
+		metrics <- prometheus.MustNewConstMetric(c.network, prometheus.CounterValue, float64(traffic.Sent), proximity, "sent")
+		metrics <- prometheus.MustNewConstMetric(c.network, prometheus.CounterValue, float64(traffic.Received), proximity, "received")
 	}
 }
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// trafficSince returns the bytes sent and received since earlier counts, by nearness and kind, in
+// trafficSince returns the bytes sent and received since earlier counts, by proximity and kind, in
 // decreasing order.
 func trafficSince(before, now []wire.KindTraffic) []any {
 	spans := make([]wire.KindTraffic, 0, len(now))
@@ -62,7 +62,7 @@
 	return attributes
 }
 
-// networkSince returns the bytes sent and received over the network since earlier counts, by nearness.
+// networkSince returns the bytes sent and received over the network since earlier counts, by proximity.
 // Both counts must list the same entries.
 func networkSince(before, now []wire.NetworkTraffic) []any {
 	var attributes []any
--- a/internal/nodeview/regions.go
+++ b/internal/nodeview/regions.go
@@ -21,7 +21,7 @@
 // countMachine adds change to the count for a machine's pool and region.
 func (v *View) countMachine(machine Machine, change int) {
 	if machine.Status.Phase.IsInUse() {
-		v.regions.add(machine.Spec.Pool, v.position.Zones.Region(machine.Spec.Zone), change)
+		v.regions.add(machine.Spec.Pool, v.location.Zones.Region(machine.Spec.Zone), change)
 	}
 }
 
@@ -46,14 +46,14 @@
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	machine, known := v.machines[name]
-	if !known || !allowed.Allows(v.position.Zones.Region(machine.Spec.Zone)) {
+	if !known || !allowed.Allows(v.location.Zones.Region(machine.Spec.Zone)) {
 		return false
 	}
 	for other, candidate := range v.byEndpoint[endpoint] {
 		if other == name || candidate.Status.Phase != v1.MachineLive {
 			continue
 		}
-		if !allowed.Allows(v.position.Zones.Region(candidate.Spec.Zone)) {
+		if !allowed.Allows(v.location.Zones.Region(candidate.Spec.Zone)) {
 			return false
 		}
 	}
--- a/internal/nodeview/routing.go
+++ b/internal/nodeview/routing.go
@@ -177,7 +177,7 @@
 // newTarget returns a target with the fields that depend on its machine.
 func (v *View) newTarget(name string, machine Machine) dispatch.Target {
 	return dispatch.Target{
-		Zone: machine.Spec.Zone, Region: v.position.Zones.Region(machine.Spec.Zone), Nearness: v.position.ProximityOf(machine.Spec.Zone),
+		Zone: machine.Spec.Zone, Region: v.location.Zones.Region(machine.Spec.Zone), Proximity: v.location.ProximityOf(machine.Spec.Zone),
 		Machine: name, Endpoint: machine.Spec.Endpoint, MaxConcurrent: max(1, machine.Spec.Slots),
 		Suspect: machine.Status.Phase == v1.MachineLost,
 	}
--- a/internal/nodeview/suspects.go
+++ b/internal/nodeview/suspects.go
@@ -31,9 +31,9 @@
 	return v.suspects[identity]
 }
 
-// LifeOf identifies the engine incarnation that a replica was decided for; later ones don't run the
+// InstanceName identifies the engine incarnation that a replica was decided for; later ones don't run the
 // replica. Without a record of the replica, it returns the machine's name.
-func (v *View) LifeOf(machine, replica string) string {
+func (v *View) InstanceName(machine, replica string) string {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	record, found := v.replicasOn[machine][replica]
--- a/internal/nodeview/view.go
+++ b/internal/nodeview/view.go
@@ -42,7 +42,7 @@
 // View is a node's copy of the replicated state. It implements feed.Sink and is safe for concurrent
 // use.
 type View struct {
-	position places.Location
+	location places.Location
 	mutex    sync.RWMutex
 	revision uint64
 	objects  map[state.Key]*wirepb.Object
@@ -94,12 +94,12 @@
 
 // Region returns the node's region, or an empty string if it is unknown.
 func (v *View) Region() string {
-	return v.position.Zones.Region(v.position.Zone)
+	return v.location.Zones.Region(v.location.Zone)
 }
 
-// NewAt returns an empty view of a node at a position.
-func NewAt(position places.Location) *View {
-	view := &View{position: position, changed: signal.New(), digestChanged: signal.New()}
+// NewAt returns an empty view of a node at a location.
+func NewAt(location places.Location) *View {
+	view := &View{location: location, changed: signal.New(), digestChanged: signal.New()}
 	view.clear()
 	return view
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -38,7 +38,7 @@
 type Subset struct {
 	index      *Index
 	generation uint64
-	position   places.Location
+	location   places.Location
 	// known has the machines and replicas that were sent to the node and not deleted.
 	known map[state.Key]struct{}
 	// selected has the selected members of each group, including former members.
@@ -55,9 +55,9 @@
 }
 
 // Subset returns an empty subset for a node.
-func (x *Index) Subset(position places.Location) *Subset {
+func (x *Index) Subset(location places.Location) *Subset {
 	return &Subset{
-		index: x, generation: x.generation, position: position, known: map[state.Key]struct{}{},
+		index: x, generation: x.generation, location: location, known: map[state.Key]struct{}{},
 		selected: map[*group][]string{}, limits: map[*group]int{}, nextChange: -1,
 	}
 }
@@ -65,7 +65,7 @@
 // Expired reports whether the whole index was replaced, so that the node must list the state again.
 func (s *Subset) Expired() bool { return s.generation != s.index.generation }
 
-// Clone returns a copy for another node at the same position. The slices in selected are shared, since
+// Clone returns a copy for another node at the same location. The slices in selected are shared, since
 // they are replaced and never modified.
 func (s *Subset) Clone() *Subset {
 	copied := *s
@@ -213,7 +213,7 @@
 		return raised
 	}
 	limit := initialLimits[g.key.kind]
-	if g.key.region != s.position.Zones.Region(s.position.Zone) {
+	if g.key.region != s.location.Zones.Region(s.location.Zone) {
 		limit = max(1, limit/otherRegionDivisor)
 	}
 	return limit
@@ -273,14 +273,14 @@
 
 // candidate is a member that is not selected.
 type candidate struct {
-	name     string
-	usable   bool
-	nearness places.Proximity
-	weight   uint64
+	name      string
+	usable    bool
+	proximity places.Proximity
+	weight    uint64
 }
 
 // ranked returns the members that are not selected in order of preference: usable ones first, by
-// nearness, with some from other zones interleaved.
+// proximity, with some from other zones interleaved.
 func (s *Subset) ranked(g *group, selected []string) []string {
 	isSelected := make(map[string]bool, len(selected))
 	for _, member := range selected {
@@ -290,8 +290,8 @@
 	for member, host := range g.members {
 		if !isSelected[member] {
 			candidates = append(candidates, candidate{
-				name: member, usable: s.index.isUsable(host), nearness: s.position.ProximityOf(host.spec.Zone),
-				weight: xxhash.Sum64String(s.position.Zone + "\x00" + member),
+				name: member, usable: s.index.isUsable(host), proximity: s.location.ProximityOf(host.spec.Zone),
+				weight: xxhash.Sum64String(s.location.Zone + "\x00" + member),
 			})
 		}
 	}
@@ -307,14 +307,14 @@
 	case right.usable && !left.usable:
 		return 1
 	}
-	return cmp.Or(cmp.Compare(left.nearness, right.nearness), cmp.Compare(right.weight, left.weight), cmp.Compare(left.name, right.name))
+	return cmp.Or(cmp.Compare(left.proximity, right.proximity), cmp.Compare(right.weight, left.weight), cmp.Compare(left.name, right.name))
 }
 
 // interleaveZones inserts a candidate from outside the node's zone at each otherZoneInterval, as long
 // as there are usable candidates of both kinds.
 func interleaveZones(sorted []candidate) []string {
 	firstOutside := 0
-	for firstOutside < len(sorted) && sorted[firstOutside].usable && sorted[firstOutside].nearness == places.SameZone {
+	for firstOutside < len(sorted) && sorted[firstOutside].usable && sorted[firstOutside].proximity == places.SameZone {
 		firstOutside++
 	}
 	inside, outside := 0, firstOutside
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -23,15 +23,15 @@
 // charge for traffic between zones and regions. Connections share it; the zero value is ready to
 // use for a process without zones.
 type Counters struct {
-	position    places.Location
+	location    places.Location
 	byProximity [proximityCount]peerCounters
 	// compressors is the number of outgoing streams that are compressed.
 	compressors atomic.Int64
 }
 
 // NewCounters returns the counters of a process in the given zone and region.
-func NewCounters(position places.Location) *Counters {
-	return &Counters{position: position}
+func NewCounters(location places.Location) *Counters {
+	return &Counters{location: location}
 }
 
 // peerCounters counts the traffic with peers of one proximity.
@@ -81,7 +81,7 @@
 
 // forZone returns the counters for peers in a zone.
 func (c *Counters) forZone(zone string) *peerCounters {
-	return &c.byProximity[c.position.ProximityOf(zone)]
+	return &c.byProximity[c.location.ProximityOf(zone)]
 }
 
 func (c *peerCounters) forEnvelope(envelope *wirepb.Envelope) *kindCounters {
