--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -17,8 +17,8 @@
 	// minBaselineErrorRate is the lowest error rate taken as normal; with a baseline of zero, a
 	// single error would already be significant.
 	minBaselineErrorRate = 0.02
-	// Log-likelihood ratios at which a machine starts to lose traffic, and at which it loses all
-	// that its error rate calls for.
+	// Log-likelihood ratios at which a machine starts to lose traffic, and at which its
+	// share is reduced in full.
 	avoidanceStart = 2.0
 	avoidanceFull  = 4.0
 	// A machine's share of traffic follows its relative success rate to this power.
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -8,7 +8,6 @@
 	"github.com/weldline/weldline/internal/ratelimit"
 )
 
-// Config configures a Scheduler.
 type Config struct {
 	// MaxWaiting bounds the waiting requests of the whole router.
 	MaxWaiting int
@@ -50,13 +49,13 @@
 	ownResponses   map[string]ResponseCounts
 	fleetResponses map[string]ResponseCounts
 	responsesAt    time.Time
-	// warming and limited are the machines that need permits. holds withholds requests from single
-	// machines until a time, permitHoldUntil from all that need permits.
+	// warming and limited are the machines that need permits. holds is the end of the hold
+	// on each machine, permitHoldUntil that on all machines that need permits.
 	warming         map[string]bool
 	limited         map[string]ratelimit.Limit
 	holds           map[string]time.Time
 	permitHoldUntil time.Time
-	// backoffs are the backoffs that machines requested, by machine.
+	// backoffs holds the backoff of each machine that requested one.
 	backoffs map[string]*backoff
 	// leaving maps the machines that announced their shutdown to when they last announced it or
 	// were last listed.
--- a/internal/dispatch/limited.go
+++ b/internal/dispatch/limited.go
@@ -59,7 +59,7 @@
 	return r.QueueDeadline
 }
 
-// mayBeReadyElsewhere reports whether another replica may be ready by a time.
+// mayBeReadyElsewhere reports whether another replica may be ready by the given time.
 func (v *versionState) mayBeReadyElsewhere(by time.Time) bool {
 	return v.estimate != nil && !v.estimate.Refused && !v.estimate.EarliestAt.After(by)
 }
--- a/internal/dispatch/near_test.go
+++ b/internal/dispatch/near_test.go
@@ -8,13 +8,13 @@
 	"github.com/weldline/weldline/internal/places"
 )
 
-// localityScheduler has one target at each of the given distances.
-func localityScheduler(config Config, distances ...places.Proximity) (*Scheduler, time.Time) {
+// localityScheduler has one target at each of the given proximities.
+func localityScheduler(config Config, proximities ...places.Proximity) (*Scheduler, time.Time) {
 	now := time.Unix(1000, 0)
 	config.MaxWaiting, config.SharedSlots, config.LeastWork = 100, true, true
 	scheduler := New(config)
 	var targets []Target
-	for position, proximity := range distances {
+	for position, proximity := range proximities {
 		name := "m" + strconv.Itoa(position)
 		targets = append(targets, Target{Replica: "r" + name, Version: "v", Machine: name, MaxConcurrent: 64, Proximity: proximity})
 	}
@@ -28,9 +28,9 @@
 	const penalty = 1000
 	tests := []struct {
 		name string
-		// zone, region and further are the outstanding work of the machine there.
-		zone, region, further float64
-		machine               string
+		// zone, region and otherRegion are the outstanding work of the machine there.
+		zone, region, otherRegion float64
+		machine                   string
 	}{
 		{"all idle", 0, 0, 0, "m2"},
 		{"a little busy", 200, 0, 0, "m2"},
@@ -40,7 +40,7 @@
 	}
 	for _, test := range tests {
 		scheduler, now := localityScheduler(Config{}, places.OtherRegion, places.SameRegion, places.SameZone)
-		scheduler.SetWork(now, map[string]float64{"m0": test.further, "m1": test.region, "m2": test.zone})
+		scheduler.SetWork(now, map[string]float64{"m0": test.otherRegion, "m1": test.region, "m2": test.zone})
 		submitted := request(now, 1000, 0, 0)
 		submitted.CrossRegionPenalty = penalty
 		if granted := grantOf(t, scheduler.Submit(now, submitted)); granted.Target.Machine != test.machine {
@@ -67,14 +67,14 @@
 func TestDistanceIsIgnoredWithoutPenalty(t *testing.T) {
 	scheduler, now := localityScheduler(Config{}, places.OtherRegion, places.SameZone)
 	scheduler.SetWork(now, map[string]float64{"m1": 100})
-	distances := map[places.Proximity]bool{}
+	proximities := map[places.Proximity]bool{}
 	for prefix := uint64(1); prefix <= 20; prefix++ {
 		granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 900, prefix)))
-		distances[granted.Target.Proximity] = true
+		proximities[granted.Target.Proximity] = true
 		scheduler.Release(now, granted, ResultOK)
 	}
-	if !distances[places.OtherRegion] || !distances[places.SameZone] {
-		t.Errorf("all prefixes are sent to one distance: %v", distances)
+	if !proximities[places.OtherRegion] || !proximities[places.SameZone] {
+		t.Errorf("all prefixes are sent to one proximity: %v", proximities)
 	}
 	if granted := grantOf(t, scheduler.Submit(now, request(now, 1000, 0, 0))); granted.Target.Proximity != places.OtherRegion {
 		t.Error("the busier machine is preferred for its distance")
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -151,8 +151,8 @@
 	return Refusal{Request: request, Reason: RefusedBackoff, Detail: throttlingDetails[RefusedBackoff], RetryAfter: retryAfter}, true
 }
 
-// refuseWaitingOn refuses the waiting requests for the versions of a machine that can't be served
-// in time any more.
+// refuseWaitingOn refuses the waiting requests that can't be served in time any more because a
+// machine gets no requests.
 func (s *Scheduler) refuseWaitingOn(now time.Time, machine string, outcome *Outcome) {
 	for _, name := range s.waitingVersionsOn(machine) {
 		version := s.versions[name]
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -71,14 +71,14 @@
 	return s.warming[machine] || s.limited[machine].IsSet
 }
 
-// Hold withholds requests from a machine until a time. Tick grants its capacity afterwards.
+// Hold withholds requests from a machine until the given time. Tick grants its capacity afterwards.
 func (s *Scheduler) Hold(now time.Time, machine string, until time.Time) {
 	maps.DeleteFunc(s.holds, func(_ string, expiry time.Time) bool { return !now.Before(expiry) })
 	s.holds[machine] = until
 }
 
-// HoldPermitMachines withholds requests from all machines that need permits until a time. A request
-// would otherwise try each of them in turn.
+// HoldPermitMachines withholds requests from all machines that need permits until the given
+// time. A request would otherwise try each of them in turn.
 func (s *Scheduler) HoldPermitMachines(until time.Time) {
 	s.permitHoldUntil = until
 }
--- a/internal/placement/near.go
+++ b/internal/placement/near.go
@@ -39,8 +39,8 @@
 	return costs
 }
 
-// of returns the cost of a replica in a region.
-func (c crossRegionCosts) of(region string) float64 {
+// costIn returns the cost of a replica in a region.
+func (c crossRegionCosts) costIn(region string) float64 {
 	if cost, demanded := c[region]; demanded {
 		return cost
 	}
--- a/internal/placement/regions.go
+++ b/internal/placement/regions.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// markUsedWithin marks one ready replica as used that the constraint allows.
+// markUsedWithin marks as used one ready replica that the constraint allows.
 func (p *pass) markUsedWithin(version string, allowed places.Constraint) {
 	for _, replica := range p.byVersion[version] {
 		if replica.Spec.Phase == v1.ReplicaReady && allowed.Allows(p.input.Machines[replica.Spec.Machine].Region) {
--- a/internal/placement/retire.go
+++ b/internal/placement/retire.go
@@ -38,8 +38,8 @@
 	case machine.Drained:
 		return p.drainedReason(replica, version)
 	case machine.Pool != "" && !machine.Schedulable:
-		// Nothing is unloaded on a registered machine: if it leaves, its models go with it, and
-		// if it is silent, it may still serve.
+		// Nothing is unloaded on a registered machine: one that leaves is about to stop,
+		// and one that is silent may still serve.
 		return ""
 	case machine.Lost:
 		return "machine-lost"
--- a/internal/placement/swap.go
+++ b/internal/placement/swap.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		option.readyIn = p.orderDelay(pending, candidate) + costs.loadTime(option.tier)
-		option.cost = costs.of(option.readyIn, candidate)
+		option.cost = costs.costAt(option.readyIn, candidate)
 		if best != nil && option.cost >= best.cost {
 			continue // An eviction would only add to the cost.
 		}
@@ -101,7 +101,7 @@
 	}
 	option.victims = victims
 	option.readyIn += evictionTime
-	option.cost = lost + costs.of(option.readyIn, option.state)
+	option.cost = lost + costs.costAt(option.readyIn, option.state)
 	return true
 }
 
@@ -139,9 +139,9 @@
 	return c.remote
 }
 
-// of returns the cost of a replica that is ready on a machine after the given time.
-func (c placementCosts) of(readyIn time.Duration, state *machineState) float64 {
-	return readyIn.Seconds()*c.perSecond + state.workRate*c.perWork + c.crossRegion.of(state.machine.Region)
+// costAt returns the cost of a replica that is ready on a machine after the given time.
+func (c placementCosts) costAt(readyIn time.Duration, state *machineState) float64 {
+	return readyIn.Seconds()*c.perSecond + state.workRate*c.perWork + c.crossRegion.costIn(state.machine.Region)
 }
 
 // isCached reports whether a machine of the pool has the weights of a version in memory or on disk.
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -141,7 +141,6 @@
 // ActionKind is the kind of change of a replica record.
 type ActionKind string
 
-// Kinds of actions.
 const (
 	// ActionLoad creates a record in phase Loading.
 	ActionLoad ActionKind = "load"
--- a/internal/raft/links_test.go
+++ b/internal/raft/links_test.go
@@ -142,20 +142,20 @@
 		loss          float64
 		// without bounds the time without a lease per run.
 		without time.Duration
-		courses int
+		runs    int
 		// elections bounds the elections over all runs.
 		elections uint64
 	}{
-		{name: "30 ms", delay: 30 * time.Millisecond, courses: 5},
-		{name: "60 ms", delay: 60 * time.Millisecond, courses: 5},
-		{name: "150 ms", delay: 150 * time.Millisecond, courses: 5},
-		{name: "30 ms with jitter and loss", delay: 30 * time.Millisecond, jitter: 15 * time.Millisecond, loss: 0.05, without: 10 * time.Millisecond, courses: 5},
-		{name: "60 ms with jitter and loss", delay: 60 * time.Millisecond, jitter: 30 * time.Millisecond, loss: 0.05, without: 20 * time.Millisecond, courses: 5},
-		{name: "100 ms with jitter and loss", delay: 100 * time.Millisecond, jitter: 50 * time.Millisecond, loss: 0.03, without: 250 * time.Millisecond, courses: 20, elections: 2},
+		{name: "30 ms", delay: 30 * time.Millisecond, runs: 5},
+		{name: "60 ms", delay: 60 * time.Millisecond, runs: 5},
+		{name: "150 ms", delay: 150 * time.Millisecond, runs: 5},
+		{name: "30 ms with jitter and loss", delay: 30 * time.Millisecond, jitter: 15 * time.Millisecond, loss: 0.05, without: 10 * time.Millisecond, runs: 5},
+		{name: "60 ms with jitter and loss", delay: 60 * time.Millisecond, jitter: 30 * time.Millisecond, loss: 0.05, without: 20 * time.Millisecond, runs: 5},
+		{name: "100 ms with jitter and loss", delay: 100 * time.Millisecond, jitter: 50 * time.Millisecond, loss: 0.03, without: 250 * time.Millisecond, runs: 20, elections: 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var total leaseStats
-			for seed := range uint64(test.courses) {
+			for seed := range uint64(test.runs) {
 				l := newLinks(t, seed, test.delay, test.jitter, test.loss)
 				for id := range uint64(5) {
 					l.startWith(id+1, l.config(id+1, 400*time.Millisecond))
@@ -164,8 +164,8 @@
 				total.without += stats.without
 				total.terms += stats.terms
 			}
-			if total.without > time.Duration(test.courses)*test.without || total.terms > test.elections {
-				t.Errorf("in %d runs of %s: %s without a lease, %d elections", test.courses, span, total.without, total.terms)
+			if total.without > time.Duration(test.runs)*test.without || total.terms > test.elections {
+				t.Errorf("in %d runs of %s: %s without a lease, %d elections", test.runs, span, total.without, total.terms)
 			}
 		})
 	}
@@ -176,11 +176,11 @@
 func TestElectionTimeoutFollowsRoundTrip(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	for _, test := range []struct {
-		delay, least, most time.Duration
+		delay, min, max time.Duration
 	}{
-		{delay: time.Millisecond, least: timeout, most: timeout},
-		{delay: 30 * time.Millisecond, least: timeout + 50*time.Millisecond, most: timeout + 100*time.Millisecond},
-		{delay: 150 * time.Millisecond, least: 700 * time.Millisecond, most: 2 * timeout},
+		{delay: time.Millisecond, min: timeout, max: timeout},
+		{delay: 30 * time.Millisecond, min: timeout + 50*time.Millisecond, max: timeout + 100*time.Millisecond},
+		{delay: 150 * time.Millisecond, min: 700 * time.Millisecond, max: 2 * timeout},
 	} {
 		l := newLinks(t, 1, test.delay, 0, 0)
 		l.step = time.Millisecond
@@ -192,7 +192,7 @@
 		for _, id := range l.ids() {
 			timeoutInForce = max(timeoutInForce, l.members[id].Raft.Status().ElectionTimeout)
 		}
-		if timeoutInForce < test.least || timeoutInForce > test.most {
+		if timeoutInForce < test.min || timeoutInForce > test.max {
 			t.Errorf("links of %s: election timeout %s", test.delay, timeoutInForce)
 		}
 	}
@@ -241,22 +241,22 @@
 // TestFirstElectionOverLongLinks checks that members started together seldom split the votes of the
 // first election.
 func TestFirstElectionOverLongLinks(t *testing.T) {
-	const courses, most = 40, 800 * time.Millisecond
+	const runs, limit = 40, 800 * time.Millisecond
 	lateElections := 0
-	for seed := range uint64(courses) {
+	for seed := range uint64(runs) {
 		l := newLinks(t, seed, 30*time.Millisecond, 15*time.Millisecond, 0)
 		l.step = 2 * time.Millisecond
 		for id := range uint64(5) {
 			l.startWith(id+1, l.config(id+1, 400*time.Millisecond))
 		}
 		led := false
-		l.run(most, func() { led = led || len(l.leaseHolders()) > 0 })
+		l.run(limit, func() { led = led || len(l.leaseHolders()) > 0 })
 		if !led {
 			lateElections++
 		}
 	}
-	if lateElections > courses/10 {
-		t.Errorf("%d of %d first elections took longer than %s", lateElections, courses, most)
+	if lateElections > runs/10 {
+		t.Errorf("%d of %d first elections took longer than %s", lateElections, runs, limit)
 	}
 }
 
--- a/internal/raft/patience_test.go
+++ b/internal/raft/patience_test.go
@@ -9,18 +9,18 @@
 	const ms = time.Millisecond
 	config := &Config{ElectionTimeout: 400 * ms, HeartbeatInterval: 80 * ms}
 	for _, test := range []struct {
-		roundTrip, asked, wanted time.Duration
+		roundTrip, requested, want time.Duration
 	}{
-		{roundTrip: 0, asked: 400 * ms, wanted: 400 * ms},
-		{roundTrip: 20 * ms, asked: 400 * ms, wanted: 400 * ms},
-		{roundTrip: 21 * ms, asked: 400 * ms, wanted: 450 * ms},
-		{roundTrip: 60 * ms, asked: 400 * ms, wanted: 500 * ms},
-		{roundTrip: 60 * ms, asked: 550 * ms, wanted: 550 * ms},
-		{roundTrip: 60 * ms, asked: 600 * ms, wanted: 500 * ms},
-		{roundTrip: time.Second, asked: 400 * ms, wanted: 800 * ms},
+		{roundTrip: 0, requested: 400 * ms, want: 400 * ms},
+		{roundTrip: 20 * ms, requested: 400 * ms, want: 400 * ms},
+		{roundTrip: 21 * ms, requested: 400 * ms, want: 450 * ms},
+		{roundTrip: 60 * ms, requested: 400 * ms, want: 500 * ms},
+		{roundTrip: 60 * ms, requested: 550 * ms, want: 550 * ms},
+		{roundTrip: 60 * ms, requested: 600 * ms, want: 500 * ms},
+		{roundTrip: time.Second, requested: 400 * ms, want: 800 * ms},
 	} {
-		if got := config.electionTimeoutFor(test.roundTrip, test.asked); got != test.wanted {
-			t.Errorf("round trip %s, current timeout %s: got %s, want %s", test.roundTrip, test.asked, got, test.wanted)
+		if got := config.electionTimeoutFor(test.roundTrip, test.requested); got != test.want {
+			t.Errorf("round trip %s, current timeout %s: got %s, want %s", test.roundTrip, test.requested, got, test.want)
 		}
 	}
 }
--- a/internal/raft/snapshot_test.go
+++ b/internal/raft/snapshot_test.go
@@ -84,6 +84,6 @@
 	stepSnapshot(follower, 3, 2)
 	status := follower.Status()
 	if status.Last != 3 || status.Committed != 3 || status.FirstIndex != 4 {
-		t.Errorf("last %d, committed %d, first held %d; want 3, 3, 4", status.Last, status.Committed, status.FirstIndex)
+		t.Errorf("last %d, committed %d, first index %d; want 3, 3, 4", status.Last, status.Committed, status.FirstIndex)
 	}
 }
