--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -20,7 +20,7 @@
 func (n *Node) DrainZone(ctx context.Context, zone string, drained bool) error {
 	order := &drainOrder{node: n, zone: zone, drained: drained, receivedAt: n.now()}
 	if n.stallDetector.stalled(order.receivedAt) {
-		return fault.Unavailable.New("this node was stalled and can't determine the age of the order")
+		return fault.Unavailable.New("this node was stalled: it can't tell how old the order is")
 	}
 	ctx, cancel := context.WithTimeout(ctx, drainOrderTimeout)
 	defer cancel()
@@ -61,7 +61,7 @@
 func (o *drainOrder) write(ctx context.Context, zone *wirepb.Object) (written bool, err error) {
 	// Checked after the read, since the process may have been suspended before it.
 	if ctx.Err() != nil || o.node.now()-o.receivedAt > drains.ReadWindow {
-		return false, fault.Unavailable.New("the order could not be processed in time")
+		return false, fault.Unavailable.New("the order could not be looked at in time")
 	}
 	write, err := drains.NewWrite(o.zone, o.drained, zone.GetRevision(), time.Now())
 	if err != nil {
@@ -79,7 +79,7 @@
 	case wirepb.ResultCode_RESULT_CODE_CONFLICT:
 		return false, nil
 	}
-	return false, fault.Unavailable.New("the order was not committed: %s", result.GetMessage())
+	return false, fault.Unavailable.New("the order was not written: %s", result.GetMessage())
 }
 
 // catchUp waits until this node has applied everything committed when the order arrived. Its
@@ -93,16 +93,16 @@
 // readZone returns the zone's object, nil if there is none.
 func (o *drainOrder) readZone() (*wirepb.Object, error) {
 	var held *wirepb.Object
-	knowledge := drains.ZoneUnknown
+	status := drains.ZoneUnknown
 	o.node.Read(func(machine *state.Machine) {
 		held = machine.Get(v1.KindZoneDrain, o.zone)
-		knowledge = drains.ZoneStatusOf(machine, o.node.settings.Location().Zones.Zones(), o.zone)
+		status = drains.ZoneStatusOf(machine, o.node.settings.Location().Zones.Zones(), o.zone)
 	})
 	switch {
-	case held != nil || knowledge == drains.ZoneKnown:
+	case held != nil || status == drains.ZoneKnown:
 		return held, nil
-	case knowledge == drains.ZonesNotReported:
-		return nil, fault.Unavailable.New("no zones are known yet")
+	case status == drains.ZonesNotReported:
+		return nil, fault.Unavailable.New("no zone is known yet")
 	}
 	return nil, fault.InvalidField("zone", "%q is not a zone of this cluster", o.zone)
 }
@@ -124,20 +124,20 @@
 
 // stallDetector is a drains.StallDetector for concurrent use.
 type stallDetector struct {
-	mutex sync.Mutex
-	watch drains.StallDetector
+	mutex    sync.Mutex
+	detector drains.StallDetector
 }
 
 func (g *stallDetector) observe(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.watch.Tick(now)
+	g.detector.Tick(now)
 }
 
 func (g *stallDetector) stalled(now time.Duration) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.watch.Stalled(now)
+	return g.detector.Stalled(now)
 }
 
 // watchStalls has a goroutine of its own, since the raft loop blocks on disk writes.
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -60,9 +60,9 @@
 	wakeup     chan struct{}
 	registered controller.RegisteredFleetCache
 
-	mutex sync.Mutex
-	core  *orders.Planner
-	pacer *orders.Pacer
+	mutex   sync.Mutex
+	planner *orders.Planner
+	pacer   *orders.Pacer
 	// lastReport identifies the last report of each machine that the planner received.
 	lastReport map[string]reportKey
 	// grantExpiry has, by machine, the time until which this node's grant permits orders.
@@ -77,7 +77,7 @@
 	running, cancel := context.WithCancel(ctx)
 	created := &orderDispatcher{
 		node: node, term: term, startedAt: node.now(), cancel: cancel, wakeup: make(chan struct{}, 1),
-		core: orders.NewPlanner(pacer), pacer: pacer, lastReport: map[string]reportKey{}, grantExpiry: map[string]time.Duration{},
+		planner: orders.NewPlanner(pacer), pacer: pacer, lastReport: map[string]reportKey{}, grantExpiry: map[string]time.Duration{},
 		registered: controller.RegisteredFleetCache{Places: node.settings.Location().Zones},
 	}
 	if node.engines != nil {
@@ -190,7 +190,7 @@
 // engineStates returns the current engine states; the mutex must be held.
 func (d *orderDispatcher) engineStates() controller.EngineStateFunc {
 	now := d.node.now()
-	return func(machine string) (orders.State, bool) { return d.core.State(now, machine) }
+	return func(machine string) (orders.State, bool) { return d.planner.State(now, machine) }
 }
 
 func (d *orderDispatcher) instancesInput(registered *controller.RegisteredFleet) instances.Input {
@@ -234,9 +234,9 @@
 			continue
 		}
 		d.lastReport[name] = report
-		d.core.AddReport(d.node.now(), name, reportOf(entry.Report))
+		d.planner.AddReport(d.node.now(), name, reportOf(entry.Report))
 	}
-	d.core.Forget(listed)
+	d.planner.Forget(listed)
 }
 
 func reportOf(report *wirepb.InstanceReport) orders.Report {
@@ -302,7 +302,7 @@
 		wanted[position].Blocked = !free[wanted[position].Machine]
 	}
 	d.mutex.Lock()
-	plan := d.core.Plan(d.node.now(), wanted)
+	plan := d.planner.Plan(d.node.now(), wanted)
 	d.mutex.Unlock()
 	endpoints := map[string]string{}
 	for _, entry := range wanted {
@@ -334,10 +334,10 @@
 	defer d.mutex.Unlock()
 	if err != nil {
 		d.node.logger.Info("engine_not_polled", "machine", machine, "error", fault.Message(err))
-		d.core.PollFailed(d.node.now(), machine)
+		d.planner.PollFailed(d.node.now(), machine)
 		return
 	}
-	d.core.AddReport(d.node.now(), machine, report)
+	d.planner.AddReport(d.node.now(), machine, report)
 	d.node.wakeLeader()
 }
 
--- a/internal/nodeview/suspects.go
+++ b/internal/nodeview/suspects.go
@@ -31,9 +31,9 @@
 	return v.suspects[identity]
 }
 
-// LifeOf returns a name for the engine incarnation that a replica was decided for; later incarnations
-// don't run the replica. If the replica has no record, it returns the machine's name.
-func (v *View) LifeOf(machine, replica string) string {
+// InstanceName returns a name for the engine incarnation that a replica was decided for; later
+// incarnations don't run the replica. If the replica has no record, it returns the machine's name.
+func (v *View) InstanceName(machine, replica string) string {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	record, found := v.replicasOn[machine][replica]
