--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -8,6 +8,7 @@
 	"github.com/weldline/weldline/internal/ratelimit"
 )
 
+// Config configures a Scheduler.
 type Config struct {
 	// MaxWaiting bounds the waiting requests of the whole router.
 	MaxWaiting int
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -9,6 +9,7 @@
 	"github.com/weldline/weldline/internal/keepalive"
 )
 
+// Config configures a Planner.
 type Config struct {
 	Speeds TierSpeeds
 	// StoreLoadsPerSecond and StoreConcurrentLoads limit loads from the weight store.
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -10,8 +10,10 @@
 // None is the ID of no node.
 const None uint64 = 0
 
+// Role is a node's role in its current term.
 type Role int
 
+// The roles of a node.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -24,6 +26,7 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
+// Config holds the parameters of a node.
 type Config struct {
 	ID uint64
 	// ElectionTimeout is the minimum time without leader contact after which a follower starts an
@@ -371,6 +374,7 @@
 	return s.Role == Leader && s.Term == term
 }
 
+// Status returns the node's current status.
 func (n *Node) Status() Status {
 	return Status{
 		ID: n.config.ID, Term: n.term, Leader: n.leader, Role: n.role,
