--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -206,12 +206,7 @@
 // TestFailedConnectionIsNoAttempt checks that a failed connection doesn't count as an
 // attempt.
 func TestFailedConnectionIsNoAttempt(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	dead := listener.Addr().String()
-	_ = listener.Close()
+	dead := reservePort(t)
 	alive := newRawMachine(t, func(request receivedRequest, _ int, connection net.Conn) bool {
 		return write(connection, ok(request, "alive"))
 	})
